--- a/contract/surfaces/index.ts
+++ b/contract/surfaces/index.ts
@@ -4,8 +4,48 @@
  * recorded values stay as they are.
  */
 
+import { computeCookieEdgePackets, computeCookies, computeTunnelledPackets } from './wire-packets.js';
+import {
+  computeControlEnvelopes,
+  computeDissemination,
+  computeHealth,
+  computeMembership,
+  computeTreeCodec,
+} from './wire-fleet.js';
+import { computeFlowMessages, computeFlowRecords } from './wire-flows.js';
+import { computeGossip } from './wire-gossip.js';
+import {
+  computeBasicHashes,
+  computeDaemonHashes,
+  computeFleetHashes,
+  computePlacementHashes,
+} from './wire-hashes.js';
+import { computeSchemas } from './wire-schemas.js';
+import { computePlatformRecords, computePlatformStore, computeTreeStore } from './wire-stores.js';
+
 /** Computes one surface from the code as it is. */
 export type Surface = () => Promise<unknown>;
 
 /** By the name of the recorded file in `contract/recorded`, without its ending. */
-export const SURFACES: Readonly<Record<string, Surface>> = {};
+export const SURFACES: Readonly<Record<string, Surface>> = {
+  // On the wire
+  'wire-control-envelopes': computeControlEnvelopes,
+  'wire-cookie-edge-packets': computeCookieEdgePackets,
+  'wire-cookies': computeCookies,
+  'wire-daemon-hashes': computeDaemonHashes,
+  'wire-dissemination': computeDissemination,
+  'wire-fleet-hashes': computeFleetHashes,
+  'wire-flow-messages': computeFlowMessages,
+  'wire-flow-records': computeFlowRecords,
+  'wire-gossip': computeGossip,
+  'wire-hashes': computeBasicHashes,
+  'wire-health': computeHealth,
+  'wire-membership': computeMembership,
+  'wire-placement-hashes': computePlacementHashes,
+  'wire-platform-records': computePlatformRecords,
+  'wire-platform-store': computePlatformStore,
+  'wire-protobuf-schemas': computeSchemas,
+  'wire-tree-codec': computeTreeCodec,
+  'wire-tree-store': computeTreeStore,
+  'wire-tunnelled-packets': computeTunnelledPackets,
+};
