--- a/contract/surfaces/index.ts
+++ b/contract/surfaces/index.ts
@@ -3,9 +3,34 @@
  * of the contract test that knows where the code lies: when a module moves, its import here follows; the test and the
  * recorded values stay as they are.
  */
+import { adminPages, statusDocuments } from './operator-admin.js';
+import { commandLine } from './operator-command-line.js';
+import { cookieDaemonConfiguration, daemonConfiguration } from './operator-configuration.js';
+import { events, logLines } from './operator-events.js';
+import { deployFiles, regressionFile, scenarios } from './operator-files.js';
+import { metrics } from './operator-metrics.js';
+import { environmentVariables, packageScripts, platformPrograms } from './operator-scripts.js';
+import { settingsTree } from './operator-settings.js';
 
 /** Computes one surface from the code as it is. */
 export type Surface = () => Promise<unknown>;
 
 /** By the name of the recorded file in `contract/recorded`, without its ending. */
-export const SURFACES: Readonly<Record<string, Surface>> = {};
+export const SURFACES: Readonly<Record<string, Surface>> = {
+  // For operators
+  'operator-admin-pages': adminPages,
+  'operator-command-line': commandLine,
+  'operator-configuration-cookie-daemon': cookieDaemonConfiguration,
+  'operator-configuration-daemon': daemonConfiguration,
+  'operator-deploy-files': deployFiles,
+  'operator-environment-variables': environmentVariables,
+  'operator-events': events,
+  'operator-log-lines': logLines,
+  'operator-metrics': metrics,
+  'operator-package-scripts': packageScripts,
+  'operator-platform-programs': platformPrograms,
+  'operator-regression-file': regressionFile,
+  'operator-scenarios': scenarios,
+  'operator-settings-tree': settingsTree,
+  'operator-status-documents': statusDocuments,
+};
