--- a/contract/surfaces/index.ts
+++ b/contract/surfaces/index.ts
@@ -3,6 +3,14 @@
  * of the contract test that knows where the code lies: when a module moves, its import here follows; the test and the
  * recorded values stay as they are.
  */
+import { adminPages, statusDocuments } from './operator-admin.js';
+import { commandLine } from './operator-command-line.js';
+import { cookieDaemonConfiguration, daemonConfiguration } from './operator-configuration.js';
+import { events, logLines } from './operator-events.js';
+import { deployFiles, regressionFile, scenarios } from './operator-files.js';
+import { metrics } from './operator-metrics.js';
+import { environmentVariables, packageScripts, platformPrograms } from './operator-scripts.js';
+import { settingsTree } from './operator-settings.js';
 
 import { computeCookieEdgePackets, computeCookies, computeTunnelledPackets } from './wire-packets.js';
 import {
@@ -48,4 +56,20 @@
   'wire-tree-codec': computeTreeCodec,
   'wire-tree-store': computeTreeStore,
   'wire-tunnelled-packets': computeTunnelledPackets,
+  // For operators
+  'operator-admin-pages': adminPages,
+  'operator-command-line': commandLine,
+  'operator-configuration-cookie-daemon': cookieDaemonConfiguration,
+  'operator-configuration-daemon': daemonConfiguration,
+  'operator-deploy-files': deployFiles,
+  'operator-environment-variables': environmentVariables,
+  'operator-events': events,
+  'operator-log-lines': logLines,
+  'operator-metrics': metrics,
+  'operator-package-scripts': packageScripts,
+  'operator-platform-programs': platformPrograms,
+  'operator-regression-file': regressionFile,
+  'operator-scenarios': scenarios,
+  'operator-settings-tree': settingsTree,
+  'operator-status-documents': statusDocuments,
 };
