--- a/contract/surfaces/operator-admin.ts
+++ b/contract/surfaces/operator-admin.ts
@@ -2,8 +2,8 @@
 import type { Server } from 'node:http';
 import { Server as NetServer } from 'node:net';
 import ts from 'typescript';
-import type { CookieDaemonStatus } from '../../src/cookie-daemon/status.js';
-import type { DaemonStatus, DaemonSummary } from '../../src/daemon/status.js';
+import type { CookieDaemonStatus } from '../../src/cookie-edge/daemon/status.js';
+import type { DaemonStatus, DaemonSummary } from '../../src/gue-edge/daemon/status.js';
 import { AdminServer, type AdminSource } from '../../src/observability/admin-server.js';
 import { aliasedType, sourceProgram } from './operator-source.js';
 
--- a/contract/surfaces/operator-configuration.ts
+++ b/contract/surfaces/operator-configuration.ts
@@ -1,7 +1,7 @@
 /** Configuration files of both daemons: fields, defaults, limits, and how faults are answered. */
 import { MECHANISMS } from '../../src/common/mechanisms.js';
-import { checkCookieDaemonConfig, cookieDaemonConfigSchema } from '../../src/cookie-daemon/config.js';
-import { daemonConfigSchema, parseDaemonConfig } from '../../src/daemon/config.js';
+import { checkCookieDaemonConfig, cookieDaemonConfigSchema } from '../../src/cookie-edge/daemon/config.js';
+import { daemonConfigSchema, parseDaemonConfig } from '../../src/gue-edge/daemon/config.js';
 import { describeSchema } from './operator-schemas.js';
 
 const PLACE = { id: 'balancer-1', region: 'region', zone: 'zone-a' };
--- a/contract/surfaces/wire-fleet.ts
+++ b/contract/surfaces/wire-fleet.ts
@@ -1,13 +1,18 @@
 /** Messages between balancers of a fleet, but those about flows: envelope, membership, health, tree and its spreading. */
 import { inflateRawSync } from 'node:zlib';
-import { openEnvelope, sealEnvelope } from '../../src/control/envelope.js';
-import { KeyRing } from '../../src/control/key-ring.js';
-import { decodeNodeSet, encodeNodeSet } from '../../src/dissemination/node-set.js';
-import { sailquay as disseminationMessages } from '../../src/dissemination/pb/dissemination.js';
-import { decodeStamp, encodeStamp, NO_TREE } from '../../src/dissemination/stamp.js';
-import { hashNode, TreeDigest } from '../../src/dissemination/tree-digest.js';
-import { decodeUpdate, encodeUpdate } from '../../src/health/message.js';
-import { decodeEntry, decodeMessage, encodeEntry, encodeMessage } from '../../src/membership/wire.js';
+import { openEnvelope, sealEnvelope } from '../../src/gue-edge/control/envelope.js';
+import { KeyRing } from '../../src/gue-edge/control/key-ring.js';
+import { decodeNodeSet, encodeNodeSet } from '../../src/gue-edge/dissemination/node-set.js';
+import { sailquay as disseminationMessages } from '../../src/gue-edge/dissemination/pb/dissemination.js';
+import { decodeStamp, encodeStamp, NO_TREE } from '../../src/gue-edge/dissemination/stamp.js';
+import { hashNode, TreeDigest } from '../../src/gue-edge/dissemination/tree-digest.js';
+import { decodeUpdate, encodeUpdate } from '../../src/gue-edge/health/message.js';
+import {
+  decodeEntry,
+  decodeMessage,
+  encodeEntry,
+  encodeMessage,
+} from '../../src/gue-edge/membership/wire.js';
 import { decodeDelta, decodeNode, encodeDelta, encodeNode } from '../../src/settings/codec.js';
 import { encodedAndDecoded, fromHex, mapValues, outcomeOf, toHex, toPlain } from './wire-support.js';
 
--- a/contract/surfaces/wire-flows.ts
+++ b/contract/surfaces/wire-flows.ts
@@ -1,13 +1,13 @@
 /** Messages between keepers, backups and new keepers of flows, and the records and shard sets packed into them. */
-import { sailquay } from '../../src/flow/pb/flow.js';
-import { packBatch, packPart, unpackBatch, unpackPart } from '../../src/flow/record-codec.js';
+import { sailquay } from '../../src/gue-edge/flow/pb/flow.js';
+import { packBatch, packPart, unpackBatch, unpackPart } from '../../src/gue-edge/flow/record-codec.js';
 import {
   expandAcknowledgements,
   expandGroup,
   groupAcknowledgements,
   ShardGroupBuilder,
-} from '../../src/flow/shard-group.js';
-import { fromBitmap, packShards, toBitmap, unpackShards } from '../../src/flow/shard-set.js';
+} from '../../src/gue-edge/flow/shard-group.js';
+import { fromBitmap, packShards, toBitmap, unpackShards } from '../../src/gue-edge/flow/shard-set.js';
 import { encodedAndDecoded, fromHex, mapValues, outcomeOf, toHex, toPlain } from './wire-support.js';
 
 const { HandoverMessage, ReplicationMessage } = sailquay.flow;
--- a/contract/surfaces/wire-gossip.ts
+++ b/contract/surfaces/wire-gossip.ts
@@ -1,5 +1,5 @@
 /** Messages between daemons on a cookie edge: each kind with every field set, and one with as little as possible. */
-import { decodePeerMessage, encodePeerMessage } from '../../src/spreading/message-codec.js';
+import { decodePeerMessage, encodePeerMessage } from '../../src/cookie-edge/spreading/message-codec.js';
 import { encodedAndDecoded, fromHex, mapValues, toPlain } from './wire-support.js';
 
 type Message = Parameters<typeof encodePeerMessage>[0];
--- a/contract/surfaces/wire-hashes.ts
+++ b/contract/surfaces/wire-hashes.ts
@@ -1,20 +1,20 @@
 /** Hashes that must be equal on all machines: whoever computes another value places flows, shards or duties elsewhere. */
 import { combine32, hashString, mix32 } from '../../src/common/hash.js';
-import { leaseCandidates, slotsOf } from '../../src/dissemination/reader-candidates.js';
-import { backendKey } from '../../src/flow/backend-catalogue.js';
-import { fingerprintFlow, shardOf } from '../../src/flow/flow-key.js';
-import { ShardMap } from '../../src/flow/shard-map.js';
-import { DigestedShardSet } from '../../src/flow/shard-set.js';
-import { ProberRanking } from '../../src/health/prober-assignment.js';
-import { VoteTable } from '../../src/health/votes.js';
-import { CallRates } from '../../src/load/call-rates.js';
-import { recordDigest } from '../../src/membership/member-record.js';
-import { bucketOf } from '../../src/membership/member-table.js';
-import { rendezvousScore, weightedRendezvous } from '../../src/placement/weighted-rendezvous.js';
-import { digestOfRoutes } from '../../src/routing/route-table-change.js';
-import { askDelayMs, askIntervalMs } from '../../src/spreading/asking-order.js';
-import { hashOfDaemon } from '../../src/spreading/fleet-size.js';
-import { ReaderRole } from '../../src/spreading/index.js';
+import { leaseCandidates, slotsOf } from '../../src/gue-edge/dissemination/reader-candidates.js';
+import { backendKey } from '../../src/gue-edge/flow/backend-catalogue.js';
+import { fingerprintFlow, shardOf } from '../../src/gue-edge/flow/flow-key.js';
+import { ShardMap } from '../../src/gue-edge/flow/shard-map.js';
+import { DigestedShardSet } from '../../src/gue-edge/flow/shard-set.js';
+import { ProberRanking } from '../../src/gue-edge/health/prober-assignment.js';
+import { VoteTable } from '../../src/gue-edge/health/votes.js';
+import { CallRates } from '../../src/cookie-edge/load/call-rates.js';
+import { recordDigest } from '../../src/gue-edge/membership/member-record.js';
+import { bucketOf } from '../../src/gue-edge/membership/member-table.js';
+import { rendezvousScore, weightedRendezvous } from '../../src/gue-edge/placement/weighted-rendezvous.js';
+import { digestOfRoutes } from '../../src/cookie-edge/routing/route-table-change.js';
+import { askDelayMs, askIntervalMs } from '../../src/cookie-edge/spreading/asking-order.js';
+import { hashOfDaemon } from '../../src/cookie-edge/spreading/fleet-size.js';
+import { ReaderRole } from '../../src/cookie-edge/spreading/index.js';
 
 const WORDS = [0, 1, 0x7fffffff, 0x80000000, 0xdeadbeef, 0xffffffff];
 const TEXTS = ['', 'a', 'balancer-1', 'north/orders/b1', '2:b-1', 'überlast', 'x'.repeat(300)];
--- a/contract/surfaces/wire-packets.ts
+++ b/contract/surfaces/wire-packets.ts
@@ -10,7 +10,7 @@
 import { decodePacket, emptyPacketView } from '../../src/fabric/packet-decoder.js';
 import { encodeRelayFrame, isRelayFrame, relayHops } from '../../src/fabric/relay-frame.js';
 import { buildReset, decodeSegment, encodeSegment } from '../../src/fabric/segment-codec.js';
-import { CookieRegistry } from '../../src/flow/cookie/cookie-registry.js';
+import { CookieRegistry } from '../../src/cookie-edge/forwarding/cookie-registry.js';
 import { fromHex, mapValues, toHex, toPlain } from './wire-support.js';
 
 const ADDRESSES = '0100000a 409c 0200c80a 5000 efbeadde';
--- a/src/cli/config-command.ts
+++ b/src/cli/config-command.ts
@@ -1,8 +1,8 @@
 /** `sailquay config`: checks settings files and prints their schema. Nothing is sent to the platform. */
 import { readFile } from 'node:fs/promises';
 import type { Command } from 'commander';
-import { loadCookieDaemonConfig } from '../cookie-daemon/config.js';
-import { CookieDaemonError } from '../cookie-daemon/errors.js';
+import { loadCookieDaemonConfig } from '../cookie-edge/daemon/config.js';
+import { CookieDaemonError } from '../cookie-edge/daemon/errors.js';
 import {
   fileJsonSchema,
   formatFault,
--- a/src/cli/daemon-command.ts
+++ b/src/cli/daemon-command.ts
@@ -1,6 +1,6 @@
 /** `sailquay daemon run`: one balancer in this process. */
 import { Option, type Command } from 'commander';
-import type { ConfigOverrides } from '../daemon/config.js';
+import type { ConfigOverrides } from '../gue-edge/daemon/config.js';
 
 /** Flags as commander names them. */
 interface RunFlags {
@@ -70,7 +70,7 @@
     .addOption(new Option('--log-format <format>', 'log lines').choices(['text', 'json']))
     .addOption(new Option('--log-level <level>', 'least level').choices(['debug', 'info', 'warn', 'error']));
   run.addHelpText('after', EXAMPLES).action(async (flags: RunFlags) => {
-    const { runDaemon } = await import('../daemon/run.js');
+    const { runDaemon } = await import('../gue-edge/daemon/run.js');
     process.exitCode = await runDaemon(flags.config, overridesOf(flags), {
       faultInjection: flags.enableFaultInjection ?? false,
     });
--- a/src/cli/fleet-output.ts
+++ b/src/cli/fleet-output.ts
@@ -1,5 +1,5 @@
 /** Writes a fleet report as text. */
-import type { BackendStatus, DaemonSummary } from '../daemon/status.js';
+import type { BackendStatus, DaemonSummary } from '../gue-edge/daemon/status.js';
 import type { BalancerReport, FleetReport } from './fleet-status.js';
 
 const MS_PER_SECOND = 1_000;
--- a/src/cli/fleet-status.ts
+++ b/src/cli/fleet-status.ts
@@ -1,7 +1,7 @@
 /** Reads the status of every balancer of a region over their admin addresses. */
 import { request } from 'undici';
 import { formatEndpoint, SailquayError, type Endpoint } from '../common/types.js';
-import type { BackendStatus, DaemonStatus, DaemonSummary, MemberStatus } from '../daemon/status.js';
+import type { BackendStatus, DaemonStatus, DaemonSummary, MemberStatus } from '../gue-edge/daemon/status.js';
 import type { StatusView } from '../observability/index.js';
 
 /** Longest wait for one daemon's answer. */
--- a/src/cli/fleet.test.ts
+++ b/src/cli/fleet.test.ts
@@ -1,7 +1,7 @@
 /** Fleet status and the drain command against admin servers that answer what a test says. */
 import test, { type ExecutionContext } from 'ava';
 import { formatEndpoint, type Endpoint } from '../common/types.js';
-import type { BackendStatus, DaemonStatus, MemberStatus } from '../daemon/status.js';
+import type { BackendStatus, DaemonStatus, MemberStatus } from '../gue-edge/daemon/status.js';
 import { AdminServer, type StatusView } from '../observability/index.js';
 import { parseTree, TREE_OBJECT_KEY } from '../settings/index.js';
 import { startPlatformStandin } from '../standin/platform/index.js';
--- a/src/daemon/drain.ts
+++ b/src/common/drain.ts
@@ -1,6 +1,6 @@
 /** Waits until no data packet arrives any more, within a longest time. */
-import type { Clock } from '../common/clock.js';
-import { DRAIN_POLL_INTERVAL_MS } from './constants.js';
+import type { Clock } from './clock.js';
+import { DRAIN_POLL_INTERVAL_MS } from '../gue-edge/daemon/constants.js';
 
 /** What the wait looks at. */
 export interface DrainOptions {
--- a/src/flow/cookie/backend-state.ts
+++ b/src/cookie-edge/backend-health/backend-state.ts
@@ -1,7 +1,7 @@
 /** What this balancer has seen of each back end: its own open flows there, and signs of life in callers' packets. */
 import { hashString } from '../../common/hash.js';
-import { DecayingRate } from '../../placement/decaying-rate.js';
-import type { KnownBackend } from '../../routing/index.js';
+import { DecayingRate } from '../../common/decaying-rate.js';
+import type { KnownBackend } from '../routing/index.js';
 import {
   CLOSED_FLOW_COUNTS_MS,
   EJECT_AFTER_FAILURES,
@@ -9,7 +9,7 @@
   EJECT_MIN_MS,
   SHARED_SUSPECT_MS,
   SUSPECT_MS,
-} from './constants.js';
+} from '../forwarding/constants.js';
 
 /** Whether a back end should get new flows, as far as packets tell. */
 export type Liveness = 'alive' | 'suspect' | 'trial' | 'ejected';
--- a/src/flow/cookie/backend-states.ts
+++ b/src/cookie-edge/backend-health/backend-states.ts
@@ -1,9 +1,9 @@
 /** What this balancer has seen of all back ends, so that one is judged by how the others answer. */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { EventLog } from '../../observability/event.js';
-import type { KnownBackend } from '../../routing/index.js';
+import type { KnownBackend } from '../routing/index.js';
 import { BackendState } from './backend-state.js';
-import { COOKIE_FLOW_EVENTS } from './events.js';
+import { COOKIE_FLOW_EVENTS } from '../forwarding/events.js';
 
 /** A back end's last sign of life. */
 interface SignOfLife {
--- a/src/flow/cookie/dead-backends.test.ts
+++ b/src/cookie-edge/backend-health/dead-backends.test.ts
@@ -3,9 +3,9 @@
 import { VirtualClock } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
 import type { Endpoint } from '../../common/types.js';
-import { backendAt, updateAt } from '../../routing/routing-test-support.js';
-import { PROBE_SPACING_MS, PROBE_TIMEOUT_MS, TICK_MS } from './constants.js';
-import { backends, ForwarderHarness, type HarnessSurroundings } from './cookie-test-support.js';
+import { backendAt, updateAt } from '../routing/routing-test-support.js';
+import { PROBE_SPACING_MS, PROBE_TIMEOUT_MS, TICK_MS } from '../forwarding/constants.js';
+import { backends, ForwarderHarness, type HarnessSurroundings } from '../forwarding/cookie-test-support.js';
 import type { ProbeOutcome } from './backend-prober.js';
 
 const DEAD_EVENT = 1259;
--- a/src/flow/cookie/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -6,7 +6,7 @@
  */
 import { pause } from '../../common/pause.js';
 import { formatEndpoint } from '../../common/types.js';
-import type { KnownBackend } from '../../routing/index.js';
+import type { KnownBackend } from '../routing/index.js';
 import {
   BackendProber,
   type BackendProberOptions,
@@ -21,10 +21,10 @@
   MAX_PROBE_PAIRS,
   MAX_PROBES_AT_ONCE,
   PROBE_AGAIN_MS,
-} from './constants.js';
-import { COOKIE_FLOW_EVENTS } from './events.js';
-import { formatFlowId } from './flow-id.js';
-import { resetTargetOf, type ForwardingParts } from './forwarding-parts.js';
+} from '../forwarding/constants.js';
+import { COOKIE_FLOW_EVENTS } from '../forwarding/events.js';
+import { formatFlowId } from '../forwarding/flow-id.js';
+import { resetTargetOf, type ForwardingParts } from '../forwarding/forwarding-parts.js';
 
 /** What probes find at a back end that may be dead. */
 type DeathFinding = Exclude<ProbeOutcome, 'answered'>;
--- a/src/flow/cookie/slow-back-ends.test.ts
+++ b/src/cookie-edge/backend-health/slow-back-ends.test.ts
@@ -1,6 +1,6 @@
 /** Loads at which back ends turn slow or mute, replayed with and without outlier detection. */
 import test from 'ava';
-import { ReplayedLoad, type ReplayedDay } from './replayed-load.js';
+import { ReplayedLoad, type ReplayedDay } from '../placement/replayed-load.js';
 
 const BACKENDS = 84;
 const TROUBLE_MS = 6_000;
--- a/src/cookie-daemon/adapters.ts
+++ b/src/cookie-edge/daemon/adapters.ts
@@ -1,8 +1,8 @@
 /** What a deployment brings: the edge that carries packets, and the source of routes and back ends. */
-import type { Clock } from '../common/clock.js';
-import type { Endpoint } from '../common/types.js';
-import type { CookieEdgeHandler, CookieEdgePort } from '../fabric/cookie-edge.js';
-import type { EventLog } from '../observability/event.js';
+import type { Clock } from '../../common/clock.js';
+import type { Endpoint } from '../../common/types.js';
+import type { CookieEdgeHandler, CookieEdgePort } from '../../fabric/cookie-edge.js';
+import type { EventLog } from '../../observability/event.js';
 import type { CallCountSource } from '../load/index.js';
 import type { RoutingSource } from '../routing/index.js';
 
--- a/src/cookie-daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -1,13 +1,13 @@
 /** Everything that a daemon on a cookie edge is made of, and how it is wired. */
-import type { Clock } from '../common/clock.js';
-import { hashString } from '../common/hash.js';
-import { allBut } from '../common/mechanisms.js';
-import type { RandomSource } from '../common/random.js';
-import type { Endpoint } from '../common/types.js';
-import { CookieForwarder } from '../flow/cookie/cookie-forwarder.js';
-import type { EventLog } from '../observability/event.js';
-import { PauseDetector } from '../common/pause-detector.js';
-import { TICK_MS } from '../flow/cookie/constants.js';
+import type { Clock } from '../../common/clock.js';
+import { hashString } from '../../common/hash.js';
+import { allBut } from '../../common/mechanisms.js';
+import type { RandomSource } from '../../common/random.js';
+import type { Endpoint } from '../../common/types.js';
+import { CookieForwarder } from '../forwarding/cookie-forwarder.js';
+import type { EventLog } from '../../observability/event.js';
+import { PauseDetector } from '../../common/pause-detector.js';
+import { TICK_MS } from '../forwarding/constants.js';
 import { LOAD_MIN_DAEMONS, LoadReader, LoadView } from '../load/index.js';
 import { freshnessTimings, ProblemLog, RoutingKnowledge, SourceCircuit } from '../routing/index.js';
 import { NetworkTransport, Spreader } from '../spreading/index.js';
--- a/src/cookie-daemon/config.test.ts
+++ b/src/cookie-edge/daemon/config.test.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import test from 'ava';
-import { MECHANISMS } from '../common/mechanisms.js';
+import { MECHANISMS } from '../../common/mechanisms.js';
 import { checkCookieDaemonConfig, compareConfigs, loadCookieDaemonConfig } from './config.js';
 
 const VALID = {
--- a/src/cookie-daemon/cookie-daemon.ts
+++ b/src/cookie-edge/daemon/cookie-daemon.ts
@@ -1,7 +1,7 @@
 /** The life of a balancer on a cookie edge: it learns routes and back ends, becomes ready, forwards and stops. */
-import { formatEndpoint } from '../common/types.js';
-import { delay, waitUntilQuiet } from '../daemon/drain.js';
-import { AdminServer, type Readiness } from '../observability/admin-server.js';
+import { formatEndpoint } from '../../common/types.js';
+import { delay, waitUntilQuiet } from '../../common/drain.js';
+import { AdminServer, type Readiness } from '../../observability/admin-server.js';
 import { wireCookieDaemon, type CookieDaemonComponents, type CookieDaemonEnvironment } from './components.js';
 import { compareConfigs, type CookieDaemonConfig } from './config.js';
 import { COOKIE_DAEMON_EVENTS } from './events.js';
--- a/src/cookie-daemon/edge-gate.test.ts
+++ b/src/cookie-edge/daemon/edge-gate.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import { VirtualClock } from '../common/clock.js';
-import type { CookieEdgeHandler, CookiePacket } from '../fabric/cookie-edge.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { VirtualClock } from '../../common/clock.js';
+import type { CookieEdgeHandler, CookiePacket } from '../../fabric/cookie-edge.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { MAX_HELD_PACKETS, MAX_HELD_SYN_AFTER_READ_MS, MAX_HELD_SYN_MS } from './constants.js';
 import { EdgeGate } from './edge-gate.js';
 
--- a/src/cookie-daemon/edge-gate.ts
+++ b/src/cookie-edge/daemon/edge-gate.ts
@@ -3,11 +3,11 @@
  * ends are known. What comes meanwhile is held, since its caller would repeat it only much later; a SYN only for so long
  * that its caller cannot have sent a further copy, which another balancer may have placed elsewhere (`held-syn.ts`).
  */
-import type { Clock } from '../common/clock.js';
-import { ALL_MECHANISMS_ON, type MechanismCheck } from '../common/mechanisms.js';
-import type { CookieEdgeHandler, CookiePacket } from '../fabric/cookie-edge.js';
-import type { EdgeDropReason } from '../fabric/types.js';
-import type { EventLog } from '../observability/event.js';
+import type { Clock } from '../../common/clock.js';
+import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
+import type { CookieEdgeHandler, CookiePacket } from '../../fabric/cookie-edge.js';
+import type { EdgeDropReason } from '../../fabric/types.js';
+import type { EventLog } from '../../observability/event.js';
 import type { BoundCookieEdge } from './adapters.js';
 import { MAX_HELD_PACKETS } from './constants.js';
 import { COOKIE_DAEMON_EVENTS } from './events.js';
--- a/src/cookie-daemon/errors.ts
+++ b/src/cookie-edge/daemon/errors.ts
@@ -1,5 +1,5 @@
 /** Errors of a daemon on a cookie edge. */
-import { SailquayError } from '../common/types.js';
+import { SailquayError } from '../../common/types.js';
 
 export type CookieDaemonErrorKind = 'cookie-daemon.config-unreadable' | 'cookie-daemon.config-invalid';
 
--- a/src/cookie-daemon/events.ts
+++ b/src/cookie-edge/daemon/events.ts
@@ -1,5 +1,5 @@
 /** Events of the life of a daemon on a cookie edge (2100–2199). */
-import { defineEvents } from '../observability/event.js';
+import { defineEvents } from '../../observability/event.js';
 
 export const COOKIE_DAEMON_EVENTS = defineEvents({
   started: { number: 2100, level: 'info', message: 'Daemon started; its sockets are bound', action: 'none' },
--- a/src/cookie-daemon/run.ts
+++ b/src/cookie-edge/daemon/run.ts
@@ -1,11 +1,11 @@
 /** Runs a daemon on a cookie edge as the process: configuration, log, signals, uncaught errors and exit code. */
 import { statSync } from 'node:fs';
-import { SystemClock, type Clock } from '../common/clock.js';
-import { seededRandom } from '../common/random.js';
-import { SailquayError } from '../common/types.js';
-import type { EventLog } from '../observability/event.js';
-import { ConsolaEventLog } from '../observability/event-log.js';
-import { LineWriter } from '../observability/line-writer.js';
+import { SystemClock, type Clock } from '../../common/clock.js';
+import { seededRandom } from '../../common/random.js';
+import { SailquayError } from '../../common/types.js';
+import type { EventLog } from '../../observability/event.js';
+import { ConsolaEventLog } from '../../observability/event-log.js';
+import { LineWriter } from '../../observability/line-writer.js';
 import type { DeploymentAdapters } from './adapters.js';
 import { loadCookieDaemonConfig } from './config.js';
 import { CONFIG_POLL_MS } from './constants.js';
--- a/src/cookie-daemon/status.ts
+++ b/src/cookie-edge/daemon/status.ts
@@ -1,6 +1,6 @@
 /** What a daemon on a cookie edge shows of itself: status page, metrics and the numbers of its last log line. */
-import type { Readiness } from '../observability/admin-server.js';
-import type { MetricDefinition } from '../observability/metrics-page.js';
+import type { Readiness } from '../../observability/admin-server.js';
+import type { MetricDefinition } from '../../observability/metrics-page.js';
 import type { RoutingTopic } from '../routing/index.js';
 import type { CookieDaemonComponents } from './components.js';
 
@@ -72,7 +72,7 @@
   components: CookieDaemonComponents,
   readiness: Readiness,
 ): Promise<{ readonly contentType: string; readonly text: string }> {
-  const { MetricsPage, counter, gauge } = await import('../observability/metrics-page.js');
+  const { MetricsPage, counter, gauge } = await import('../../observability/metrics-page.js');
   type Parts = CookieDaemonComponents;
   const { handshake } = components.forwarder.statistics;
   const definitions: MetricDefinition<Parts>[] = [
--- a/src/flow/cookie/cookie-forwarder.test.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { backendAt, SERVICE_PORT } from '../../routing/routing-test-support.js';
+import { backendAt, SERVICE_PORT } from '../routing/routing-test-support.js';
 import { READS_A_TURN } from '../../common/pause-detector.js';
 import { LAPSED_RECORD_MS, TICK_MS } from './constants.js';
 import { backends, failOpenings, ForwarderHarness } from './cookie-test-support.js';
--- a/src/flow/cookie/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -8,7 +8,7 @@
 import type { RandomSource } from '../../common/random.js';
 import type { CookieEdgeHandler, CookieEdgePort, CookiePacket } from '../../fabric/cookie-edge.js';
 import type { EdgeDropReason } from '../../fabric/types.js';
-import type { LoadLevels } from '../../load/index.js';
+import type { LoadLevels } from '../load/index.js';
 import type { EventLog } from '../../observability/event.js';
 import {
   AnswerTracker,
@@ -16,24 +16,24 @@
   OutlierDetector,
   type OutlierOptions,
   type BadAnswerReport,
-} from '../../outliers/index.js';
-import type { KnownBackend, RoutingKnowledge } from '../../routing/index.js';
-import { BackendEligibility } from './backend-eligibility.js';
-import type { ConnectProbe } from './backend-prober.js';
-import { BackendStates } from './backend-states.js';
-import { ColdAdmission, type ColdAdmissionOptions } from './cold-admission.js';
+} from '../outliers/index.js';
+import type { KnownBackend, RoutingKnowledge } from '../routing/index.js';
+import { BackendEligibility } from '../placement/backend-eligibility.js';
+import type { ConnectProbe } from '../backend-health/backend-prober.js';
+import { BackendStates } from '../backend-health/backend-states.js';
+import { ColdAdmission, type ColdAdmissionOptions } from '../placement/cold-admission.js';
 import { CLOSING_MS, EXPIRY_INTERVAL_MS, OPENING_ANSWER_MS, TICK_MS } from './constants.js';
 import { CookieRegistry } from './cookie-registry.js';
 import { CookieStatistics } from './cookie-statistics.js';
-import { DeadBackends } from './dead-backends.js';
+import { DeadBackends } from '../backend-health/dead-backends.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 import { FlowCache } from './flow-cache.js';
 import { noteFailure, type ForwardingParts } from './forwarding-parts.js';
 import { MidFlowHandler } from './mid-flow-handler.js';
 import { OpeningHandler } from './opening-handler.js';
-import { OpeningPlacement } from './opening-placement.js';
+import { OpeningPlacement } from '../placement/opening-placement.js';
 import { PendingOpenings } from './pending-openings.js';
-import { TrafficSplitter } from './traffic-splitter.js';
+import { TrafficSplitter } from '../placement/traffic-splitter.js';
 
 /** What a cookie forwarder needs. */
 export interface CookieForwarderOptions {
--- a/src/flow/cookie/cookie-parts.test.ts
+++ b/src/cookie-edge/forwarding/cookie-parts.test.ts
@@ -3,14 +3,14 @@
 import { hashString } from '../../common/hash.js';
 import { seededRandom } from '../../common/random.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
-import { BackendRegistry, type KnownBackend, type Route } from '../../routing/index.js';
-import { backendAt, SERVICE_ADDRESS } from '../../routing/routing-test-support.js';
-import { DEFAULT_ZONE_LOAD_FACTOR, DEFAULT_ZONE_MARGIN } from '../../cookie-daemon/constants.js';
-import { BackendState } from './backend-state.js';
+import { BackendRegistry, type KnownBackend, type Route } from '../routing/index.js';
+import { backendAt, SERVICE_ADDRESS } from '../routing/routing-test-support.js';
+import { DEFAULT_ZONE_LOAD_FACTOR, DEFAULT_ZONE_MARGIN } from '../daemon/constants.js';
+import { BackendState } from '../backend-health/backend-state.js';
 import { CookieRegistry } from './cookie-registry.js';
 import { placementQuestion } from './cookie-test-support.js';
-import { OpeningPlacement } from './opening-placement.js';
-import { TrafficSplitter } from './traffic-splitter.js';
+import { OpeningPlacement } from '../placement/opening-placement.js';
+import { TrafficSplitter } from '../placement/traffic-splitter.js';
 
 /** Known back ends with these ids, recorded in this order. */
 function known(...ids: string[]): KnownBackend[] {
--- a/src/flow/cookie/cookie-registry.ts
+++ b/src/cookie-edge/forwarding/cookie-registry.ts
@@ -3,7 +3,7 @@
  * two ids have the same hash, the back end that was recorded later takes a second hash; both are understood.
  */
 import { hashString } from '../../common/hash.js';
-import type { KnownBackend } from '../../routing/index.js';
+import type { KnownBackend } from '../routing/index.js';
 
 /** Put before the id for the second hash. Behind it, ids with equal hashes would have equal second hashes as well. */
 const SECOND_PREFIX = '2:';
--- a/src/flow/cookie/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -7,25 +7,25 @@
 import type { Endpoint } from '../../common/types.js';
 import type { CookieEdgePort, CookiePacket, ResetTarget } from '../../fabric/cookie-edge.js';
 import type { EventDefinition, EventFields } from '../../observability/event.js';
-import type { BadAnswerReport } from '../../outliers/index.js';
+import type { BadAnswerReport } from '../outliers/index.js';
 import {
   RoutingKnowledge,
   type KnownBackend,
   type RoutedBackend,
   type RouteTable,
-} from '../../routing/index.js';
+} from '../routing/index.js';
 import {
   backendAt,
   SERVICE_ADDRESS,
   SERVICE_PORT,
   tableAt,
   updateAt,
-} from '../../routing/routing-test-support.js';
-import type { BackendState } from './backend-state.js';
+} from '../routing/routing-test-support.js';
+import type { BackendState } from '../backend-health/backend-state.js';
 import { TICK_MS } from './constants.js';
 import { CookieForwarder } from './cookie-forwarder.js';
-import type { ConnectProbe } from './backend-prober.js';
-import type { PlacementQuestion } from './opening-placement.js';
+import type { ConnectProbe } from '../backend-health/backend-prober.js';
+import type { PlacementQuestion } from '../placement/opening-placement.js';
 
 /** What the edge was asked to send. */
 export interface SentPacket {
--- a/src/flow/cookie/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -3,9 +3,9 @@
  * SYN from new ones, counts open flows, and lets a flow's packets be compared with its earlier ones.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
-import type { OutstandingRequest } from '../../outliers/index.js';
-import { addressKey } from '../../routing/index.js';
-import type { BackendState } from './backend-state.js';
+import type { OutstandingRequest } from '../outliers/index.js';
+import { addressKey } from '../routing/index.js';
+import type { BackendState } from '../backend-health/backend-state.js';
 
 /** opening: nothing but SYNs yet. open: the caller went on. closing: the caller closed or reset it. */
 export type FlowPhase = 'opening' | 'open' | 'closing';
--- a/src/flow/cookie/forwarding-parts.ts
+++ b/src/cookie-edge/forwarding/forwarding-parts.ts
@@ -2,9 +2,9 @@
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { CookieEdgePort, ResetTarget } from '../../fabric/cookie-edge.js';
 import type { EventLog } from '../../observability/event.js';
-import type { AnswerTracker } from '../../outliers/index.js';
-import { splitAddressKey, type KnownBackend, type RoutingKnowledge } from '../../routing/index.js';
-import type { BackendStates } from './backend-states.js';
+import type { AnswerTracker } from '../outliers/index.js';
+import { splitAddressKey, type KnownBackend, type RoutingKnowledge } from '../routing/index.js';
+import type { BackendStates } from '../backend-health/backend-states.js';
 import type { CookieRegistry } from './cookie-registry.js';
 import type { CookieStatistics } from './cookie-statistics.js';
 import type { Flow, FlowCache } from './flow-cache.js';
--- a/src/flow/cookie/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -3,9 +3,9 @@
  * repeats tells whether that back end lives.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
-import type { KnownBackend } from '../../routing/index.js';
+import type { KnownBackend } from '../routing/index.js';
 import { REPETITION_MIN_MS } from './constants.js';
-import type { BackendState } from './backend-state.js';
+import type { BackendState } from '../backend-health/backend-state.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 import type { Flow } from './flow-cache.js';
 import { formatFlowId } from './flow-id.js';
--- a/src/flow/cookie/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -5,16 +5,16 @@
 import { combine32 } from '../../common/hash.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
-import type { OutlierDetector } from '../../outliers/index.js';
-import type { Route } from '../../routing/index.js';
-import type { BackendEligibility } from './backend-eligibility.js';
-import type { ColdAdmission } from './cold-admission.js';
+import type { OutlierDetector } from '../outliers/index.js';
+import type { Route } from '../routing/index.js';
+import type { BackendEligibility } from '../placement/backend-eligibility.js';
+import type { ColdAdmission } from '../placement/cold-admission.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 import type { Flow } from './flow-cache.js';
 import { formatFlowId } from './flow-id.js';
 import { forwardTo, noteFailure, type ForwardingParts } from './forwarding-parts.js';
-import type { OpeningPlacement, Placement } from './opening-placement.js';
-import type { TrafficSplitter } from './traffic-splitter.js';
+import type { OpeningPlacement, Placement } from '../placement/opening-placement.js';
+import type { TrafficSplitter } from '../placement/traffic-splitter.js';
 
 /** What decides about openings, beside the shared parts. */
 export interface OpeningHandlerOptions {
--- a/src/load/call-rates.ts
+++ b/src/cookie-edge/load/call-rates.ts
@@ -1,5 +1,5 @@
 /** Rates of calls, from counts that back ends write to the source about once a second. */
-import { hashString } from '../common/hash.js';
+import { hashString } from '../../common/hash.js';
 import { BUSY_LEVEL, MAX_REPORTED, RATE_SHARE, TAG_MASK } from './constants.js';
 import type { BackendCallCount, BusyBackend } from './types.js';
 
--- a/src/load/events.ts
+++ b/src/cookie-edge/load/events.ts
@@ -1,5 +1,5 @@
 /** Log events of load reports (2300–2399). */
-import { defineEvents } from '../observability/event.js';
+import { defineEvents } from '../../observability/event.js';
 
 export const LOAD_EVENTS = defineEvents({
   pageRead: {
--- a/src/load/load-reader.ts
+++ b/src/cookie-edge/load/load-reader.ts
@@ -2,9 +2,9 @@
  * The task in which a reader of the source finds the busy back ends: it reads one page of call counts at a time, which may be
  * some seconds old, and reports that page. A failed call is logged and not retried: the next one follows in 2 s.
  */
-import type { Clock } from '../common/clock.js';
-import { pause } from '../common/pause.js';
-import type { EventLog } from '../observability/event.js';
+import type { Clock } from '../../common/clock.js';
+import { pause } from '../../common/pause.js';
+import type { EventLog } from '../../observability/event.js';
 import { CallRates } from './call-rates.js';
 import { LOAD_READ_INTERVAL_MS, VALID_READINGS } from './constants.js';
 import { LOAD_EVENTS } from './events.js';
--- a/src/load/load.test.ts
+++ b/src/cookie-edge/load/load.test.ts
@@ -1,9 +1,9 @@
 /** Load reports: rates from counts, the task that reads them, and what placement is told. */
 import test from 'ava';
 import Result from 'true-myth/result';
-import { VirtualClock } from '../common/clock.js';
-import { hashString } from '../common/hash.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { VirtualClock } from '../../common/clock.js';
+import { hashString } from '../../common/hash.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { RoutingSourceError } from '../routing/index.js';
 import { CallRates } from './call-rates.js';
 import { LOAD_READ_INTERVAL_MS, LOAD_STEP_MS, MAX_REPORTED, TAG_MASK } from './constants.js';
--- a/src/outliers/answer-tracker.ts
+++ b/src/cookie-edge/outliers/answer-tracker.ts
@@ -4,7 +4,7 @@
  * acknowledged first are all of a short answer. Tells each bad answer: one that is unusually late for its route, as soon as it is, whether
  * it comes later or not; and one much shorter than the route's answers are, as errors are.
  */
-import { LatencyHistogram } from '../observability/latency-histogram.js';
+import { LatencyHistogram } from '../../observability/latency-histogram.js';
 import { MAX_OUTSTANDING, MAX_ROUTES } from './constants.js';
 import type { BadAnswer, OutstandingRequest } from './types.js';
 import { UsualAnswers } from './usual-answers.js';
--- a/src/outliers/events.ts
+++ b/src/cookie-edge/outliers/events.ts
@@ -1,5 +1,5 @@
 /** Log events of outlier detection (2400–2499). */
-import { defineEvents } from '../observability/event.js';
+import { defineEvents } from '../../observability/event.js';
 
 export const OUTLIER_EVENTS = defineEvents({
   avoided: {
--- a/src/outliers/outlier-detector.test.ts
+++ b/src/cookie-edge/outliers/outlier-detector.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { SILENT_EVENT_LOG, type EventDefinition } from '../observability/event.js';
+import { SILENT_EVENT_LOG, type EventDefinition } from '../../observability/event.js';
 import {
   AVOID_MIN_MS,
   DEFAULT_OUTLIER_OPTIONS,
--- a/src/outliers/outlier-detector.ts
+++ b/src/cookie-edge/outliers/outlier-detector.ts
@@ -3,8 +3,8 @@
  * back end to tell; so daemons gossip their bad answers, and each decides for itself by what it knows of the whole fleet. Nothing is
  * agreed and nothing kept: reports expire after seconds, and a daemon without any treats all back ends alike.
  */
-import { combine32 } from '../common/hash.js';
-import type { EventLog } from '../observability/event.js';
+import { combine32 } from '../../common/hash.js';
+import type { EventLog } from '../../observability/event.js';
 import {
   MAX_REPORTED_SHARE,
   MIN_BACKENDS,
--- a/src/flow/cookie/backend-eligibility.test.ts
+++ b/src/cookie-edge/placement/backend-eligibility.test.ts
@@ -2,10 +2,15 @@
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { seededRandom } from '../../common/random.js';
-import type { RoutedBackend } from '../../routing/index.js';
-import { backendAt, SERVICE_ADDRESS, SERVICE_PORT } from '../../routing/routing-test-support.js';
+import type { RoutedBackend } from '../routing/index.js';
+import { backendAt, SERVICE_ADDRESS, SERVICE_PORT } from '../routing/routing-test-support.js';
 import { ColdAdmission } from './cold-admission.js';
-import { backends, failOpenings, ForwarderHarness, type HarnessSurroundings } from './cookie-test-support.js';
+import {
+  backends,
+  failOpenings,
+  ForwarderHarness,
+  type HarnessSurroundings,
+} from '../forwarding/cookie-test-support.js';
 
 const COLD_MS = 2_000;
 
--- a/src/flow/cookie/backend-eligibility.ts
+++ b/src/cookie-edge/placement/backend-eligibility.ts
@@ -1,5 +1,5 @@
 /** Which back ends may get a new flow of a route at all, whatever their load and health: neither may be traded for these rules. */
-import type { KnownBackend, Route, RoutingKnowledge } from '../../routing/index.js';
+import type { KnownBackend, Route, RoutingKnowledge } from '../routing/index.js';
 import type { ColdAdmission } from './cold-admission.js';
 
 /** Why a back end may not get a new flow. `cold`: its share of openings while it is slow from its start is used up. */
--- a/src/flow/cookie/cold-admission.ts
+++ b/src/cookie-edge/placement/cold-admission.ts
@@ -3,8 +3,8 @@
  * assigned to a few balancers by rendezvous hashing; only these send it flows, each at its part of the rate, evenly spaced. No
  * balancer needs to hear what the others sent, and after a whole zone came back nobody rushes to its empty back ends.
  */
-import type { KnownBackend } from '../../routing/index.js';
-import { COLD_OWNERS, COLD_VIEWS } from './constants.js';
+import type { KnownBackend } from '../routing/index.js';
+import { COLD_OWNERS, COLD_VIEWS } from '../forwarding/constants.js';
 
 /** What the admission looks at. */
 export interface ColdAdmissionOptions {
--- a/src/flow/cookie/load-balance.test.ts
+++ b/src/cookie-edge/placement/load-balance.test.ts
@@ -5,14 +5,14 @@
 import test from 'ava';
 import { seededRandom, type RandomSource } from '../../common/random.js';
 import { VirtualClock } from '../../common/clock.js';
-import { CallRates } from '../../load/call-rates.js';
-import { LOAD_READ_INTERVAL_MS, VALID_READINGS } from '../../load/constants.js';
-import { LoadView } from '../../load/index.js';
+import { CallRates } from '../load/call-rates.js';
+import { LOAD_READ_INTERVAL_MS, VALID_READINGS } from '../load/constants.js';
+import { LoadView } from '../load/index.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
-import { BackendRegistry, type KnownBackend } from '../../routing/index.js';
-import { backendAt } from '../../routing/routing-test-support.js';
-import { BackendState } from './backend-state.js';
-import { placementQuestion } from './cookie-test-support.js';
+import { BackendRegistry, type KnownBackend } from '../routing/index.js';
+import { backendAt } from '../routing/routing-test-support.js';
+import { BackendState } from '../backend-health/backend-state.js';
+import { placementQuestion } from '../forwarding/cookie-test-support.js';
 import { OpeningPlacement } from './opening-placement.js';
 
 const BALANCERS = 195;
--- a/src/flow/cookie/opening-placement.ts
+++ b/src/cookie-edge/placement/opening-placement.ts
@@ -5,17 +5,17 @@
  */
 import { combine32 } from '../../common/hash.js';
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
-import type { LoadLevels } from '../../load/index.js';
-import type { KnownBackend } from '../../routing/index.js';
+import type { LoadLevels } from '../load/index.js';
+import type { KnownBackend } from '../routing/index.js';
 import type { Exclusion } from './backend-eligibility.js';
-import type { BackendState, Liveness } from './backend-state.js';
+import type { BackendState, Liveness } from '../backend-health/backend-state.js';
 import {
   COLD_CAPACITY_SHARE,
   LAPSED_RECORD_MS,
   LOAD_CHOICES,
   LOAD_MAX_OWN_SHARE,
   MAX_EJECTED_SHARE,
-} from './constants.js';
+} from '../forwarding/constants.js';
 
 /** What a choice looks at. */
 export interface PlacementQuestion {
--- a/src/flow/cookie/traffic-splitter.ts
+++ b/src/cookie-edge/placement/traffic-splitter.ts
@@ -1,7 +1,7 @@
 /** Deals the new flows of a route to its services by weight, so that short runs keep to the weights as well. */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { RandomSource } from '../../common/random.js';
-import type { Route, RouteTarget } from '../../routing/index.js';
+import type { Route, RouteTarget } from '../routing/index.js';
 
 /** What one target is still owed, in flows. */
 interface TargetCredit {
--- a/src/routing/backend-registry.ts
+++ b/src/cookie-edge/routing/backend-registry.ts
@@ -3,9 +3,9 @@
  * the one with the higher revision wins, a removal before a record of the same revision. A back end that left is
  * remembered until no flow to it can be open.
  */
-import type { Clock } from '../common/clock.js';
-import type { EventLog } from '../observability/event.js';
-import { formatEndpoint } from '../common/types.js';
+import type { Clock } from '../../common/clock.js';
+import type { EventLog } from '../../observability/event.js';
+import { formatEndpoint } from '../../common/types.js';
 import { ROUTING_EVENTS } from './events.js';
 import type { BackendRemoval, DepartedBackend, RoutedBackend } from './types.js';
 
--- a/src/routing/errors.ts
+++ b/src/cookie-edge/routing/errors.ts
@@ -1,5 +1,5 @@
 /** Why a call to a routing source failed. */
-import { SailquayError } from '../common/types.js';
+import { SailquayError } from '../../common/types.js';
 
 /**
  * `unavailable`: no connection, or the source says that it did nothing. `timeout`: no answer in time.
--- a/src/routing/events.ts
+++ b/src/cookie-edge/routing/events.ts
@@ -1,5 +1,5 @@
 /** Log events of routes and back ends (2000–2099). */
-import { defineEvents } from '../observability/event.js';
+import { defineEvents } from '../../observability/event.js';
 
 export const ROUTING_EVENTS = defineEvents({
   routesInForce: {
--- a/src/routing/knowledge.test.ts
+++ b/src/cookie-edge/routing/knowledge.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import fc from 'fast-check';
-import { VirtualClock } from '../common/clock.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { VirtualClock } from '../../common/clock.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { RoutingKnowledge, type UpdateOrigin } from './knowledge.js';
 import { backendAt, SERVICE_ADDRESS, SERVICE_PORT, tableAt, updateAt } from './routing-test-support.js';
 import type { RoutedBackend, RoutingUpdate } from './types.js';
--- a/src/routing/knowledge.ts
+++ b/src/cookie-edge/routing/knowledge.ts
@@ -1,7 +1,7 @@
 /** What this balancer knows of routes, back ends and cordoned zones, how far it is complete, and when that was last confirmed. */
-import type { Clock } from '../common/clock.js';
-import { Subject } from '../common/event-stream.js';
-import type { EventLog } from '../observability/event.js';
+import type { Clock } from '../../common/clock.js';
+import { Subject } from '../../common/event-stream.js';
+import type { EventLog } from '../../observability/event.js';
 import { BackendRegistry } from './backend-registry.js';
 import { ROUTING_EVENTS } from './events.js';
 import { RouteIndex } from './route-index.js';
--- a/src/routing/problem-log.ts
+++ b/src/cookie-edge/routing/problem-log.ts
@@ -1,5 +1,5 @@
 /** Logs what is wrong with records of the source, each once for a revision of the record, and counts it. */
-import type { EventLog } from '../observability/event.js';
+import type { EventLog } from '../../observability/event.js';
 import { ROUTING_EVENTS } from './events.js';
 import type { RecordProblem, RoutingTopic } from './types.js';
 
--- a/src/routing/route-table-change.ts
+++ b/src/cookie-edge/routing/route-table-change.ts
@@ -1,5 +1,5 @@
 /** What differs between two route tables, so that a change of few routes travels as few routes. */
-import { combine32, hashString } from '../common/hash.js';
+import { combine32, hashString } from '../../common/hash.js';
 import type { Route, RouteTable, RouteTableChange } from './types.js';
 
 /** The change that leads from one table to a later one. */
--- a/src/routing/routing-test-support.ts
+++ b/src/cookie-edge/routing/routing-test-support.ts
@@ -1,7 +1,7 @@
 /** Routes, back ends and a scripted source for tests. */
 import Result from 'true-myth/result';
-import { hashString } from '../common/hash.js';
-import type { Endpoint } from '../common/types.js';
+import { hashString } from '../../common/hash.js';
+import type { Endpoint } from '../../common/types.js';
 import { RoutingSourceError, type RoutingSourceErrorKind } from './errors.js';
 import type {
   ReadFreshness,
--- a/src/routing/source-circuit.test.ts
+++ b/src/cookie-edge/routing/source-circuit.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import { VirtualClock } from '../common/clock.js';
-import { seededRandom } from '../common/random.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { VirtualClock } from '../../common/clock.js';
+import { seededRandom } from '../../common/random.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { LAPSE_AFTER_OUTAGE_MS, OUTAGE_AFTER_MS, RETRY_MAX_MS, RETRY_MIN_MS } from './constants.js';
 import { RoutingSourceError } from './errors.js';
 import { SourceCircuit } from './source-circuit.js';
--- a/src/routing/source-circuit.ts
+++ b/src/cookie-edge/routing/source-circuit.ts
@@ -1,7 +1,7 @@
 /** Whether the source answers, as all calls of this balancer see it together. */
-import type { Clock } from '../common/clock.js';
-import { jitter, type RandomSource } from '../common/random.js';
-import type { EventLog } from '../observability/event.js';
+import type { Clock } from '../../common/clock.js';
+import { jitter, type RandomSource } from '../../common/random.js';
+import type { EventLog } from '../../observability/event.js';
 import {
   LAPSE_AFTER_OUTAGE_MS,
   OUTAGE_AFTER_MS,
--- a/src/routing/source-follower.test.ts
+++ b/src/cookie-edge/routing/source-follower.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import { VirtualClock } from '../common/clock.js';
-import { seededRandom } from '../common/random.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { VirtualClock } from '../../common/clock.js';
+import { seededRandom } from '../../common/random.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { CHANGE_GATHER_MS, FIRST_WATCH_WAIT_MS, RETRY_MAX_MS } from './constants.js';
 import type { RoutingSourceErrorKind } from './errors.js';
 import { freshnessTimings } from './freshness.js';
--- a/src/routing/source-follower.ts
+++ b/src/cookie-edge/routing/source-follower.ts
@@ -2,8 +2,8 @@
  * One task that follows one topic of the source. A start needs one reading of everything, which may be seconds old; who
  * follows the source then watches for changes, and reads everything anew after a gap.
  */
-import type { Clock, TimerHandle } from '../common/clock.js';
-import { pause } from '../common/pause.js';
+import type { Clock, TimerHandle } from '../../common/clock.js';
+import { pause } from '../../common/pause.js';
 import { CHANGE_GATHER_MS, CONFIRM_CHECK_MS, FIRST_WATCH_WAIT_MS, LONG_WATCH_START_MS } from './constants.js';
 import { RoutingSourceError } from './errors.js';
 import type { FreshnessTimings } from './freshness.js';
--- a/src/routing/types.ts
+++ b/src/cookie-edge/routing/types.ts
@@ -3,7 +3,7 @@
  * comes from a `RoutingSource` or from other balancers that read it there; the source's revisions order everything.
  */
 import type Result from 'true-myth/result';
-import type { Endpoint } from '../common/types.js';
+import type { Endpoint } from '../../common/types.js';
 import type { RoutingSourceError } from './errors.js';
 
 /** One part of a route's traffic. */
--- a/src/routing/zone-cordons.test.ts
+++ b/src/cookie-edge/routing/zone-cordons.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import fc from 'fast-check';
-import { VirtualClock } from '../common/clock.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { VirtualClock } from '../../common/clock.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { RoutingKnowledge } from './knowledge.js';
 import { backendAt, tableAt, updateAt } from './routing-test-support.js';
 import type { RoutingUpdate } from './types.js';
--- a/src/routing/zone-cordons.ts
+++ b/src/cookie-edge/routing/zone-cordons.ts
@@ -2,7 +2,7 @@
  * Zones that an operator has cordoned: back ends there get no new flows, open flows stay. Records and removals may come from
  * several sides and in any order; the one with the higher revision wins, a removal before a record of the same revision.
  */
-import type { EventLog } from '../observability/event.js';
+import type { EventLog } from '../../observability/event.js';
 import { ROUTING_EVENTS } from './events.js';
 import type { CordonRemoval, ZoneCordon } from './types.js';
 
--- a/src/spreading/catch-up.ts
+++ b/src/cookie-edge/spreading/catch-up.ts
@@ -2,10 +2,10 @@
  * Gets what this daemon lacks and a peer has: by a question that the peer's log answers in a datagram, or by fetching it over a
  * connection, from the own zone first.
  */
-import type { Clock, TimerHandle } from '../common/clock.js';
-import type { RandomSource } from '../common/random.js';
-import { formatEndpoint, type Endpoint } from '../common/types.js';
-import type { EventLog } from '../observability/event.js';
+import type { Clock, TimerHandle } from '../../common/clock.js';
+import type { RandomSource } from '../../common/random.js';
+import { formatEndpoint, type Endpoint } from '../../common/types.js';
+import type { EventLog } from '../../observability/event.js';
 import type { RoutingKnowledge, RoutingTopic } from '../routing/index.js';
 import {
   ANSWER_WAIT_MS,
--- a/src/spreading/errors.ts
+++ b/src/cookie-edge/spreading/errors.ts
@@ -1,5 +1,5 @@
 /** Errors of spreading knowledge between daemons. */
-import { formatEndpoint, SailquayError, type Endpoint } from '../common/types.js';
+import { formatEndpoint, SailquayError, type Endpoint } from '../../common/types.js';
 
 export type SpreadingErrorKind = 'spreading.bind' | 'spreading.fetch';
 
--- a/src/spreading/events.ts
+++ b/src/cookie-edge/spreading/events.ts
@@ -1,5 +1,5 @@
 /** Log events of gossip between daemons (2200–2299). */
-import { defineEvents } from '../observability/event.js';
+import { defineEvents } from '../../observability/event.js';
 
 export const SPREADING_EVENTS = defineEvents({
   reading: {
--- a/src/spreading/fleet-size.ts
+++ b/src/cookie-edge/spreading/fleet-size.ts
@@ -3,8 +3,8 @@
  * remember the same few: those whose addresses have the smallest hashes. The smaller the k-th smallest hash, the more daemons
  * there are.
  */
-import { combine32, hashString } from '../common/hash.js';
-import { formatEndpoint, type Endpoint } from '../common/types.js';
+import { combine32, hashString } from '../../common/hash.js';
+import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import { SIZE_SAMPLE, SIZE_SAMPLE_FORGET_MS } from './constants.js';
 import type { Peer } from './types.js';
 
--- a/src/spreading/message-codec.ts
+++ b/src/cookie-edge/spreading/message-codec.ts
@@ -1,6 +1,6 @@
 /** Encodes and decodes messages between daemons. Ages travel, clocks do not. */
-import type { Endpoint } from '../common/types.js';
-import { formatIpv4, parseIpv4 } from '../fabric/ipv4-address.js';
+import type { Endpoint } from '../../common/types.js';
+import { formatIpv4, parseIpv4 } from '../../fabric/ipv4-address.js';
 import type { LoadReport } from '../load/index.js';
 import type {
   Route,
--- a/src/spreading/message-composer.ts
+++ b/src/cookie-edge/spreading/message-composer.ts
@@ -1,5 +1,5 @@
 /** Composes gossip messages: revisions and their freshness, changes, readers of the source, peers, suspected and busy back ends. */
-import type { Clock } from '../common/clock.js';
+import type { Clock } from '../../common/clock.js';
 import type { LoadReport } from '../load/index.js';
 import type { RoutingKnowledge, RoutingTopic, TopicConfirmation } from '../routing/index.js';
 import { LOADS_A_MESSAGE, NOTHING_KNOWN, PEERS_A_MESSAGE, READERS_A_MESSAGE } from './constants.js';
--- a/src/spreading/network-transport.ts
+++ b/src/cookie-edge/spreading/network-transport.ts
@@ -2,9 +2,9 @@
 import { createSocket, type Socket } from 'node:dgram';
 import { createServer, get as httpGet, type IncomingMessage, type Server } from 'node:http';
 import Result from 'true-myth/result';
-import { numericLookup } from '../common/numeric-lookup.js';
-import type { Endpoint } from '../common/types.js';
-import type { EventLog } from '../observability/event.js';
+import { numericLookup } from '../../common/numeric-lookup.js';
+import type { Endpoint } from '../../common/types.js';
+import type { EventLog } from '../../observability/event.js';
 import { FETCH_TIMEOUT_MS, NOTHING_KNOWN } from './constants.js';
 import { bindError, fetchError, type SpreadingError } from './errors.js';
 import { SPREADING_EVENTS } from './events.js';
--- a/src/spreading/owners.test.ts
+++ b/src/cookie-edge/spreading/owners.test.ts
@@ -1,8 +1,8 @@
 /** Which daemons own a key: those that know the same peers agree. */
 import test from 'ava';
-import { seededRandom } from '../common/random.js';
-import type { Endpoint } from '../common/types.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { seededRandom } from '../../common/random.js';
+import type { Endpoint } from '../../common/types.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { PeerView } from './peer-view.js';
 
 const OWNERS = 2;
--- a/src/spreading/peer-view.test.ts
+++ b/src/cookie-edge/spreading/peer-view.test.ts
@@ -1,7 +1,7 @@
 /** The view of the peers, and the estimate of the fleet's size where not all of them are remembered. */
 import test from 'ava';
-import { seededRandom } from '../common/random.js';
-import type { Endpoint } from '../common/types.js';
+import { seededRandom } from '../../common/random.js';
+import type { Endpoint } from '../../common/types.js';
 import { askIntervalMs } from './asking-order.js';
 import {
   ASKS_A_SECOND,
--- a/src/spreading/peer-view.ts
+++ b/src/cookie-edge/spreading/peer-view.ts
@@ -1,8 +1,8 @@
 /** The peers that this daemon knows: all of them in a small fleet, a random part in a large one, and how many there are. */
-import { combine32, hashString } from '../common/hash.js';
-import { pick, type RandomSource } from '../common/random.js';
-import { formatEndpoint, type Endpoint } from '../common/types.js';
-import type { EventLog } from '../observability/event.js';
+import { combine32, hashString } from '../../common/hash.js';
+import { pick, type RandomSource } from '../../common/random.js';
+import { formatEndpoint, type Endpoint } from '../../common/types.js';
+import type { EventLog } from '../../observability/event.js';
 import { ALONE_AFTER_MS, MAX_PEERS, PEER_FORGET_MS, SIZE_SAMPLE } from './constants.js';
 import { SPREADING_EVENTS } from './events.js';
 import { FleetSizeSketch, hashOfDaemon } from './fleet-size.js';
--- a/src/spreading/reader-role.ts
+++ b/src/cookie-edge/spreading/reader-role.ts
@@ -5,9 +5,9 @@
  * watches in any case. Extra readers only cost calls, so no agreement is needed. A daemon that has just started listens
  * first whether there are readers.
  */
-import { hashString } from '../common/hash.js';
-import type { MechanismCheck } from '../common/mechanisms.js';
-import type { RandomSource } from '../common/random.js';
+import { hashString } from '../../common/hash.js';
+import type { MechanismCheck } from '../../common/mechanisms.js';
+import type { RandomSource } from '../../common/random.js';
 import type { FreshnessTimings } from '../routing/index.js';
 import { askDelayMs } from './asking-order.js';
 import {
--- a/src/spreading/simulated-peer-network.ts
+++ b/src/cookie-edge/spreading/simulated-peer-network.ts
@@ -1,8 +1,8 @@
 /** A network between daemons on a virtual clock, for tests: delays, losses and cuts. */
 import Result from 'true-myth/result';
-import type { Clock } from '../common/clock.js';
-import type { RandomSource } from '../common/random.js';
-import { formatEndpoint, type Endpoint } from '../common/types.js';
+import type { Clock } from '../../common/clock.js';
+import type { RandomSource } from '../../common/random.js';
+import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import { fetchError, type SpreadingError } from './errors.js';
 import type { DatagramReceiver, KnownRevisions, PeerTransport, StateProvider } from './types.js';
 
--- a/src/spreading/simulated-source.ts
+++ b/src/cookie-edge/spreading/simulated-source.ts
@@ -1,6 +1,6 @@
 /** A source of routes, back ends and cordons on a virtual clock, for tests: one counter of revisions, watches, and faults. */
 import Result from 'true-myth/result';
-import type { Clock } from '../common/clock.js';
+import type { Clock } from '../../common/clock.js';
 import {
   RoutingSourceError,
   type RoutedBackend,
--- a/src/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -2,13 +2,13 @@
  * Gossip between daemons: the few that watch the source push changes and freshness confirmations to some peers, which pass
  * them on. A daemon that lags pulls what it lacks, and one without a confirmation for too long watches the source itself.
  */
-import type { Clock, TimerHandle } from '../common/clock.js';
-import { ALL_MECHANISMS_ON, type MechanismCheck } from '../common/mechanisms.js';
-import { jitter, pick, type RandomSource } from '../common/random.js';
-import { formatEndpoint, type Endpoint } from '../common/types.js';
+import type { Clock, TimerHandle } from '../../common/clock.js';
+import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
+import { jitter, pick, type RandomSource } from '../../common/random.js';
+import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import type { LoadReport } from '../load/index.js';
 import type { BadAnswerReport } from '../outliers/index.js';
-import type { EventLog } from '../observability/event.js';
+import type { EventLog } from '../../observability/event.js';
 import type { FreshnessTimings, RoutingKnowledge } from '../routing/index.js';
 import { askIntervalMs } from './asking-order.js';
 import { CatchUp } from './catch-up.js';
--- a/src/spreading/spreading-test-support.ts
+++ b/src/cookie-edge/spreading/spreading-test-support.ts
@@ -1,9 +1,9 @@
 /** Daemons that spread knowledge on a virtual clock: a simulated source, a simulated network, and their faults. */
-import { VirtualClock } from '../common/clock.js';
-import { seededRandom } from '../common/random.js';
-import { formatEndpoint, type Endpoint } from '../common/types.js';
+import { VirtualClock } from '../../common/clock.js';
+import { seededRandom } from '../../common/random.js';
+import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import { LoadView } from '../load/index.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import {
   freshnessTimings,
   ProblemLog,
--- a/src/spreading/table-consistency.test.ts
+++ b/src/cookie-edge/spreading/table-consistency.test.ts
@@ -1,8 +1,8 @@
 /** Whatever the order and joining of changes, the table under a revision is the source's table of that revision. */
 import test from 'ava';
 import fc from 'fast-check';
-import { VirtualClock } from '../common/clock.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { VirtualClock } from '../../common/clock.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { RoutingKnowledge, type Route, type RouteTable } from '../routing/index.js';
 import { tableAt, updateAt } from '../routing/routing-test-support.js';
 import { completeUpdate, UpdateLog } from './update-log.js';
--- a/src/spreading/types.ts
+++ b/src/cookie-edge/spreading/types.ts
@@ -1,6 +1,6 @@
 /** Messages between daemons and how they travel. */
 import type Result from 'true-myth/result';
-import type { Endpoint } from '../common/types.js';
+import type { Endpoint } from '../../common/types.js';
 import type { LoadReport } from '../load/index.js';
 import type { BadAnswerReport } from '../outliers/index.js';
 import type { RoutingTopic, RoutingUpdate, TopicConfirmation } from '../routing/index.js';
--- a/src/spreading/update-log.ts
+++ b/src/cookie-edge/spreading/update-log.ts
@@ -1,5 +1,5 @@
 /** Recent changes, so that a daemon that lags a little gets them instead of everything. */
-import { ALL_MECHANISMS_ON, type MechanismCheck } from '../common/mechanisms.js';
+import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import {
   isNextChange,
   joinTableChanges,
--- a/src/spreading/update-sender.ts
+++ b/src/cookie-edge/spreading/update-sender.ts
@@ -1,7 +1,7 @@
 /** Sends updates to some peers: changes at once, those that follow closely together, and confirmations a moment after they came. */
-import type { Clock, TimerHandle } from '../common/clock.js';
-import type { MechanismCheck } from '../common/mechanisms.js';
-import type { Endpoint } from '../common/types.js';
+import type { Clock, TimerHandle } from '../../common/clock.js';
+import type { MechanismCheck } from '../../common/mechanisms.js';
+import type { Endpoint } from '../../common/types.js';
 import type { AppliedUpdate, RoutingKnowledge } from '../routing/index.js';
 import {
   CHANGE_GATHER_MS,
--- a/src/experiment/balance-command.ts
+++ b/src/experiment/balance-command.ts
@@ -1,7 +1,7 @@
 /** `experiment run balance-simulation`: placement policies beside each other in a deterministic simulation. */
 import { writeFileSync } from 'node:fs';
 import type { Command } from 'commander';
-import type { BalanceTableRow } from '../placement/balance-table.js';
+import type { BalanceTableRow } from '../gue-edge/placement/balance-table.js';
 
 const DEFAULT_SEEDS = '1,2,3';
 
@@ -22,7 +22,7 @@
 }
 
 async function simulate(flags: BalanceFlags): Promise<void> {
-  const { runBalanceTable } = await import('../placement/balance-table.js');
+  const { runBalanceTable } = await import('../gue-edge/placement/balance-table.js');
   const rows = runBalanceTable({ seeds: flags.seeds.split(',').map(Number) });
   const report = JSON.stringify({ scenario: 'balance-simulation', rows }, null, 1);
   if (flags.out) writeFileSync(flags.out, `${report}\n`);
--- a/src/experiment/balancer-fleet.ts
+++ b/src/experiment/balancer-fleet.ts
@@ -1,6 +1,6 @@
 /** The balancers of a run as processes: started, stopped, killed, paused, replaced; and the fabric's list of them. */
 import { formatEndpoint, type Endpoint } from '../common/types.js';
-import type { PlacementMode } from '../placement/types.js';
+import type { PlacementMode } from '../gue-edge/placement/types.js';
 import { FLEET_READY_TIMEOUT_MS, PLANNED_STOP_TIMEOUT_MS } from './constants.js';
 import { ExperimentError } from './errors.js';
 import { readEndpoint, type ControlClient } from './http-control.js';
--- a/src/experiment/build-document.ts
+++ b/src/experiment/build-document.ts
@@ -1,5 +1,5 @@
 /** Builds the result document of a run from everything that was recorded. */
-import type { PlacementMode } from '../placement/types.js';
+import type { PlacementMode } from '../gue-edge/placement/types.js';
 import type { BackendStandinReport } from '../standin/backend/types.js';
 import type { CallerReport } from '../standin/caller/types.js';
 import type { ActionRunner } from './action-runner.js';
--- a/src/experiment/capacity/design-size.ts
+++ b/src/experiment/capacity/design-size.ts
@@ -5,7 +5,7 @@
   PROBERS_PER_BACKEND,
   PROBERS_PER_REMOTE_BACKEND,
   REMOTE_PROBE_INTERVAL_FACTOR,
-} from '../../health/constants.js';
+} from '../../gue-edge/health/constants.js';
 import { fieldNamed } from '../../settings/index.js';
 
 /** The whole fleet. */
--- a/src/experiment/document.ts
+++ b/src/experiment/document.ts
@@ -1,6 +1,6 @@
 /** The result of one run, as it is written to JSON. A figure that a run does not measure is null, never 0. */
-import type { ControlKind } from '../control/types.js';
-import type { PlacementMode } from '../placement/types.js';
+import type { ControlKind } from '../gue-edge/control/types.js';
+import type { PlacementMode } from '../gue-edge/placement/types.js';
 import type { MaxAndMedian } from './statistics.js';
 
 /** A figure for each service, by the service's name below the site. */
--- a/src/experiment/experiment-command.ts
+++ b/src/experiment/experiment-command.ts
@@ -1,7 +1,7 @@
 /** `sailquay experiment`: list, validate, run and compare experiments, and draw reports of saved runs. */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { InvalidArgumentError, Option, type Command } from 'commander';
-import type { PlacementMode } from '../placement/types.js';
+import type { PlacementMode } from '../gue-edge/placement/types.js';
 import { compare, comparisonText, type ComparisonSide } from './compare.js';
 import type { ExperimentDocument, ExperimentResult } from './document.js';
 import { ExperimentError } from './errors.js';
--- a/src/experiment/experiment-run.ts
+++ b/src/experiment/experiment-run.ts
@@ -1,6 +1,6 @@
 /** One run of a scenario: starts every process, carries the plan out under load, measures, and stops everything. */
 import { mkdirSync } from 'node:fs';
-import type { PlacementMode } from '../placement/types.js';
+import type { PlacementMode } from '../gue-edge/placement/types.js';
 import { ActionRunner, sleepUntil } from './action-runner.js';
 import { BackendProcesses } from './backend-processes.js';
 import { BackendSampler } from './backend-sampler.js';
--- a/src/experiment/figures.ts
+++ b/src/experiment/figures.ts
@@ -1,5 +1,5 @@
 /** The figures of a document as named rows, for tables of one run, of a run beside baselines, and of comparisons. */
-import { CONTROL_KINDS } from '../control/types.js';
+import { CONTROL_KINDS } from '../gue-edge/control/types.js';
 import type { ExperimentDocument } from './document.js';
 import { figureAt } from './goals.js';
 
--- a/src/experiment/fleet-monitor.ts
+++ b/src/experiment/fleet-monitor.ts
@@ -1,7 +1,7 @@
 /** Polls the daemons' status pages during a run and keeps what the report needs. */
 import type { Endpoint } from '../common/types.js';
-import { CONTROL_KINDS, type ControlKind } from '../control/types.js';
-import type { DaemonStatus } from '../daemon/status.js';
+import { CONTROL_KINDS, type ControlKind } from '../gue-edge/control/types.js';
+import type { DaemonStatus } from '../gue-edge/daemon/status.js';
 import { DAEMON_POLL_INTERVAL_MS } from './constants.js';
 import type { ControlClient } from './http-control.js';
 
--- a/src/experiment/measure.ts
+++ b/src/experiment/measure.ts
@@ -1,5 +1,5 @@
 /** Figures from samples: imbalance, drain, health decisions, settings in force, control. Times are wall ms. */
-import { CONTROL_KINDS } from '../control/types.js';
+import { CONTROL_KINDS } from '../gue-edge/control/types.js';
 import { totalBytes, type DaemonHistory, type EligibilityChange, type UsageSample } from './fleet-monitor.js';
 import type { Absence } from './balancer-fleet.js';
 import type { Withdrawal } from './action-runner.js';
--- a/src/control/budget.test.ts
+++ b/src/gue-edge/control/budget.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { VirtualClock } from '../common/clock.js';
+import { VirtualClock } from '../../common/clock.js';
 import { ControlBudget, MINIMUM_SHARE } from './budget.js';
 import { CONTROL_KINDS, type ControlKind } from './types.js';
 
--- a/src/control/budget.ts
+++ b/src/gue-edge/control/budget.ts
@@ -6,7 +6,7 @@
  * each kind has a small bucket of its own (MINIMUM_SHARE of the rate) that no other kind can empty, so that none starves;
  * what a full own bucket cannot hold flows into the shared one. The sum never exceeds the rate.
  */
-import type { Clock } from '../common/clock.js';
+import type { Clock } from '../../common/clock.js';
 import { CONTROL_KINDS, type ControlKind } from './types.js';
 
 /** Share of the shared bucket that must remain after a message of the kind was sent from it. */
--- a/src/control/errors.ts
+++ b/src/gue-edge/control/errors.ts
@@ -1,5 +1,5 @@
 /** Error kinds of the control channel. */
-import { SailquayError } from '../common/types.js';
+import { SailquayError } from '../../common/types.js';
 
 export type ControlErrorKind = 'control.key-file' | 'control.bind' | 'control.duplicate-handler';
 
--- a/src/control/events.ts
+++ b/src/gue-edge/control/events.ts
@@ -1,5 +1,5 @@
 /** Log events of the control channel. */
-import { defineEvents } from '../observability/event.js';
+import { defineEvents } from '../../observability/event.js';
 
 export const CONTROL_EVENTS = defineEvents({
   channelOpened: {
--- a/src/control/meter.ts
+++ b/src/gue-edge/control/meter.ts
@@ -1,5 +1,5 @@
 /** Counts control bytes by kind and direction and averages them over the last RATE_WINDOW_MS. */
-import type { Clock } from '../common/clock.js';
+import type { Clock } from '../../common/clock.js';
 import { RATE_WINDOW_MS, RATE_WINDOW_SLOTS } from './constants.js';
 import { CONTROL_KINDS, type ControlKind } from './types.js';
 
--- a/src/control/pausable-clock.ts
+++ b/src/gue-edge/control/pausable-clock.ts
@@ -1,5 +1,5 @@
 /** A clock for one simulated process that can be paused while time goes on for the others. */
-import type { Clock, TimerHandle } from '../common/clock.js';
+import type { Clock, TimerHandle } from '../../common/clock.js';
 
 interface HeldTimer {
   cancelled: boolean;
--- a/src/control/replay-guard.test.ts
+++ b/src/gue-edge/control/replay-guard.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import fc from 'fast-check';
-import { VirtualClock } from '../common/clock.js';
+import { VirtualClock } from '../../common/clock.js';
 import { MAX_CLOCK_SKEW_MS, REPLAY_FORGET_MS, REPLAY_WINDOW } from './constants.js';
 import { ReplayGuard } from './replay-guard.js';
 
--- a/src/control/replay-guard.ts
+++ b/src/gue-edge/control/replay-guard.ts
@@ -1,5 +1,5 @@
 /** Replay protection: a sliding window over the sequence numbers of each sender and incarnation. */
-import type { Clock } from '../common/clock.js';
+import type { Clock } from '../../common/clock.js';
 import { MAX_CLOCK_SKEW_MS, REPLAY_FORGET_MS, REPLAY_WINDOW } from './constants.js';
 
 /** Verdict on a datagram: `stale` is from an earlier incarnation, or from a new sender whose clock is far off. */
--- a/src/control/simulated-network.test.ts
+++ b/src/gue-edge/control/simulated-network.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import { VirtualClock } from '../common/clock.js';
-import { seededRandom } from '../common/random.js';
+import { VirtualClock } from '../../common/clock.js';
+import { seededRandom } from '../../common/random.js';
 import { messageWireBytes } from './envelope.js';
 import { PausableClock } from './pausable-clock.js';
 import {
--- a/src/control/simulated-network.ts
+++ b/src/gue-edge/control/simulated-network.ts
@@ -1,7 +1,7 @@
 /** In-memory control channels between named nodes on a clock, with seeded faults, for tests and scale runs. */
-import type { Clock } from '../common/clock.js';
-import type { RandomSource } from '../common/random.js';
-import { formatEndpoint, type Endpoint } from '../common/types.js';
+import type { Clock } from '../../common/clock.js';
+import type { RandomSource } from '../../common/random.js';
+import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import { ControlBudget } from './budget.js';
 import { DEFAULT_BUDGET_BYTES_PER_SECOND, PROTOCOL_VERSION_MAX } from './constants.js';
 import { messageWireBytes } from './envelope.js';
--- a/src/control/types.ts
+++ b/src/gue-edge/control/types.ts
@@ -1,5 +1,5 @@
 /** The authenticated datagram channel between balancers, as the other slices see it. */
-import type { Endpoint } from '../common/types.js';
+import type { Endpoint } from '../../common/types.js';
 
 /** Duty a control message belongs to; each slice owns one and meters its bytes under it. */
 export type ControlKind = 'membership' | 'dissemination' | 'replication' | 'handover' | 'health' | 'status';
--- a/src/control/udp-channel.ts
+++ b/src/gue-edge/control/udp-channel.ts
@@ -1,10 +1,10 @@
 /** The control channel over one UDP socket: authenticated, replay-protected, metered and budgeted. */
 import { createSocket, type RemoteInfo, type Socket } from 'node:dgram';
 import Result from 'true-myth/result';
-import { Subject } from '../common/event-stream.js';
-import type { Clock } from '../common/clock.js';
-import { formatEndpoint, sameEndpoint, type Endpoint } from '../common/types.js';
-import { SILENT_EVENT_LOG, type EventLog } from '../observability/event.js';
+import { Subject } from '../../common/event-stream.js';
+import type { Clock } from '../../common/clock.js';
+import { formatEndpoint, sameEndpoint, type Endpoint } from '../../common/types.js';
+import { SILENT_EVENT_LOG, type EventLog } from '../../observability/event.js';
 import { ControlBudget } from './budget.js';
 import {
   DEFAULT_BUDGET_BYTES_PER_SECOND,
--- a/src/daemon/components.ts
+++ b/src/gue-edge/daemon/components.ts
@@ -1,10 +1,10 @@
 /** Everything one daemon is made of, in one place. */
-import type { Clock } from '../common/clock.js';
-import type { RandomSource } from '../common/random.js';
+import type { Clock } from '../../common/clock.js';
+import type { RandomSource } from '../../common/random.js';
 import type { UdpControlChannel } from '../control/index.js';
-import type { BoundEdgePort } from '../fabric/index.js';
-import type { AdminServer, EventLog } from '../observability/index.js';
-import type { ConnectedStoreClient } from '../store/index.js';
+import type { BoundEdgePort } from '../../fabric/index.js';
+import type { AdminServer, EventLog } from '../../observability/index.js';
+import type { ConnectedStoreClient } from '../../store/index.js';
 import type { BalancerIdentity, ControlPlane } from './control-plane.js';
 import type { DataPlane, EdgeGate } from './data-plane.js';
 import type { FaultInjection } from './fault-injection.js';
--- a/src/daemon/config.ts
+++ b/src/gue-edge/daemon/config.ts
@@ -2,8 +2,8 @@
 import { readFileSync } from 'node:fs';
 import { parse as parseYaml } from 'yaml';
 import { z } from 'zod';
-import { parseEndpoint } from '../common/endpoint-text.js';
-import type { Endpoint } from '../common/types.js';
+import { parseEndpoint } from '../../common/endpoint-text.js';
+import type { Endpoint } from '../../common/types.js';
 import { DEFAULT_EXCEPTION_BYTES_PER_SECOND } from '../placement/index.js';
 import * as defaults from './constants.js';
 import { DaemonError, type ConfigFault } from './errors.js';
--- a/src/daemon/control-plane.ts
+++ b/src/gue-edge/daemon/control-plane.ts
@@ -2,16 +2,16 @@
  * The control plane of one balancer: membership, spreading of settings and health, over a given control channel. A
  * real daemon adds the data path; tests do without.
  */
-import type { Clock } from '../common/clock.js';
-import type { RandomSource } from '../common/random.js';
-import type { Endpoint } from '../common/types.js';
+import type { Clock } from '../../common/clock.js';
+import type { RandomSource } from '../../common/random.js';
+import type { Endpoint } from '../../common/types.js';
 import type { ControlChannel } from '../control/types.js';
 import { SettingsDistributor } from '../dissemination/index.js';
 import { HealthMonitor, httpProbe, type Probe } from '../health/index.js';
 import { SwimMembership } from '../membership/index.js';
-import type { EventLog } from '../observability/event.js';
+import type { EventLog } from '../../observability/event.js';
 import type { LoadView } from '../placement/types.js';
-import type { StoreClient } from '../store/index.js';
+import type { StoreClient } from '../../store/index.js';
 
 /** Who this balancer is and where it is reached; all ports are bound already. */
 export interface BalancerIdentity {
--- a/src/daemon/daemon-start.test.ts
+++ b/src/gue-edge/daemon/daemon-start.test.ts
@@ -5,10 +5,10 @@
 import { createServer } from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { VirtualClock } from '../common/clock.js';
-import { seededRandom } from '../common/random.js';
-import { SailquayError } from '../common/types.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { VirtualClock } from '../../common/clock.js';
+import { seededRandom } from '../../common/random.js';
+import { SailquayError } from '../../common/types.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { parseDaemonConfig, type DaemonConfigInput } from './config.js';
 import { Daemon } from './daemon.js';
 
--- a/src/daemon/daemon.ts
+++ b/src/gue-edge/daemon/daemon.ts
@@ -1,10 +1,10 @@
 /** The life of one balancer: it joins, becomes active, rereads its configuration, hands over and stops. */
-import { formatEndpoint } from '../common/types.js';
-import { DaemonMetrics, type AdminSource, type Readiness } from '../observability/index.js';
+import { formatEndpoint } from '../../common/types.js';
+import { DaemonMetrics, type AdminSource, type Readiness } from '../../observability/index.js';
 import type { Components, DaemonEnvironment } from './components.js';
 import { changedFields, type DaemonConfig } from './config.js';
 import { ACTIVATION_POLL_INTERVAL_MS } from './constants.js';
-import { delay } from './drain.js';
+import { delay } from '../../common/drain.js';
 import { DAEMON_EVENTS } from './events.js';
 import { leaveAndHandOver } from './planned-stop.js';
 import type { DaemonPhase, DaemonStatus, DaemonSummary } from './status.js';
--- a/src/daemon/data-plane.ts
+++ b/src/gue-edge/daemon/data-plane.ts
@@ -1,24 +1,24 @@
 /** The data path of one balancer: the edge, placement and the flow keeper (or a baseline in its place). */
 import { merge } from 'most';
-import type { Clock } from '../common/clock.js';
-import { observe, streamOf } from '../common/event-stream.js';
-import type { RandomSource } from '../common/random.js';
-import { formatEndpoint, type Endpoint } from '../common/types.js';
+import type { Clock } from '../../common/clock.js';
+import { observe, streamOf } from '../../common/event-stream.js';
+import type { RandomSource } from '../../common/random.js';
+import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import type { ControlChannel } from '../control/types.js';
 import type { SettingsFeed } from '../dissemination/types.js';
-import { createEdgePort, type BoundEdgePort, type EdgeHandler } from '../fabric/index.js';
-import type { EdgePort } from '../fabric/types.js';
+import { createEdgePort, type BoundEdgePort, type EdgeHandler } from '../../fabric/index.js';
+import type { EdgePort } from '../../fabric/types.js';
 import { createForwarder, type FlowLimits, type PacketForwarder } from '../flow/index.js';
 import type { HealthFeed } from '../health/types.js';
 import type { MembershipFeed, MembershipView } from '../membership/types.js';
-import type { EventLog } from '../observability/event.js';
+import type { EventLog } from '../../observability/event.js';
 import {
   createPlacementPolicy,
   ExceptionBudget,
   OpeningLimiter,
   type CountingPolicy,
 } from '../placement/index.js';
-import type { EffectiveSettings } from '../settings/types.js';
+import type { EffectiveSettings } from '../../settings/types.js';
 import type { DaemonConfig } from './config.js';
 import { LimitedAdmission } from './opening-admission.js';
 
--- a/src/daemon/errors.ts
+++ b/src/gue-edge/daemon/errors.ts
@@ -1,5 +1,5 @@
 /** Errors of the daemon's configuration and life. */
-import { SailquayError } from '../common/types.js';
+import { SailquayError } from '../../common/types.js';
 
 export type DaemonErrorKind = 'daemon.config-unreadable' | 'daemon.config-invalid' | 'daemon.bind';
 
--- a/src/daemon/events.ts
+++ b/src/gue-edge/daemon/events.ts
@@ -1,5 +1,5 @@
 /** Events of the daemon's life. */
-import { defineEvents } from '../observability/event.js';
+import { defineEvents } from '../../observability/event.js';
 
 export const DAEMON_EVENTS = defineEvents({
   started: { number: 1000, level: 'info', message: 'Daemon started; sockets are bound', action: 'none' },
--- a/src/daemon/fault-injection.ts
+++ b/src/gue-edge/daemon/fault-injection.ts
@@ -3,9 +3,9 @@
  * daemon started with `--enable-fault-injection` has them.
  */
 import { z } from 'zod';
-import { formatEndpoint, type Endpoint } from '../common/types.js';
+import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import type { ControlChannel } from '../control/types.js';
-import type { EdgePort } from '../fabric/types.js';
+import type { EdgePort } from '../../fabric/types.js';
 
 const faultsSchema = z.strictObject({
   /** Control and data addresses of the balancers that cannot be reached, as `host:port`; replaces the last list. */
--- a/src/daemon/known-sources.test.ts
+++ b/src/gue-edge/daemon/known-sources.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { parseTreeText, resolveSettings } from '../settings/index.js';
+import { parseTreeText, resolveSettings } from '../../settings/index.js';
 import { KnownSources } from './data-plane.js';
 
 function settings(version: number, names: readonly string[]) {
--- a/src/daemon/limit-guard.ts
+++ b/src/gue-edge/daemon/limit-guard.ts
@@ -1,6 +1,6 @@
 /** Compares a measure of the process with its limit and reports when it is reached and when it has fallen again. */
-import type { Clock, TimerHandle } from '../common/clock.js';
-import type { EventDefinition, EventLog } from '../observability/event.js';
+import type { Clock, TimerHandle } from '../../common/clock.js';
+import type { EventDefinition, EventLog } from '../../observability/event.js';
 import { LIMIT_CHECK_INTERVAL_MS, LIMIT_RECOVERY_SHARE } from './constants.js';
 
 /** What a guard watches. `measure` and `limit` have the same unit. */
--- a/src/observability/metrics.ts
+++ b/src/gue-edge/daemon/metrics.ts
@@ -9,7 +9,7 @@
   MetricsPage,
   type CountsByLabel,
   type MetricDefinition,
-} from './metrics-page.js';
+} from '../../observability/metrics-page.js';
 
 /** Everything a scrape shows. Counts are totals since start; the rest are current values. */
 export interface MetricsSnapshot {
--- a/src/daemon/opening-admission.ts
+++ b/src/gue-edge/daemon/opening-admission.ts
@@ -1,7 +1,7 @@
 /** Admits openings: memory first, then the service's and client's limits. */
 import type { OpeningAdmission } from '../flow/index.js';
 import type { RefusalReason } from '../placement/types.js';
-import type { EffectiveService } from '../settings/types.js';
+import type { EffectiveService } from '../../settings/types.js';
 
 /** The admission of one daemon. */
 export class LimitedAdmission implements OpeningAdmission {
--- a/src/daemon/planned-stop.ts
+++ b/src/gue-edge/daemon/planned-stop.ts
@@ -2,7 +2,7 @@
 import type { Components } from './components.js';
 import type { DaemonConfig } from './config.js';
 import { HANDOVER_TIMEOUT_MS } from './constants.js';
-import { waitUntilQuiet } from './drain.js';
+import { waitUntilQuiet } from '../../common/drain.js';
 import { DAEMON_EVENTS } from './events.js';
 
 /** Announces the leave, hands over and waits for quiet. Packets are relayed to the new keepers until it resolves. */
--- a/src/daemon/run.ts
+++ b/src/gue-edge/daemon/run.ts
@@ -1,9 +1,9 @@
 /** Runs a daemon as the process: configuration, log, ready line, signals, uncaught errors and exit code. */
 import { randomInt } from 'node:crypto';
-import { SystemClock } from '../common/clock.js';
-import { seededRandom } from '../common/random.js';
-import { SailquayError } from '../common/types.js';
-import { ConsolaEventLog } from '../observability/index.js';
+import { SystemClock } from '../../common/clock.js';
+import { seededRandom } from '../../common/random.js';
+import { SailquayError } from '../../common/types.js';
+import { ConsolaEventLog } from '../../observability/index.js';
 import { loadDaemonConfig, type ConfigOverrides, type DaemonConfig } from './config.js';
 import { Daemon } from './daemon.js';
 import { DAEMON_EVENTS } from './events.js';
--- a/src/daemon/status-source.ts
+++ b/src/gue-edge/daemon/status-source.ts
@@ -1,9 +1,9 @@
 /** Reads the state of a daemon's components into the status document and the metrics snapshot. */
-import { formatEndpoint } from '../common/types.js';
+import { formatEndpoint } from '../../common/types.js';
 import type { BackendHealth } from '../health/types.js';
 import type { MemberState } from '../membership/types.js';
-import type { CountsByLabel, MetricsSnapshot, Readiness } from '../observability/index.js';
-import type { EffectiveBackend, EffectiveService } from '../settings/types.js';
+import type { CountsByLabel, MetricsSnapshot, Readiness } from '../../observability/index.js';
+import type { EffectiveBackend, EffectiveService } from '../../settings/types.js';
 import type { Components } from './components.js';
 import type {
   BackendStatus,
--- a/src/daemon/wiring.ts
+++ b/src/gue-edge/daemon/wiring.ts
@@ -1,8 +1,8 @@
 /** Binds the sockets of a daemon and wires its components; the order of start stands here. */
-import type { EventLog } from '../observability/event.js';
+import type { EventLog } from '../../observability/event.js';
 import { UdpControlChannel } from '../control/index.js';
-import { AdminServer, type AdminSource } from '../observability/index.js';
-import { createStoreClient, type ConnectedStoreClient } from '../store/index.js';
+import { AdminServer, type AdminSource } from '../../observability/index.js';
+import { createStoreClient, type ConnectedStoreClient } from '../../store/index.js';
 import type { Components, DaemonEnvironment, DaemonSockets } from './components.js';
 import type { DaemonConfig } from './config.js';
 import { createControlPlane, type BalancerIdentity } from './control-plane.js';
--- a/src/dissemination/distributed-tree.ts
+++ b/src/gue-edge/dissemination/distributed-tree.ts
@@ -1,6 +1,6 @@
 /** A tree as it is spread: encoded nodes with their digest beside the document and the settings resolved from it. */
 import Result from 'true-myth/result';
-import type { EffectiveSettings, TreeDocument, TreeNode } from '../settings/index.js';
+import type { EffectiveSettings, TreeDocument, TreeNode } from '../../settings/index.js';
 import { digestMismatch, invalidTree, type DisseminationError } from './errors.js';
 import type { NodeChanges, ReceivedNodeSet } from './node-set.js';
 import type { TreeStamp } from './stamp.js';
--- a/src/dissemination/distributor.test.ts
+++ b/src/gue-edge/dissemination/distributor.test.ts
@@ -1,7 +1,7 @@
 /** The spreading of settings under faults, on a simulated network, clock and platform with fixed seeds. */
 import test, { type ExecutionContext } from 'ava';
 import fc from 'fast-check';
-import type { Endpoint } from '../common/types.js';
+import type { Endpoint } from '../../common/types.js';
 import { CANDIDATES_PER_LEASE, READERS_PER_REGION } from './constants.js';
 import { buildFromDocument, isIntact, type DistributedTree } from './distributed-tree.js';
 import {
--- a/src/dissemination/distributor.ts
+++ b/src/gue-edge/dissemination/distributor.ts
@@ -1,12 +1,12 @@
 /** Brings every accepted version of the settings tree into force on this balancer and passes it on. */
-import type { Clock } from '../common/clock.js';
-import { Ticker } from '../common/event-stream.js';
-import { jitter, type RandomSource } from '../common/random.js';
+import type { Clock } from '../../common/clock.js';
+import { Ticker } from '../../common/event-stream.js';
+import { jitter, type RandomSource } from '../../common/random.js';
 import type { ControlChannel } from '../control/types.js';
 import type { MembershipFeed } from '../membership/types.js';
-import type { EventLog } from '../observability/event.js';
-import type { StoreClient, StoredObject } from '../store/index.js';
-import { TREE_OBJECT_KEY, type EffectiveSettings } from '../settings/index.js';
+import type { EventLog } from '../../observability/event.js';
+import type { StoreClient, StoredObject } from '../../store/index.js';
+import { TREE_OBJECT_KEY, type EffectiveSettings } from '../../settings/index.js';
 import * as limits from './constants.js';
 import {
   buildFromDocument,
--- a/src/dissemination/errors.ts
+++ b/src/gue-edge/dissemination/errors.ts
@@ -1,5 +1,5 @@
 /** Error kinds of the spreading of settings. */
-import { SailquayError } from '../common/types.js';
+import { SailquayError } from '../../common/types.js';
 
 export type DisseminationErrorKind =
   'dissemination.bad-message' | 'dissemination.digest-mismatch' | 'dissemination.invalid-tree';
--- a/src/dissemination/events.ts
+++ b/src/gue-edge/dissemination/events.ts
@@ -1,5 +1,5 @@
 /** Log events of the spreading of settings. */
-import { defineEvents } from '../observability/event.js';
+import { defineEvents } from '../../observability/event.js';
 
 export const DISSEMINATION_EVENTS = defineEvents({
   settingsApplied: {
--- a/src/dissemination/messenger.ts
+++ b/src/gue-edge/dissemination/messenger.ts
@@ -1,11 +1,11 @@
 /** Sends and receives this slice's messages over the control channel, and counts them. */
-import type { Endpoint } from '../common/types.js';
+import type { Endpoint } from '../../common/types.js';
 import {
   MAX_CONTROL_PAYLOAD_BYTES,
   type ControlChannel,
   type InboundControlMessage,
 } from '../control/types.js';
-import type { EventLog } from '../observability/event.js';
+import type { EventLog } from '../../observability/event.js';
 import { DisseminationError } from './errors.js';
 import { DISSEMINATION_EVENTS } from './events.js';
 import { sailquay } from './pb/dissemination.js';
--- a/src/dissemination/order.test.ts
+++ b/src/gue-edge/dissemination/order.test.ts
@@ -1,9 +1,9 @@
 /** The order of trees, and the choice of readers: pure rules that everything else rests on. */
 import test from 'ava';
 import fc from 'fast-check';
-import { VirtualClock } from '../common/clock.js';
+import { VirtualClock } from '../../common/clock.js';
 import type { Member, MemberState } from '../membership/types.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { leaseCandidates, slotsOf } from './reader-candidates.js';
 import { newCounters } from './statistics.js';
 import { NO_TREE, supersedes, type TreeStamp } from './stamp.js';
--- a/src/dissemination/peers.ts
+++ b/src/gue-edge/dissemination/peers.ts
@@ -1,5 +1,5 @@
 /** Random choice of peers from the membership view. */
-import type { RandomSource } from '../common/random.js';
+import type { RandomSource } from '../../common/random.js';
 import type { Member, MembershipFeed } from '../membership/types.js';
 
 /** Members other than this one that are expected to answer. */
--- a/src/dissemination/puller.ts
+++ b/src/gue-edge/dissemination/puller.ts
@@ -1,7 +1,7 @@
 /** Fetches a newer tree from peers, chunk by chunk, from one peer at a time, within the byte budget. */
-import type { Clock } from '../common/clock.js';
-import { pick, type RandomSource } from '../common/random.js';
-import type { Endpoint } from '../common/types.js';
+import type { Clock } from '../../common/clock.js';
+import { pick, type RandomSource } from '../../common/random.js';
+import type { Endpoint } from '../../common/types.js';
 import * as limits from './constants.js';
 import type { Messenger, Sender } from './messenger.js';
 import type { sailquay } from './pb/dissemination.js';
--- a/src/dissemination/pusher.ts
+++ b/src/gue-edge/dissemination/pusher.ts
@@ -1,7 +1,7 @@
 /** Eager gossip: a member that has just applied a version tells a few random peers, in a few rounds. */
-import type { Clock } from '../common/clock.js';
-import { jitter, type RandomSource } from '../common/random.js';
-import type { Endpoint } from '../common/types.js';
+import type { Clock } from '../../common/clock.js';
+import { jitter, type RandomSource } from '../../common/random.js';
+import type { Endpoint } from '../../common/types.js';
 import type { MembershipFeed } from '../membership/types.js';
 import { PAUSE_SPREAD, PUSH_FANOUT, PUSH_ROUND_INTERVAL_MS, PUSH_ROUNDS } from './constants.js';
 import type { Messenger } from './messenger.js';
--- a/src/dissemination/reader-candidates.ts
+++ b/src/gue-edge/dissemination/reader-candidates.ts
@@ -1,5 +1,5 @@
 /** Which members try to take which reader lease: a pure function of the membership view. */
-import { hashString } from '../common/hash.js';
+import { hashString } from '../../common/hash.js';
 import type { Member } from '../membership/types.js';
 import { CANDIDATES_PER_LEASE, READER_LEASE_PREFIX, READERS_PER_REGION } from './constants.js';
 
--- a/src/dissemination/simulated-cluster.ts
+++ b/src/gue-edge/dissemination/simulated-cluster.ts
@@ -1,13 +1,13 @@
 /** A region of distributors on a simulated network, clock and platform; for tests and measurements only. */
-import { VirtualClock } from '../common/clock.js';
-import { seededRandom, type RandomSource } from '../common/random.js';
-import type { Endpoint } from '../common/types.js';
+import { VirtualClock } from '../../common/clock.js';
+import { seededRandom, type RandomSource } from '../../common/random.js';
+import type { Endpoint } from '../../common/types.js';
 import { PausableClock, SimulatedNetwork, type SimulatedChannel } from '../control/index.js';
 import type { Member, MembershipFeed, MembershipView } from '../membership/types.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
-import type { EffectiveSettings, TreeDocument, TreeNode } from '../settings/index.js';
-import { TREE_OBJECT_KEY } from '../settings/index.js';
-import { InMemoryPlatform } from '../standin/platform/in-memory-platform.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
+import type { EffectiveSettings, TreeDocument, TreeNode } from '../../settings/index.js';
+import { TREE_OBJECT_KEY } from '../../settings/index.js';
+import { InMemoryPlatform } from '../../standin/platform/in-memory-platform.js';
 import { SettingsDistributor } from './distributor.js';
 
 const REGION = 'test';
--- a/src/dissemination/store-reader.test.ts
+++ b/src/gue-edge/dissemination/store-reader.test.ts
@@ -1,11 +1,11 @@
 /** The reader's leases: one process for each, and none beyond the time that can be trusted. */
 import test from 'ava';
-import { VirtualClock } from '../common/clock.js';
-import { seededRandom } from '../common/random.js';
+import { VirtualClock } from '../../common/clock.js';
+import { seededRandom } from '../../common/random.js';
 import { PausableClock } from '../control/index.js';
 import type { Member } from '../membership/types.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
-import { InMemoryPlatform } from '../standin/platform/in-memory-platform.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
+import { InMemoryPlatform } from '../../standin/platform/in-memory-platform.js';
 import { newCounters } from './statistics.js';
 import { StoreReader } from './store-reader.js';
 
--- a/src/dissemination/store-reader.ts
+++ b/src/gue-edge/dissemination/store-reader.ts
@@ -2,12 +2,12 @@
  * Reads the tree from the platform while this member holds one of its region's reader leases. Whatever arrives after
  * the lease can no longer be trusted is discarded, and what passes carries the store's version and the lease's token.
  */
-import type { Clock } from '../common/clock.js';
-import { jitter, type RandomSource } from '../common/random.js';
+import type { Clock } from '../../common/clock.js';
+import { jitter, type RandomSource } from '../../common/random.js';
 import type { MembershipFeed } from '../membership/types.js';
-import type { EventLog } from '../observability/event.js';
-import { pause } from '../common/pause.js';
-import type { Lease, StoreClient, StoredObject } from '../store/index.js';
+import type { EventLog } from '../../observability/event.js';
+import { pause } from '../../common/pause.js';
+import type { Lease, StoreClient, StoredObject } from '../../store/index.js';
 import {
   CANDIDATE_PAUSE_MS,
   PAUSE_SPREAD,
--- a/src/dissemination/transfer-server.ts
+++ b/src/gue-edge/dissemination/transfer-server.ts
@@ -1,6 +1,6 @@
 /** Answers pull requests: deltas from the change log, or a snapshot, in chunks that fit a datagram. */
-import type { Clock } from '../common/clock.js';
-import type { Endpoint } from '../common/types.js';
+import type { Clock } from '../../common/clock.js';
+import type { Endpoint } from '../../common/types.js';
 import { CHUNK_BYTES, SEND_ATTEMPTS, SEND_RETRY_MS, TRANSFER_CACHE_ENTRIES } from './constants.js';
 import { snapshotOf, type DistributedTree } from './distributed-tree.js';
 import type { Messenger, Sender } from './messenger.js';
--- a/src/dissemination/tree-codec.ts
+++ b/src/gue-edge/dissemination/tree-codec.ts
@@ -6,7 +6,7 @@
   formatFault,
   resolveSettings,
   type TreeDocument,
-} from '../settings/index.js';
+} from '../../settings/index.js';
 import type { TreeCodec } from './distributed-tree.js';
 import { badMessage } from './errors.js';
 
--- a/src/dissemination/tree-holder.ts
+++ b/src/gue-edge/dissemination/tree-holder.ts
@@ -2,10 +2,10 @@
  * The tree in force on this balancer. The only place where a tree takes effect: nothing older than the one in force,
  * nothing with faults and nothing that fails its digest gets past it.
  */
-import type { Clock } from '../common/clock.js';
-import { Subject } from '../common/event-stream.js';
-import type { EventLog } from '../observability/event.js';
-import type { EffectiveSettings } from '../settings/index.js';
+import type { Clock } from '../../common/clock.js';
+import { Subject } from '../../common/event-stream.js';
+import type { EventLog } from '../../observability/event.js';
+import type { EffectiveSettings } from '../../settings/index.js';
 import { ChangeLog } from './change-log.js';
 import { REJECTED_STAMPS_KEPT } from './constants.js';
 import {
--- a/src/dissemination/types.ts
+++ b/src/gue-edge/dissemination/types.ts
@@ -1,5 +1,5 @@
 /** The settings in force on this balancer, as the other slices see them. */
-import type { EffectiveSettings } from '../settings/types.js';
+import type { EffectiveSettings } from '../../settings/types.js';
 
 /** Settings in force and their changes. Versions only rise. */
 export interface SettingsFeed {
--- a/src/flow/acting-backup.ts
+++ b/src/gue-edge/flow/acting-backup.ts
@@ -2,8 +2,8 @@
  * Packets of shards whose keeper is suspect or gone, at their backup: it serves the records it holds and first choices,
  * and opens only on first choices. The keeper, if it still runs, chooses the same or asks for an exception first.
  */
-import { sameEndpoint } from '../common/types.js';
-import type { PacketView } from '../fabric/types.js';
+import { sameEndpoint } from '../../common/types.js';
+import type { PacketView } from '../../fabric/types.js';
 import type { FlowFingerprint } from '../placement/types.js';
 import type { BackendEntry } from './backend-catalogue.js';
 import type { FlowContext } from './flow-context.js';
--- a/src/flow/backend-catalogue.ts
+++ b/src/gue-edge/flow/backend-catalogue.ts
@@ -3,9 +3,9 @@
  * the endpoint, so a back end that moves to another endpoint keeps its established flows where they are. Entries stay
  * after a back end left the settings tree, because flows may still refer to it.
  */
-import { combine32, hashString } from '../common/hash.js';
-import type { Endpoint } from '../common/types.js';
-import type { EffectiveBackend, EffectiveService } from '../settings/types.js';
+import { combine32, hashString } from '../../common/hash.js';
+import type { Endpoint } from '../../common/types.js';
+import type { EffectiveBackend, EffectiveService } from '../../settings/types.js';
 import { BackendIndexExhaustedError } from './errors.js';
 
 const MAX_ENTRIES = 65_535;
--- a/src/flow/base-catalogue.ts
+++ b/src/gue-edge/flow/base-catalogue.ts
@@ -2,8 +2,8 @@
  * Back-end sets by settings version, so that the first choice of an older base can be reconstructed. Sets that a
  * balancer has not seen itself are learned from the balancer that hands it a shard.
  */
-import { sameEndpoint } from '../common/types.js';
-import type { EffectiveBackend, EffectiveService, EffectiveSettings } from '../settings/types.js';
+import { sameEndpoint } from '../../common/types.js';
+import type { EffectiveBackend, EffectiveService, EffectiveSettings } from '../../settings/types.js';
 import { RECENT_BASES } from './constants.js';
 
 const NO_BACKENDS: readonly EffectiveBackend[] = [];
--- a/src/flow/baselines/baseline-forwarder.ts
+++ b/src/gue-edge/flow/baselines/baseline-forwarder.ts
@@ -1,6 +1,6 @@
 /** What the baselines share: settings, counters and the parts of `PacketForwarder` that need no keeper. */
-import type { Endpoint } from '../../common/types.js';
-import type { PacketView } from '../../fabric/types.js';
+import type { Endpoint } from '../../../common/types.js';
+import type { PacketView } from '../../../fabric/types.js';
 import { BackendCatalogue } from '../backend-catalogue.js';
 import { FlowCounters } from '../flow-counters.js';
 import { fingerprintFlow, type MutableFingerprint } from '../flow-key.js';
--- a/src/flow/baselines/baselines.test.ts
+++ b/src/gue-edge/flow/baselines/baselines.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
-import { VirtualClock } from '../../common/clock.js';
-import { seededRandom } from '../../common/random.js';
-import type { PacketView } from '../../fabric/types.js';
-import { SILENT_EVENT_LOG } from '../../observability/event.js';
+import { VirtualClock } from '../../../common/clock.js';
+import { seededRandom } from '../../../common/random.js';
+import type { PacketView } from '../../../fabric/types.js';
+import { SILENT_EVENT_LOG } from '../../../observability/event.js';
 import { createPlacementPolicy } from '../../placement/index.js';
 import type { PlacementMode } from '../../placement/types.js';
-import type { EffectiveSettings } from '../../settings/types.js';
+import type { EffectiveSettings } from '../../../settings/types.js';
 import { createForwarder } from '../create-forwarder.js';
 import { FlowKeeper } from '../flow-keeper.js';
 import { serviceAddress, SettingsScript } from '../model/settings-script.js';
--- a/src/flow/baselines/local-table-forwarder.ts
+++ b/src/gue-edge/flow/baselines/local-table-forwarder.ts
@@ -2,10 +2,10 @@
  * Baseline: each balancer keeps its own flow table and takes the back end with the fewest flows by its own count. A
  * packet of a flow that is not in the table is placed anew, also in mid-flow.
  */
-import { Ticker } from '../../common/event-stream.js';
-import { sameEndpoint, type Endpoint } from '../../common/types.js';
-import type { PacketView } from '../../fabric/types.js';
-import type { EffectiveBackend, EffectiveService } from '../../settings/types.js';
+import { Ticker } from '../../../common/event-stream.js';
+import { sameEndpoint, type Endpoint } from '../../../common/types.js';
+import type { PacketView } from '../../../fabric/types.js';
+import type { EffectiveBackend, EffectiveService } from '../../../settings/types.js';
 import { CLOSED_LINGER_SECONDS, EXPIRY_ROUND_MS } from '../constants.js';
 import { FlowFlag, FlowTable } from '../flow-table.js';
 import { BaselineForwarder } from './baseline-forwarder.js';
--- a/src/flow/baselines/rendezvous-forwarder.ts
+++ b/src/gue-edge/flow/baselines/rendezvous-forwarder.ts
@@ -1,7 +1,7 @@
 /** Baseline: plain rendezvous over the back ends that are eligible now; no state, each balancer alone. */
-import type { PacketView } from '../../fabric/types.js';
+import type { PacketView } from '../../../fabric/types.js';
 import { firstChoice } from '../../placement/weighted-rendezvous.js';
-import type { EffectiveBackend, EffectiveService } from '../../settings/types.js';
+import type { EffectiveBackend, EffectiveService } from '../../../settings/types.js';
 import { BaselineForwarder } from './baseline-forwarder.js';
 
 /** Sends each packet where the hash of its flow points at this moment. */
--- a/src/flow/errors.ts
+++ b/src/gue-edge/flow/errors.ts
@@ -1,5 +1,5 @@
 /** Error kinds of flow keeping. */
-import { SailquayError } from '../common/types.js';
+import { SailquayError } from '../../common/types.js';
 
 /** More different back ends were seen than a flow table can index. */
 export class BackendIndexExhaustedError extends SailquayError {
--- a/src/flow/events.ts
+++ b/src/gue-edge/flow/events.ts
@@ -1,5 +1,5 @@
 /** Numbered log events of flow keeping (1200–1299). */
-import { defineEvents } from '../observability/event.js';
+import { defineEvents } from '../../observability/event.js';
 
 export const FLOW_EVENTS = defineEvents({
   ownershipChanged: {
--- a/src/flow/flow-context.ts
+++ b/src/gue-edge/flow/flow-context.ts
@@ -2,7 +2,7 @@
 import type { Member, MembershipView } from '../membership/types.js';
 import type { FlowFingerprint } from '../placement/types.js';
 import { firstChoice } from '../placement/weighted-rendezvous.js';
-import type { EffectiveBackend } from '../settings/types.js';
+import type { EffectiveBackend } from '../../settings/types.js';
 import { BackendCatalogue, type BackendEntry } from './backend-catalogue.js';
 import { PAUSE_DETECTION_MS, REBASE_LEARNING_MS } from './constants.js';
 import { BaseCatalogue } from './base-catalogue.js';
--- a/src/flow/flow-keeper.ts
+++ b/src/gue-edge/flow/flow-keeper.ts
@@ -1,9 +1,9 @@
 /** The flow keeper: one answer for each flow, whichever balancer its packets reach. */
-import { Ticker } from '../common/event-stream.js';
-import type { Endpoint } from '../common/types.js';
+import { Ticker } from '../../common/event-stream.js';
+import type { Endpoint } from '../../common/types.js';
 import type { InboundControlMessage } from '../control/types.js';
-import type { PacketView } from '../fabric/types.js';
-import type { EffectiveSettings } from '../settings/types.js';
+import type { PacketView } from '../../fabric/types.js';
+import type { EffectiveSettings } from '../../settings/types.js';
 import { ActingBackup } from './acting-backup.js';
 import { TICK_MS } from './constants.js';
 import { FLOW_EVENTS } from './events.js';
--- a/src/flow/flow-key.ts
+++ b/src/gue-edge/flow/flow-key.ts
@@ -1,5 +1,5 @@
 /** Fingerprints of flows: 64 bits over addresses and ports, equal on every balancer. */
-import { mix32 } from '../common/hash.js';
+import { mix32 } from '../../common/hash.js';
 import { SHARD_SHIFT } from './constants.js';
 
 /** A flow's fingerprint as two unsigned 32-bit halves; reused between packets, so copy the numbers. */
--- a/src/flow/kept-flows.ts
+++ b/src/gue-edge/flow/kept-flows.ts
@@ -1,6 +1,6 @@
 /** Packets of shards that are kept here. */
-import { sameEndpoint, type Endpoint } from '../common/types.js';
-import type { PacketView } from '../fabric/types.js';
+import { sameEndpoint, type Endpoint } from '../../common/types.js';
+import type { PacketView } from '../../fabric/types.js';
 import type { FlowFingerprint } from '../placement/types.js';
 import type { BackendEntry } from './backend-catalogue.js';
 import { LEASE_MS } from './constants.js';
--- a/src/flow/knowledge-exchange.ts
+++ b/src/gue-edge/flow/knowledge-exchange.ts
@@ -3,7 +3,7 @@
  * them. The message is left unanswered meanwhile, so that its sender repeats it.
  */
 import type { InboundControlMessage } from '../control/types.js';
-import { UNLIMITED_SERVICE, type EffectiveBackend, type EffectiveService } from '../settings/types.js';
+import { UNLIMITED_SERVICE, type EffectiveBackend, type EffectiveService } from '../../settings/types.js';
 import { sameBackends, type BaseSet } from './base-catalogue.js';
 import { MAX_PART_RECORDS } from './constants.js';
 import { FLOW_EVENTS } from './events.js';
--- a/src/flow/model/model-cluster.ts
+++ b/src/gue-edge/flow/model/model-cluster.ts
@@ -1,10 +1,10 @@
 /** Several balancers on a simulated network, callers and back ends, and the rules that must hold. */
-import { VirtualClock } from '../../common/clock.js';
-import { pick, seededRandom, type RandomSource } from '../../common/random.js';
-import type { Endpoint } from '../../common/types.js';
+import { VirtualClock } from '../../../common/clock.js';
+import { pick, seededRandom, type RandomSource } from '../../../common/random.js';
+import type { Endpoint } from '../../../common/types.js';
 import { PausableClock } from '../../control/pausable-clock.js';
 import { SimulatedNetwork } from '../../control/simulated-network.js';
-import type { PacketView } from '../../fabric/types.js';
+import type { PacketView } from '../../../fabric/types.js';
 import type { Member, MemberState } from '../../membership/types.js';
 import { SHARD_COUNT } from '../constants.js';
 import { ModelFlow } from './model-flow.js';
--- a/src/flow/model/model-flow.ts
+++ b/src/gue-edge/flow/model/model-flow.ts
@@ -1,6 +1,6 @@
 /** One flow of the model check, with its caller, its back end and the rules about it. */
-import type { Endpoint } from '../../common/types.js';
-import type { PacketView } from '../../fabric/types.js';
+import type { Endpoint } from '../../../common/types.js';
+import type { PacketView } from '../../../fabric/types.js';
 import type { ModelNode } from './model-node.js';
 import type { ModelWorld } from './model-world.js';
 import { serviceAddress } from './settings-script.js';
--- a/src/flow/model/model-node.ts
+++ b/src/gue-edge/flow/model/model-node.ts
@@ -1,15 +1,15 @@
 /** One balancer of the model check: a real flow keeper over a scripted membership and a recording edge. */
-import { Subject } from '../../common/event-stream.js';
-import type { RandomSource } from '../../common/random.js';
-import type { Endpoint } from '../../common/types.js';
+import { Subject } from '../../../common/event-stream.js';
+import type { RandomSource } from '../../../common/random.js';
+import type { Endpoint } from '../../../common/types.js';
 import type { PausableClock } from '../../control/pausable-clock.js';
 import type { SimulatedChannel } from '../../control/simulated-network.js';
-import type { EdgePort, PacketView } from '../../fabric/types.js';
+import type { EdgePort, PacketView } from '../../../fabric/types.js';
 import type { BackendHealth } from '../../health/types.js';
 import type { Member, MembershipView, MemberState } from '../../membership/types.js';
 import { createPlacementPolicy } from '../../placement/index.js';
-import { SILENT_EVENT_LOG } from '../../observability/event.js';
-import type { EffectiveSettings } from '../../settings/types.js';
+import { SILENT_EVENT_LOG } from '../../../observability/event.js';
+import type { EffectiveSettings } from '../../../settings/types.js';
 import { FlowKeeper } from '../flow-keeper.js';
 
 /** Short, so that rebases happen while flows are still unknown to their keeper. */
--- a/src/flow/model/model-world.ts
+++ b/src/gue-edge/flow/model/model-world.ts
@@ -1,6 +1,6 @@
 /** What flows and partitions of the model see of its world, and how the world is drawn. */
-import type { RandomSource } from '../../common/random.js';
-import type { PacketView } from '../../fabric/types.js';
+import type { RandomSource } from '../../../common/random.js';
+import type { PacketView } from '../../../fabric/types.js';
 import type { ModelNode } from './model-node.js';
 
 export const SUSPECT_AFTER_MS = 1_200;
--- a/src/flow/model/schedule.ts
+++ b/src/gue-edge/flow/model/schedule.ts
@@ -1,5 +1,5 @@
 /** Random schedules for the model check, their run, and the search for a shorter one that still fails. */
-import { pick, seededRandom, type RandomSource } from '../../common/random.js';
+import { pick, seededRandom, type RandomSource } from '../../../common/random.js';
 import { ModelCluster } from './model-cluster.js';
 import type { ModelOptions } from './model-world.js';
 import type { ModelNode } from './model-node.js';
--- a/src/flow/model/settings-script.ts
+++ b/src/gue-edge/flow/model/settings-script.ts
@@ -1,12 +1,12 @@
 /** Settings versions for the model check: two services whose back ends come, go, drain and change weight. */
-import type { RandomSource } from '../../common/random.js';
-import { hashString } from '../../common/hash.js';
+import type { RandomSource } from '../../../common/random.js';
+import { hashString } from '../../../common/hash.js';
 import {
   UNLIMITED_SERVICE,
   type EffectiveBackend,
   type EffectiveService,
   type EffectiveSettings,
-} from '../../settings/types.js';
+} from '../../../settings/types.js';
 
 /** A back end of the model; the endpoint's port is unique over all services. */
 export interface ModelBackend {
--- a/src/flow/openings.ts
+++ b/src/gue-edge/flow/openings.ts
@@ -2,10 +2,10 @@
  * Openings of flows in shards kept here: choice of the back end, replication of exceptions before the packet goes out,
  * and one more attempt on another back end while the first has accepted nothing.
  */
-import type { PacketView } from '../fabric/types.js';
+import type { PacketView } from '../../fabric/types.js';
 import type { FlowFingerprint, PlacementDecision, RefusalReason } from '../placement/types.js';
 import { RetryBudget } from '../placement/retry-budget.js';
-import type { EffectiveService } from '../settings/types.js';
+import type { EffectiveService } from '../../settings/types.js';
 import type { RefusalCause } from './types.js';
 import type { BackendEntry } from './backend-catalogue.js';
 import { EXCEPTION_RESERVE_BYTES_PER_SECOND, OPEN_TIMEOUT_MS, RETAIN_PACKET_MS } from './constants.js';
--- a/src/flow/packet-forwarder.ts
+++ b/src/gue-edge/flow/packet-forwarder.ts
@@ -1,15 +1,15 @@
 /** The contract between the daemon and whatever decides where packets go: the flow keeper or a baseline. */
-import type { Clock } from '../common/clock.js';
-import type { RandomSource } from '../common/random.js';
-import type { Endpoint } from '../common/types.js';
+import type { Clock } from '../../common/clock.js';
+import type { RandomSource } from '../../common/random.js';
+import type { Endpoint } from '../../common/types.js';
 import type { ControlChannel } from '../control/types.js';
 import type { SettingsFeed } from '../dissemination/types.js';
-import type { EdgePort, PacketView } from '../fabric/types.js';
+import type { EdgePort, PacketView } from '../../fabric/types.js';
 import type { HealthFeed } from '../health/types.js';
 import type { MembershipFeed } from '../membership/types.js';
-import type { EventLog } from '../observability/event.js';
+import type { EventLog } from '../../observability/event.js';
 import type { LoadView, PlacementPolicy, RefusalReason } from '../placement/types.js';
-import type { EffectiveService } from '../settings/types.js';
+import type { EffectiveService } from '../../settings/types.js';
 import type { FlowStatistics } from './types.js';
 
 /** Admits an opening or names the reason of its refusal. */
--- a/src/flow/refusals.test.ts
+++ b/src/gue-edge/flow/refusals.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
-import { VirtualClock } from '../common/clock.js';
-import { seededRandom } from '../common/random.js';
-import type { PacketView } from '../fabric/types.js';
+import { VirtualClock } from '../../common/clock.js';
+import { seededRandom } from '../../common/random.js';
+import type { PacketView } from '../../fabric/types.js';
 import type { Member } from '../membership/types.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { createPlacementPolicy } from '../placement/index.js';
 import type { RefusalReason } from '../placement/types.js';
 import { ORPHAN_WAIT_MS } from './constants.js';
--- a/src/flow/replica-holder.ts
+++ b/src/gue-edge/flow/replica-holder.ts
@@ -1,5 +1,5 @@
 /** The backup's side of replication: stores exceptions, acknowledges heartbeats, and answers with its own placements. */
-import type { Endpoint } from '../common/types.js';
+import type { Endpoint } from '../../common/types.js';
 import type { InboundControlMessage } from '../control/types.js';
 import { HEARTBEAT_MS, LEASE_MARGIN_MS, LEASE_MS } from './constants.js';
 import type { FlowContext } from './flow-context.js';
--- a/src/flow/replica-peer.ts
+++ b/src/gue-edge/flow/replica-peer.ts
@@ -2,7 +2,7 @@
  * A keeper's link to one backup: heartbeats that carry the lease, and batches of exception records that are sent again
  * until they are acknowledged. Batches are applied in order, so a late copy of an old one changes nothing.
  */
-import type { TimerHandle } from '../common/clock.js';
+import type { TimerHandle } from '../../common/clock.js';
 import type { ReplicaPeerDescription } from './packet-forwarder.js';
 import {
   BATCH_FLUSH_MS,
--- a/src/flow/service-index.ts
+++ b/src/gue-edge/flow/service-index.ts
@@ -2,8 +2,8 @@
  * Services by address and port. An address remembers every service it ever stood for, so that established flows of a
  * service that was removed or moved stay with their back ends, and a record of any other service is recognised.
  */
-import { combine32 } from '../common/hash.js';
-import type { EffectiveService } from '../settings/types.js';
+import { combine32 } from '../../common/hash.js';
+import type { EffectiveService } from '../../settings/types.js';
 import { ServiceAddressError } from './errors.js';
 
 /** One service address. */
--- a/src/flow/shard-map.ts
+++ b/src/gue-edge/flow/shard-map.ts
@@ -2,7 +2,7 @@
  * Owners of the shards by a membership view. A pure function of the view's owners (active and suspect members):
  * equal owners give equal maps on every balancer, whatever the order of changes that led there.
  */
-import { combine32, hashString } from '../common/hash.js';
+import { combine32, hashString } from '../../common/hash.js';
 import type { Member, MembershipView } from '../membership/types.js';
 import { MAX_BACKUPS_PER_KEEPER, SHARD_COUNT } from './constants.js';
 
--- a/src/flow/shard-set.ts
+++ b/src/gue-edge/flow/shard-set.ts
@@ -1,5 +1,5 @@
 /** Sets of shards as they travel: bitmaps for many, packed 16-bit numbers for few. */
-import { mix32 } from '../common/hash.js';
+import { mix32 } from '../../common/hash.js';
 import { SHARD_COUNT } from './constants.js';
 import { MalformedRecordError } from './errors.js';
 
--- a/src/health/backend-belief.ts
+++ b/src/gue-edge/health/backend-belief.ts
@@ -4,8 +4,8 @@
  * Rule for conflicting evidence: probes decide, unless openings contradict them. Probes good but openings unanswered: ejected.
  * Probes bad but openings answered: new flows fade over `CONFLICT_FADE_MS`, then stop. Open flows are never touched.
  */
-import { jitter, type RandomSource } from '../common/random.js';
-import type { EffectiveBackend, HealthPolicy } from '../settings/types.js';
+import { jitter, type RandomSource } from '../../common/random.js';
+import type { EffectiveBackend, HealthPolicy } from '../../settings/types.js';
 import {
   BASE_EJECTION_MS,
   CONFLICT_FADE_MS,
--- a/src/health/errors.ts
+++ b/src/gue-edge/health/errors.ts
@@ -1,5 +1,5 @@
 /** Errors of health. */
-import { SailquayError } from '../common/types.js';
+import { SailquayError } from '../../common/types.js';
 
 /** A health message that cannot be read. */
 export class HealthMessageError extends SailquayError {
--- a/src/health/events.ts
+++ b/src/gue-edge/health/events.ts
@@ -1,5 +1,5 @@
 /** Numbered events of health (1900–1999). */
-import { defineEvents } from '../observability/event.js';
+import { defineEvents } from '../../observability/event.js';
 
 export const HEALTH_EVENTS = defineEvents({
   backendUnhealthy: {
--- a/src/health/gossip.test.ts
+++ b/src/gue-edge/health/gossip.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
 import fc from 'fast-check';
-import { VirtualClock } from '../common/clock.js';
-import { combine32 } from '../common/hash.js';
-import { seededRandom } from '../common/random.js';
+import { VirtualClock } from '../../common/clock.js';
+import { combine32 } from '../../common/hash.js';
+import { seededRandom } from '../../common/random.js';
 import type { Member } from '../membership/types.js';
-import { SILENT_EVENT_LOG } from '../observability/event.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { DIGEST_BUCKETS, GOSSIP_INTERVAL_MS, VERDICT_SENDS, VOTES_PER_MESSAGE } from './constants.js';
 import { HealthGossip } from './gossip.js';
 import { decodeUpdate } from './message.js';
--- a/src/health/gossip.ts
+++ b/src/gue-edge/health/gossip.ts
@@ -2,12 +2,12 @@
  * Spreads votes: a changed vote goes to a few random members at once, each of which passes it on a few times; a digest exchanged
  * with one random member now and then repairs what was lost.
  */
-import type { Clock } from '../common/clock.js';
-import { jitter, type RandomSource } from '../common/random.js';
-import { Ticker } from '../common/event-stream.js';
+import type { Clock } from '../../common/clock.js';
+import { jitter, type RandomSource } from '../../common/random.js';
+import { Ticker } from '../../common/event-stream.js';
 import type { ControlChannel, InboundControlMessage } from '../control/types.js';
 import type { Member, MembershipFeed } from '../membership/types.js';
-import type { EventLog } from '../observability/event.js';
+import type { EventLog } from '../../observability/event.js';
 import {
   ANTI_ENTROPY_INTERVAL_MS,
   ANTI_ENTROPY_JITTER,
--- a/src/health/health-monitor.ts
+++ b/src/gue-edge/health/health-monitor.ts
@@ -1,14 +1,14 @@
 /** Wires probing, gossip and beliefs together; the health feed of one balancer. */
-import type { Clock } from '../common/clock.js';
-import { Ticker } from '../common/event-stream.js';
-import { hashString } from '../common/hash.js';
-import type { RandomSource } from '../common/random.js';
+import type { Clock } from '../../common/clock.js';
+import { Ticker } from '../../common/event-stream.js';
+import { hashString } from '../../common/hash.js';
+import type { RandomSource } from '../../common/random.js';
 import type { ControlChannel } from '../control/types.js';
 import type { SettingsFeed } from '../dissemination/types.js';
 import type { MembershipFeed } from '../membership/types.js';
-import type { EventLog } from '../observability/event.js';
+import type { EventLog } from '../../observability/event.js';
 import type { LoadView } from '../placement/types.js';
-import type { EffectiveBackend, EffectiveSettings } from '../settings/types.js';
+import type { EffectiveBackend, EffectiveSettings } from '../../settings/types.js';
 import {
   CONFLICT_FRESH_MS,
   EVALUATION_INTERVAL_MS,
--- a/src/health/health-simulation.ts
+++ b/src/gue-edge/health/health-simulation.ts
@@ -2,20 +2,20 @@
  * Deterministic simulation of a fleet's health monitors: the real monitors on one virtual clock, joined by a simulated control
  * channel, in front of simulated back ends. For tests and for measuring what probing and gossip cost; no sockets.
  */
-import { VirtualClock, type Clock, type TimerHandle } from '../common/clock.js';
-import { hashString } from '../common/hash.js';
-import { seededRandom, type RandomSource } from '../common/random.js';
-import type { Endpoint } from '../common/types.js';
+import { VirtualClock, type Clock, type TimerHandle } from '../../common/clock.js';
+import { hashString } from '../../common/hash.js';
+import { seededRandom, type RandomSource } from '../../common/random.js';
+import type { Endpoint } from '../../common/types.js';
 import type { ControlChannel, InboundControlMessage } from '../control/types.js';
 import type { Member, MemberState, MembershipView } from '../membership/types.js';
-import type { EventDefinition, EventLog } from '../observability/event.js';
+import type { EventDefinition, EventLog } from '../../observability/event.js';
 import {
   UNLIMITED_SERVICE,
   type EffectiveBackend,
   type EffectiveService,
   type EffectiveSettings,
   type HealthPolicy,
-} from '../settings/types.js';
+} from '../../settings/types.js';
 import { HealthMonitor } from './health-monitor.js';
 import { HEALTH_PATH, type ProbeResponse } from './probe.js';
 import type { BackendHealth } from './types.js';
--- a/src/health/own-votes.ts
+++ b/src/gue-edge/health/own-votes.ts
@@ -1,5 +1,5 @@
 /** This balancer's own votes: merges what its prober and its data path say, numbers each change and has it spread. */
-import type { Clock } from '../common/clock.js';
+import type { Clock } from '../../common/clock.js';
 import { isNewer, Verdict, type ReportedLoad, type Vote, type VoteChange, type VoteTable } from './votes.js';
 
 /** Unit of the version's wall-clock part; 2^32 units are 34 years, so a restarted balancer's versions go on rising. */
--- a/src/health/probe.test.ts
+++ b/src/gue-edge/health/probe.test.ts
@@ -1,9 +1,9 @@
 import { createServer, type RequestListener } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import test from 'ava';
-import { VirtualClock } from '../common/clock.js';
-import { seededRandom } from '../common/random.js';
-import type { EffectiveBackend, HealthPolicy } from '../settings/types.js';
+import { VirtualClock } from '../../common/clock.js';
+import { seededRandom } from '../../common/random.js';
+import type { EffectiveBackend, HealthPolicy } from '../../settings/types.js';
 import { REMOTE_PROBE_INTERVAL_FACTOR } from './constants.js';
 import { httpProbe } from './probe.js';
 import { Prober, type ProbeTarget } from './prober.js';
--- a/src/health/probe.ts
+++ b/src/gue-edge/health/probe.ts
@@ -1,6 +1,6 @@
 /** One HTTP request to a back end's health or load endpoint, and how its answer is read. */
 import { Agent, request } from 'undici';
-import { formatEndpoint, type Endpoint } from '../common/types.js';
+import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import { ProbeError } from './errors.js';
 
 export const HEALTH_PATH = '/health';
--- a/src/health/prober-assignment.test.ts
+++ b/src/gue-edge/health/prober-assignment.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import { hashString } from '../common/hash.js';
-import { seededRandom } from '../common/random.js';
+import { hashString } from '../../common/hash.js';
+import { seededRandom } from '../../common/random.js';
 import { ProberRanking, type ProberCandidate } from './prober-assignment.js';
 
 function fleet(members: number, zones: number): ProberCandidate[] {
--- a/src/health/prober.ts
+++ b/src/gue-edge/health/prober.ts
@@ -2,9 +2,9 @@
  * Probes the back ends that are assigned to this balancer. One loop a back end: a health probe each interval, and from the
  * first-ranked prober a load probe beside it.
  */
-import type { Clock, TimerHandle } from '../common/clock.js';
-import { jitter, type RandomSource } from '../common/random.js';
-import type { EffectiveBackend, HealthPolicy } from '../settings/types.js';
+import type { Clock, TimerHandle } from '../../common/clock.js';
+import { jitter, type RandomSource } from '../../common/random.js';
+import type { EffectiveBackend, HealthPolicy } from '../../settings/types.js';
 import {
   CONFIRM_INTERVAL_SHARE,
   LOAD_BYTES_PER_SECOND,
--- a/src/health/service-health.ts
+++ b/src/gue-edge/health/service-health.ts
@@ -1,9 +1,9 @@
 /** Health of one service: the beliefs about its back ends, the cap on ejections, panic, and trust in reported loads. */
-import { formatEndpoint } from '../common/types.js';
-import type { RandomSource } from '../common/random.js';
-import type { EventFields, EventLog } from '../observability/event.js';
+import { formatEndpoint } from '../../common/types.js';
+import type { RandomSource } from '../../common/random.js';
+import type { EventFields, EventLog } from '../../observability/event.js';
 import type { LoadView } from '../placement/types.js';
-import type { EffectiveService } from '../settings/types.js';
+import type { EffectiveService } from '../../settings/types.js';
 import { BackendBelief } from './backend-belief.js';
 import { CONTRADICTION_CONFIRM_MS, PASSIVE_FAILURE_THRESHOLD } from './constants.js';
 import { describeBelief } from './evidence.js';
--- a/src/health/votes.ts
+++ b/src/gue-edge/health/votes.ts
@@ -1,5 +1,5 @@
 /** What each member says of each back end, with versions; the newest vote of a member wins. */
-import { combine32 } from '../common/hash.js';
+import { combine32 } from '../../common/hash.js';
 import { DIGEST_BUCKETS, REMOTE_FAILURE_CAP } from './constants.js';
 import { sailquay } from './pb/health.js';
 
--- a/src/membership/change-reporter.ts
+++ b/src/gue-edge/membership/change-reporter.ts
@@ -1,5 +1,5 @@
 /** Writes the log events of changes in the member table and counts failures. */
-import type { EventLog } from '../observability/event.js';
+import type { EventLog } from '../../observability/event.js';
 import { MEMBERSHIP_EVENTS } from './events.js';
 import { isRemoved } from './member-record.js';
 import type { RecordChange } from './member-table.js';
--- a/src/membership/errors.ts
+++ b/src/gue-edge/membership/errors.ts
@@ -1,5 +1,5 @@
 /** Error kinds of membership. */
-import { SailquayError } from '../common/types.js';
+import { SailquayError } from '../../common/types.js';
 
 export type MembershipErrorKind = 'membership.state' | 'membership.hash-collision';
 
--- a/src/membership/events.ts
+++ b/src/gue-edge/membership/events.ts
@@ -1,5 +1,5 @@
 /** Log events of membership. */
-import { defineEvents } from '../observability/event.js';
+import { defineEvents } from '../../observability/event.js';
 
 export const MEMBERSHIP_EVENTS = defineEvents({
   joined: {
--- a/src/membership/gossiper.ts
+++ b/src/gue-edge/membership/gossiper.ts
@@ -1,6 +1,6 @@
 /** Gossip rounds: while there is news, a few random members get some of it in each round. */
-import type { RandomSource } from '../common/random.js';
-import type { TimerHandle } from '../common/clock.js';
+import type { RandomSource } from '../../common/random.js';
+import type { TimerHandle } from '../../common/clock.js';
 import {
   GOSSIP_BYTES,
   GOSSIP_FANOUT,
--- a/src/membership/guarded-timers.ts
+++ b/src/gue-edge/membership/guarded-timers.ts
@@ -1,5 +1,5 @@
 /** Timers that notice when the process did not run: a pause is reported before any late timer does its work. */
-import type { Clock, TimerHandle } from '../common/clock.js';
+import type { Clock, TimerHandle } from '../../common/clock.js';
 
 /** Called with the time the process lost, in ms, before the late timer's own callback. */
 export type PauseListener = (lostMs: number) => void;
--- a/src/membership/joiner.ts
+++ b/src/gue-edge/membership/joiner.ts
@@ -1,9 +1,9 @@
 /** Finds a first member to talk to, from the configured seeds and the platform's machine list, which are hints only. */
-import type { TimerHandle } from '../common/clock.js';
-import { jitter, type RandomSource } from '../common/random.js';
-import { formatEndpoint, sameEndpoint, type Endpoint } from '../common/types.js';
-import type { EventLog } from '../observability/event.js';
-import type { StoreClient } from '../store/types.js';
+import type { TimerHandle } from '../../common/clock.js';
+import { jitter, type RandomSource } from '../../common/random.js';
+import { formatEndpoint, sameEndpoint, type Endpoint } from '../../common/types.js';
+import type { EventLog } from '../../observability/event.js';
+import type { StoreClient } from '../../store/types.js';
 import { JOIN_FANOUT, JOIN_RETRY_MAX_MS, JOIN_RETRY_MIN_MS, type MembershipTiming } from './constants.js';
 import { MEMBERSHIP_EVENTS } from './events.js';
 import type { GuardedTimers } from './guarded-timers.js';
--- a/src/membership/member-record.ts
+++ b/src/gue-edge/membership/member-record.ts
@@ -1,6 +1,6 @@
 /** What a member knows of a member, and the order of that knowledge. */
-import { hashString, combine32, mix32 } from '../common/hash.js';
-import type { Endpoint } from '../common/types.js';
+import { hashString, combine32, mix32 } from '../../common/hash.js';
+import type { Endpoint } from '../../common/types.js';
 import type { Member, MemberState } from './types.js';
 
 /** Planned course of a member; each state overrules the earlier ones of the same incarnation and refutation. */
--- a/src/membership/member-table.test.ts
+++ b/src/gue-edge/membership/member-table.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import { VirtualClock } from '../common/clock.js';
-import { hashString } from '../common/hash.js';
+import { VirtualClock } from '../../common/clock.js';
+import { hashString } from '../../common/hash.js';
 import { FAILED_RETENTION_MS, LEFT_RETENTION_MS } from './constants.js';
 import { GossipQueue, retransmitLimit } from './gossip-queue.js';
 import type { Lifecycle, MemberIdentity } from './member-record.js';
--- a/src/membership/member-table.ts
+++ b/src/gue-edge/membership/member-table.ts
@@ -1,6 +1,6 @@
 /** All known members and the rules by which news about them is merged. */
-import type { Clock } from '../common/clock.js';
-import { hashString } from '../common/hash.js';
+import type { Clock } from '../../common/clock.js';
+import { hashString } from '../../common/hash.js';
 import { DIGEST_BUCKETS, FAILED_RETENTION_MS, LEFT_RETENTION_MS } from './constants.js';
 import {
   compareVersions,
--- a/src/membership/membership-options.ts
+++ b/src/gue-edge/membership/membership-options.ts
@@ -1,10 +1,10 @@
 /** What membership needs and what it counts. */
-import type { Clock } from '../common/clock.js';
-import type { RandomSource } from '../common/random.js';
-import type { Endpoint } from '../common/types.js';
+import type { Clock } from '../../common/clock.js';
+import type { RandomSource } from '../../common/random.js';
+import type { Endpoint } from '../../common/types.js';
 import type { ControlChannel } from '../control/types.js';
-import type { EventLog } from '../observability/event.js';
-import type { StoreClient } from '../store/types.js';
+import type { EventLog } from '../../observability/event.js';
+import type { StoreClient } from '../../store/types.js';
 import type { MembershipTiming } from './constants.js';
 import type { MemberIdentity } from './member-record.js';
 
--- a/src/membership/messenger.ts
+++ b/src/gue-edge/membership/messenger.ts
@@ -1,6 +1,6 @@
 /** Sends membership messages: adds the region and entries waiting to be spread, and cuts off what does not fit. */
 import type { ControlChannel } from '../control/types.js';
-import type { Endpoint } from '../common/types.js';
+import type { Endpoint } from '../../common/types.js';
 import type { GossipQueue } from './gossip-queue.js';
 import { encodeMessage, type WireMessageFields } from './wire.js';
 
--- a/src/membership/prober.ts
+++ b/src/gue-edge/membership/prober.ts
@@ -1,7 +1,7 @@
 /** Failure detector: probes one member an interval, in turn, directly and then through other members. */
-import type { TimerHandle } from '../common/clock.js';
-import type { RandomSource } from '../common/random.js';
-import type { Endpoint } from '../common/types.js';
+import type { TimerHandle } from '../../common/clock.js';
+import type { RandomSource } from '../../common/random.js';
+import type { Endpoint } from '../../common/types.js';
 import {
   BLIND_PROBES,
   INDIRECT_PROBES,
--- a/src/membership/quorum-exchange.ts
+++ b/src/gue-edge/membership/quorum-exchange.ts
@@ -1,5 +1,5 @@
 /** Spreads the quorum base: a member that meets a higher epoch fetches that base from whoever has it. */
-import type { Endpoint } from '../common/types.js';
+import type { Endpoint } from '../../common/types.js';
 import type { GuardedTimers } from './guarded-timers.js';
 import type { Messenger } from './messenger.js';
 import type { QuorumBase } from './quorum-base.js';
--- a/src/membership/quorum-lease.ts
+++ b/src/gue-edge/membership/quorum-lease.ts
@@ -4,8 +4,8 @@
  * In a quorate region of several members the lowest-id one holds it, so that a member cut off from the others cannot get it. A sole
  * survivor tries only after witnessWaitMs, which is longer than the lease: a majority elsewhere comes first.
  */
-import type { Clock, TimerHandle } from '../common/clock.js';
-import type { Lease, StoreClient } from '../store/types.js';
+import type { Clock, TimerHandle } from '../../common/clock.js';
+import type { Lease, StoreClient } from '../../store/types.js';
 
 /** The part of the platform client that is used. */
 export type LeasePlatform = Pick<StoreClient, 'acquireLease' | 'releaseLease'>;
--- a/src/membership/quorum.test.ts
+++ b/src/gue-edge/membership/quorum.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import Result from 'true-myth/result';
-import type { VirtualClock } from '../common/clock.js';
-import { seededRandom, pick } from '../common/random.js';
-import { StoreError } from '../store/errors.js';
+import type { VirtualClock } from '../../common/clock.js';
+import { seededRandom, pick } from '../../common/random.js';
+import { StoreError } from '../../store/errors.js';
 import { SimulatedCluster } from './simulated-cluster.js';
 import type { MembershipPlatform } from './membership-options.js';
 
--- a/src/membership/quorum.ts
+++ b/src/gue-edge/membership/quorum.ts
@@ -7,7 +7,7 @@
 import type { MemberTable, RecordChange } from './member-table.js';
 import { QuorumBase, type QuorumStanding } from './quorum-base.js';
 import { QuorumLease, type LeasePlatform } from './quorum-lease.js';
-import type { Clock } from '../common/clock.js';
+import type { Clock } from '../../common/clock.js';
 import type { Suspicions } from './suspicion.js';
 
 /** What the decision rests on. */
--- a/src/membership/sampling.ts
+++ b/src/gue-edge/membership/sampling.ts
@@ -1,5 +1,5 @@
 /** Random choice of members. */
-import type { RandomSource } from '../common/random.js';
+import type { RandomSource } from '../../common/random.js';
 import type { MemberRecord } from './member-record.js';
 
 const TRIES_PER_MEMBER = 4;
--- a/src/membership/simulated-cluster.ts
+++ b/src/gue-edge/membership/simulated-cluster.ts
@@ -1,10 +1,10 @@
 /** A region of members on a simulated network and a virtual clock, for tests and the cost model. */
-import { VirtualClock } from '../common/clock.js';
-import { combine32 } from '../common/hash.js';
-import { seededRandom } from '../common/random.js';
+import { VirtualClock } from '../../common/clock.js';
+import { combine32 } from '../../common/hash.js';
+import { seededRandom } from '../../common/random.js';
 import { PausableClock, SimulatedNetwork, type SimulatedChannel } from '../control/index.js';
-import type { Endpoint } from '../common/types.js';
-import type { EventLog } from '../observability/event.js';
+import type { Endpoint } from '../../common/types.js';
+import type { EventLog } from '../../observability/event.js';
 import type { MembershipTiming } from './constants.js';
 import type { MemberIdentity } from './member-record.js';
 import type { MembershipPlatform } from './membership-options.js';
--- a/src/membership/state-sync.ts
+++ b/src/gue-edge/membership/state-sync.ts
@@ -1,7 +1,7 @@
 /** Anti-entropy: compares digests with one random member and exchanges the buckets of members that differ. */
-import type { TimerHandle } from '../common/clock.js';
-import { jitter, type RandomSource } from '../common/random.js';
-import { formatEndpoint, type Endpoint } from '../common/types.js';
+import type { TimerHandle } from '../../common/clock.js';
+import { jitter, type RandomSource } from '../../common/random.js';
+import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import {
   DIGEST_BUCKETS,
   GOSSIP_BYTES,
--- a/src/membership/suspicion.ts
+++ b/src/gue-edge/membership/suspicion.ts
@@ -1,5 +1,5 @@
 /** Running suspicions: each ends by a refutation or, after a time that confirmations shorten, by removal. */
-import type { TimerHandle } from '../common/clock.js';
+import type { TimerHandle } from '../../common/clock.js';
 import { SUSPICION_CONFIRMATIONS, SUSPICION_MAX_FACTOR, type MembershipTiming } from './constants.js';
 import type { GuardedTimers } from './guarded-timers.js';
 
--- a/src/membership/swim-membership.test.ts
+++ b/src/gue-edge/membership/swim-membership.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import { Subject } from '../common/event-stream.js';
-import { hashString } from '../common/hash.js';
-import type { EventDefinition } from '../observability/event.js';
+import { Subject } from '../../common/event-stream.js';
+import { hashString } from '../../common/hash.js';
+import type { EventDefinition } from '../../observability/event.js';
 import { measureMembershipCost } from './cost-model.js';
 import { MEMBERSHIP_EVENTS } from './events.js';
 import { SimulatedCluster, type SimulatedMember } from './simulated-cluster.js';
--- a/src/membership/swim-membership.ts
+++ b/src/gue-edge/membership/swim-membership.ts
@@ -1,9 +1,9 @@
 /** Membership of one balancer: failure detection, gossip, anti-entropy and quorum put together. */
-import { hashString } from '../common/hash.js';
-import { jitter, pick } from '../common/random.js';
-import type { Endpoint } from '../common/types.js';
+import { hashString } from '../../common/hash.js';
+import { jitter, pick } from '../../common/random.js';
+import type { Endpoint } from '../../common/types.js';
 import type { InboundControlMessage } from '../control/types.js';
-import { SILENT_EVENT_LOG, type EventLog } from '../observability/event.js';
+import { SILENT_EVENT_LOG, type EventLog } from '../../observability/event.js';
 import {
   DEFAULT_MEMBERSHIP_TIMING,
   GOSSIP_FANOUT,
--- a/src/membership/types.ts
+++ b/src/gue-edge/membership/types.ts
@@ -1,5 +1,5 @@
 /** Membership of the balancers of one region, as the other slices see it. */
-import type { Endpoint } from '../common/types.js';
+import type { Endpoint } from '../../common/types.js';
 
 /**
  * joining: known, takes no shards yet. active: takes shards. suspect: failed probes, still counted as owner.
--- a/src/membership/udp-membership.test.ts
+++ b/src/gue-edge/membership/udp-membership.test.ts
@@ -3,8 +3,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import test from 'ava';
-import { SystemClock } from '../common/clock.js';
-import { seededRandom } from '../common/random.js';
+import { SystemClock } from '../../common/clock.js';
+import { seededRandom } from '../../common/random.js';
 import { UdpControlChannel } from '../control/index.js';
 import { SwimMembership } from './swim-membership.js';
 
--- a/src/membership/view-publisher.ts
+++ b/src/gue-edge/membership/view-publisher.ts
@@ -1,7 +1,7 @@
 /** Builds immutable views and gathers changes that come close together into one. */
-import type { Clock, TimerHandle } from '../common/clock.js';
-import { Subject } from '../common/event-stream.js';
-import { combine32 } from '../common/hash.js';
+import type { Clock, TimerHandle } from '../../common/clock.js';
+import { Subject } from '../../common/event-stream.js';
+import { combine32 } from '../../common/hash.js';
 import { ownsShards, toMember, type MemberRecord } from './member-record.js';
 import type { MemberTable } from './member-table.js';
 import type { Member, MembershipView } from './types.js';
--- a/src/membership/wire.test.ts
+++ b/src/gue-edge/membership/wire.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import fc from 'fast-check';
-import { hashString } from '../common/hash.js';
+import { hashString } from '../../common/hash.js';
 import { LIFECYCLES, newRecord, type MemberIdentity, type MemberRecord } from './member-record.js';
 import { decodeEntry, decodeMessage, encodeEntry } from './wire.js';
 
--- a/src/membership/wire.ts
+++ b/src/gue-edge/membership/wire.ts
@@ -1,5 +1,5 @@
 /** Conversion between membership messages and their protobuf form (pb/membership.proto). */
-import type { Endpoint } from '../common/types.js';
+import type { Endpoint } from '../../common/types.js';
 import { sailquay } from './pb/membership.js';
 import {
   LIFECYCLES,
--- a/src/placement/balance-simulation.ts
+++ b/src/gue-edge/placement/balance-simulation.ts
@@ -2,11 +2,11 @@
  * Deterministic simulation of placement: keepers that share the openings of one service, flows with random lifetimes, back ends
  * that report their load late, and faults on demand. It runs the real policies on a virtual clock; no network, no wall time.
  */
-import { VirtualClock } from '../common/clock.js';
-import { hashString } from '../common/hash.js';
-import { jitter, seededRandom, type RandomSource } from '../common/random.js';
+import { VirtualClock } from '../../common/clock.js';
+import { hashString } from '../../common/hash.js';
+import { jitter, seededRandom, type RandomSource } from '../../common/random.js';
 import type { BackendHealth, HealthFeed } from '../health/types.js';
-import { UNLIMITED_SERVICE, type EffectiveBackend, type EffectiveService } from '../settings/types.js';
+import { UNLIMITED_SERVICE, type EffectiveBackend, type EffectiveService } from '../../settings/types.js';
 import { ImbalanceRecorder, type Imbalance } from './balance-recorder.js';
 import { createPlacementPolicy, type CountingPolicy } from './create-policy.js';
 import type { PlacementMode } from './types.js';
--- a/src/placement/baseline-policies.ts
+++ b/src/gue-edge/placement/baseline-policies.ts
@@ -1,5 +1,5 @@
 /** The policies that the product is measured against. */
-import { pick } from '../common/random.js';
+import { pick } from '../../common/random.js';
 import { firstOnly } from './bounded-load-policy.js';
 import { listCandidates, type Candidate } from './candidates.js';
 import type { PlacementOptions } from './policy-options.js';
--- a/src/placement/candidates.ts
+++ b/src/gue-edge/placement/candidates.ts
@@ -1,5 +1,5 @@
 /** The back ends of a service that may take an opening now. */
-import type { EffectiveBackend } from '../settings/types.js';
+import type { EffectiveBackend } from '../../settings/types.js';
 import type { BackendHealth } from '../health/types.js';
 import { CAPACITY_SLACK } from './constants.js';
 import type { PlacementRequest } from './types.js';
--- a/src/placement/errors.ts
+++ b/src/gue-edge/placement/errors.ts
@@ -1,5 +1,5 @@
 /** Errors of placement. */
-import { SailquayError } from '../common/types.js';
+import { SailquayError } from '../../common/types.js';
 
 /** A placement mode that does not exist. */
 export class UnknownPlacementModeError extends SailquayError {
--- a/src/placement/events.ts
+++ b/src/gue-edge/placement/events.ts
@@ -1,5 +1,5 @@
 /** Numbered events of placement (1300–1399). */
-import { defineEvents } from '../observability/event.js';
+import { defineEvents } from '../../observability/event.js';
 
 export const PLACEMENT_EVENTS = defineEvents({
   noEligibleBackend: {
--- a/src/placement/exception-budget.ts
+++ b/src/gue-edge/placement/exception-budget.ts
@@ -1,7 +1,7 @@
 /** Turns a budget of replication bytes a second into the share of openings that may be exceptions. */
-import type { Clock } from '../common/clock.js';
+import type { Clock } from '../../common/clock.js';
 import { BYTES_PER_EXCEPTION, EXCEPTION_RATE_WINDOW_MS, TARGET_EXCEPTION_SHARE } from './constants.js';
-import { DecayingRate } from './decaying-rate.js';
+import { DecayingRate } from '../../common/decaying-rate.js';
 import { exceptionShareForBudget } from './policy-options.js';
 
 const MS_PER_SECOND = 1_000;
--- a/src/placement/limits.test.ts
+++ b/src/gue-edge/placement/limits.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import { VirtualClock } from '../common/clock.js';
-import { seededRandom } from '../common/random.js';
-import { UNLIMITED_SERVICE, type EffectiveService, type ServiceLimits } from '../settings/types.js';
+import { VirtualClock } from '../../common/clock.js';
+import { seededRandom } from '../../common/random.js';
+import { UNLIMITED_SERVICE, type EffectiveService, type ServiceLimits } from '../../settings/types.js';
 import { ExceptionBudget } from './exception-budget.js';
 import { OpeningLimiter } from './opening-limiter.js';
 import { RetryBudget } from './retry-budget.js';
--- a/src/placement/opening-limiter.ts
+++ b/src/gue-edge/placement/opening-limiter.ts
@@ -7,8 +7,8 @@
  * client with few flows whose shards fall to one balancer gets about max(1, L / n) there. Each share allows at least one
  * opening a second and one connection, so a fleet larger than the limit admits up to one for each balancer.
  */
-import type { Clock } from '../common/clock.js';
-import type { EffectiveService } from '../settings/types.js';
+import type { Clock } from '../../common/clock.js';
+import type { EffectiveService } from '../../settings/types.js';
 import { BURST_MS, MAX_TRACKED_CLIENTS } from './constants.js';
 import { TokenBucket } from './token-bucket.js';
 import type { RefusalReason } from './types.js';
--- a/src/placement/policies.test.ts
+++ b/src/gue-edge/placement/policies.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
 import fc from 'fast-check';
-import { VirtualClock } from '../common/clock.js';
-import { hashString } from '../common/hash.js';
-import { seededRandom } from '../common/random.js';
+import { VirtualClock } from '../../common/clock.js';
+import { hashString } from '../../common/hash.js';
+import { seededRandom } from '../../common/random.js';
 import type { BackendHealth } from '../health/types.js';
-import { UNLIMITED_SERVICE, type EffectiveBackend, type EffectiveService } from '../settings/types.js';
+import { UNLIMITED_SERVICE, type EffectiveBackend, type EffectiveService } from '../../settings/types.js';
 import { BoundedLoadPolicy } from './bounded-load-policy.js';
 import { createPlacementPolicy, PLACEMENT_MODES } from './create-policy.js';
 import { UnknownPlacementModeError } from './errors.js';
--- a/src/placement/policy-options.ts
+++ b/src/gue-edge/placement/policy-options.ts
@@ -1,7 +1,7 @@
 /** What a policy is made with. */
-import type { Clock } from '../common/clock.js';
-import type { RandomSource } from '../common/random.js';
-import type { EventLog } from '../observability/event.js';
+import type { Clock } from '../../common/clock.js';
+import type { RandomSource } from '../../common/random.js';
+import type { EventLog } from '../../observability/event.js';
 
 /** Options of `createPlacementPolicy`. */
 export interface PlacementOptions {
--- a/src/placement/service-balance.ts
+++ b/src/gue-edge/placement/service-balance.ts
@@ -3,7 +3,7 @@
  * is tolerated before an opening is placed beside its first choice.
  */
 import type { Candidate } from './candidates.js';
-import { DecayingRate } from './decaying-rate.js';
+import { DecayingRate } from '../../common/decaying-rate.js';
 import {
   BIAS_GAIN,
   EXCEPTION_AVERAGE_DECISIONS,
--- a/src/placement/token-bucket.ts
+++ b/src/gue-edge/placement/token-bucket.ts
@@ -1,5 +1,5 @@
 /** A token bucket on a clock. */
-import type { Clock } from '../common/clock.js';
+import type { Clock } from '../../common/clock.js';
 
 const MS_PER_SECOND = 1_000;
 
--- a/src/placement/types.ts
+++ b/src/gue-edge/placement/types.ts
@@ -1,5 +1,5 @@
 /** Choice of a back end for an opening. */
-import type { EffectiveBackend, EffectiveService } from '../settings/types.js';
+import type { EffectiveBackend, EffectiveService } from '../../settings/types.js';
 import type { HealthFeed } from '../health/types.js';
 
 /** Two 32-bit halves of a flow's hash; equal flows have equal fingerprints on every balancer. */
--- a/src/observability/index.ts
+++ b/src/observability/index.ts
@@ -19,5 +19,5 @@
   type EventLog,
 } from './event.js';
 export { ConsolaEventLog, type EventLogOptions, type LogFormat } from './event-log.js';
-export { DaemonMetrics, type MetricsSnapshot } from './metrics.js';
+export { DaemonMetrics, type MetricsSnapshot } from '../gue-edge/daemon/metrics.js';
 export type { CountsByLabel } from './metrics-page.js';
--- a/src/observability/observability.test.ts
+++ b/src/observability/observability.test.ts
@@ -8,7 +8,7 @@
 import { checkEvents, collectEvents, renderCatalogue, type CatalogueEntry } from './event-catalogue.js';
 import { ConsolaEventLog, type EventLogOptions } from './event-log.js';
 import type { EventDefinition } from './event.js';
-import { DaemonMetrics, type MetricsSnapshot } from './metrics.js';
+import { DaemonMetrics, type MetricsSnapshot } from '../gue-edge/daemon/metrics.js';
 
 const SOURCE = fileURLToPath(new URL('..', import.meta.url));
 const PAGE = fileURLToPath(new URL('../../docs/EVENTS.md', import.meta.url));
--- a/tools/run-tests.mjs
+++ b/tools/run-tests.mjs
@@ -21,10 +21,10 @@
   'platform/soak/soak.test.ts',
   'platform/whole-path.test.ts',
   'src/cli/commands.test.ts',
-  'src/daemon/whole-path.test.ts',
+  'src/gue-edge/daemon/whole-path.test.ts',
   'src/experiment/forwarding/forwarding-workers.test.ts',
   'src/experiment/smoke.test.ts',
-  'src/membership/udp-membership.test.ts',
+  'src/gue-edge/membership/udp-membership.test.ts',
   'src/standin/caller/standin-path.test.ts',
 ];
 
