--- a/contract/surfaces/operator-files.ts
+++ b/contract/surfaces/operator-files.ts
@@ -41,7 +41,7 @@
 
 /** Field names of the file of reached figures. */
 export async function regressionFile(): Promise<unknown> {
-  const text = readFileSync(`${ROOT_DIRECTORY}platform/regression/reached.json`, 'utf8');
+  const text = readFileSync(`${ROOT_DIRECTORY}platform/tools/regression/reached.json`, 'utf8');
   const sites = JSON.parse(text) as object[];
   return [...new Set(sites.flatMap((site) => Object.keys(site)))].sort();
 }
--- a/contract/surfaces/operator-source.ts
+++ b/contract/surfaces/operator-source.ts
@@ -32,7 +32,7 @@
     .getSourceFiles()
     .filter(
       ({ fileName, isDeclarationFile }) =>
-        !isDeclarationFile && !/\/(node_modules|contract|tools)\//.test(fileName),
+        !isDeclarationFile && !/\/(node_modules|contract)\//.test(fileName),
     )
     .sort((left, right) => (left.fileName < right.fileName ? -1 : 1));
 }
--- a/tools/run-tests.mjs
+++ b/tools/run-tests.mjs
@@ -18,7 +18,7 @@
 
 /** Files that run one at a time, beside no other. */
 const SERIAL_FILES = [
-  'platform/soak/soak.test.ts',
+  'platform/tools/soak/soak.test.ts',
   'platform/whole-path.test.ts',
   'src/cli/commands.test.ts',
   'src/gue-edge/daemon/whole-path.test.ts',
--- a/tools/write-code-cache.mjs
+++ b/tools/write-code-cache.mjs
@@ -1,6 +1,6 @@
 /**
  * Writes the code cache of a bundled daemon: runs it on loopback in surroundings that make it do what a daemon does in its
- * first seconds (platform/warm-up), and keeps what V8 compiled. Functions that did not run are compiled by each daemon anew,
+ * first seconds (platform/tools/warm-up), and keeps what V8 compiled. Functions that did not run are compiled by each daemon anew,
  * which costs a small machine tenths of a second. The argument is the folder of the bundle. To be run with the V8 flags with
  * which the daemon is run: V8 refuses a cache made with others.
  */
@@ -20,7 +20,7 @@
 const cachePath = join(directory, 'sailquay-daemon.cache');
 
 await build({
-  entryPoints: [fileURLToPath(new URL('../platform/warm-up/warm-up.ts', import.meta.url))],
+  entryPoints: [fileURLToPath(new URL('../platform/tools/warm-up/warm-up.ts', import.meta.url))],
   ...{ bundle: true, platform: 'node', target: 'node20', format: 'esm', logLevel: 'warning' },
   outfile: warmUpPath,
 });
