--- a/src/common/drain.ts
+++ b/src/common/drain.ts
@@ -1,6 +1,8 @@
 /** Waits until no data packet arrives any more, within a longest time. */
 import type { Clock } from './clock.js';
-import { DRAIN_POLL_INTERVAL_MS } from '../gue-edge/daemon/constants.js';
+
+/** How often a stopping daemon looks whether packets still arrive, in ms. */
+const DRAIN_POLL_INTERVAL_MS = 100;
 
 /** What the wait looks at. */
 export interface DrainOptions {
--- a/src/gue-edge/daemon/constants.ts
+++ b/src/gue-edge/daemon/constants.ts
@@ -24,9 +24,6 @@
 /** A stopping daemon ends after this long at the latest. */
 export const DEFAULT_DRAIN_MAX_MS = 60_000;
 
-/** How often a stopping daemon looks whether packets still arrive. */
-export const DRAIN_POLL_INTERVAL_MS = 100;
-
 /** How often a starting daemon looks whether it may become active. */
 export const ACTIVATION_POLL_INTERVAL_MS = 100;
 
--- a/src/gue-edge/daemon/daemon.ts
+++ b/src/gue-edge/daemon/daemon.ts
@@ -1,6 +1,7 @@
 /** The life of one balancer: it joins, becomes active, rereads its configuration, hands over and stops. */
 import { formatEndpoint } from '../../common/types.js';
-import { DaemonMetrics, type AdminSource, type Readiness } from '../../observability/index.js';
+import type { AdminSource, Readiness } from '../../observability/index.js';
+import { DaemonMetrics } from './metrics.js';
 import type { Components, DaemonEnvironment } from './components.js';
 import { changedFields, type DaemonConfig } from './config.js';
 import { ACTIVATION_POLL_INTERVAL_MS } from './constants.js';
--- a/src/gue-edge/daemon/status-source.ts
+++ b/src/gue-edge/daemon/status-source.ts
@@ -2,7 +2,8 @@
 import { formatEndpoint } from '../../common/types.js';
 import type { BackendHealth } from '../health/types.js';
 import type { MemberState } from '../membership/types.js';
-import type { CountsByLabel, MetricsSnapshot, Readiness } from '../../observability/index.js';
+import type { CountsByLabel, Readiness } from '../../observability/index.js';
+import type { MetricsSnapshot } from './metrics.js';
 import type { EffectiveBackend, EffectiveService } from '../../settings/types.js';
 import type { Components } from './components.js';
 import type {
--- a/src/observability/event-catalogue.ts
+++ b/src/observability/event-catalogue.ts
@@ -1,15 +1,13 @@
 /** Collects the events that all slices declare, checks their numbers and writes the catalogue page. */
 import { readdirSync } from 'node:fs';
-import { join } from 'node:path';
+import { dirname, join, sep } from 'node:path';
 import { pathToFileURL } from 'node:url';
 import { ObservabilityError } from './errors.js';
 import { EVENT_RANGES, type EventDefinition } from './event.js';
 
-/** Numbers in each slice's range. */
-const RANGE_LENGTH = 100;
-
 /** An event with the slice that declares it. */
 export interface CatalogueEntry extends EventDefinition {
+  /** Folder under `src/`, with `/` between its parts. */
   readonly slice: string;
   /** Name in the slice's code. */
   readonly name: string;
@@ -20,7 +18,7 @@
   const entries: CatalogueEntry[] = [];
   const files = readdirSync(sourceDirectory, { recursive: true, encoding: 'utf8' });
   for (const file of files.filter((name) => /(^|[/\\])events\.[jt]s$/.test(name)).sort()) {
-    const slice = file.split(/[/\\]/)[0] ?? file;
+    const slice = dirname(file).split(sep).join('/');
     const module: unknown = await import(pathToFileURL(join(sourceDirectory, file)).href);
     entries.push(...declaredIn(slice, module as Record<string, unknown>));
   }
@@ -32,9 +30,9 @@
   const faults: string[] = [];
   const owners = new Map<number, string>();
   for (const { number, slice, name } of entries) {
-    const first = EVENT_RANGES[slice as keyof typeof EVENT_RANGES];
+    const range = EVENT_RANGES[slice];
     const label = `${slice}.${name}`;
-    if (first === undefined || number < first || number >= first + RANGE_LENGTH) {
+    if (range === undefined || number < range.first || number > range.last) {
       faults.push(`${label} has number ${number}, outside the range of ${slice}`);
     }
     const other = owners.get(number);
--- a/src/observability/event.ts
+++ b/src/observability/event.ts
@@ -6,24 +6,31 @@
 /** Severity of an event. */
 export type EventLevel = 'debug' | 'info' | 'warn' | 'error';
 
-/** First event number of each slice; a slice owns the hundred numbers from there. */
-export const EVENT_RANGES = {
-  daemon: 1000,
-  fabric: 1100,
-  flow: 1200,
-  placement: 1300,
-  membership: 1400,
-  dissemination: 1500,
-  settings: 1600,
-  store: 1700,
-  control: 1800,
-  health: 1900,
-  routing: 2000,
-  'cookie-daemon': 2100,
-  spreading: 2200,
-  load: 2300,
-  outliers: 2400,
-} as const;
+/** Event numbers of one slice. */
+export interface EventRange {
+  readonly first: number;
+  readonly last: number;
+}
+
+/** Event numbers of each slice, by its folder under `src/`. */
+export const EVENT_RANGES: Readonly<Record<string, EventRange>> = {
+  'gue-edge/daemon': { first: 1000, last: 1099 },
+  fabric: { first: 1100, last: 1199 },
+  'gue-edge/flow': { first: 1200, last: 1249 },
+  'cookie-edge/forwarding': { first: 1250, last: 1299 },
+  'gue-edge/placement': { first: 1300, last: 1399 },
+  'gue-edge/membership': { first: 1400, last: 1499 },
+  'gue-edge/dissemination': { first: 1500, last: 1599 },
+  settings: { first: 1600, last: 1699 },
+  store: { first: 1700, last: 1799 },
+  'gue-edge/control': { first: 1800, last: 1899 },
+  'gue-edge/health': { first: 1900, last: 1999 },
+  'cookie-edge/routing': { first: 2000, last: 2099 },
+  'cookie-edge/daemon': { first: 2100, last: 2199 },
+  'cookie-edge/spreading': { first: 2200, last: 2299 },
+  'cookie-edge/load': { first: 2300, last: 2399 },
+  'cookie-edge/outliers': { first: 2400, last: 2499 },
+};
 
 /** A declared event. */
 export interface EventDefinition {
--- a/src/observability/index.ts
+++ b/src/observability/index.ts
@@ -1,9 +1,8 @@
 /**
- * Logs, metrics and the admin server of a daemon.
+ * Logs, metrics pages and the admin server of a daemon.
  *
  * ```ts
  * const events = new ConsolaEventLog({ format: 'json', level: 'info', memberId: 'balancer-1', clock });
- * const metrics = new DaemonMetrics(() => snapshot());
  * const admin = await AdminServer.listen({ host: '127.0.0.1', port: 0 }, source);
  * ```
  */
@@ -17,7 +16,7 @@
   type EventFields,
   type EventLevel,
   type EventLog,
+  type EventRange,
 } from './event.js';
 export { ConsolaEventLog, type EventLogOptions, type LogFormat } from './event-log.js';
-export { DaemonMetrics, type MetricsSnapshot } from '../gue-edge/daemon/metrics.js';
 export type { CountsByLabel } from './metrics-page.js';
