--- a/contract/surfaces/operator-metrics.ts
+++ b/contract/surfaces/operator-metrics.ts
@@ -29,10 +29,23 @@
 function snapshot(): MetricsSnapshot {
   const flow = new Proxy({}, { get: () => 1 }) as MetricsSnapshot['flow'];
   return {
-    ...{ flow, refusals: COUNTS, edgeDrops: COUNTS, controlBytesSent: COUNTS, controlBytesReceived: COUNTS },
-    ...{ controlDrops: COUNTS, membersByState: COUNTS, backendsByCondition: COUNTS },
-    ...{ settingsVersion: 1, settingsInForceSeconds: 1, settingsDelaySeconds: 1, settingsReader: true },
-    ...{ flowTableBytes: 1, quorate: true, ready: true, cpuSeconds: 1, residentBytes: 1 },
+    flow,
+    refusals: COUNTS,
+    edgeDrops: COUNTS,
+    controlBytesSent: COUNTS,
+    controlBytesReceived: COUNTS,
+    controlDrops: COUNTS,
+    membersByState: COUNTS,
+    backendsByCondition: COUNTS,
+    settingsVersion: 1,
+    settingsInForceSeconds: 1,
+    settingsDelaySeconds: 1,
+    settingsReader: true,
+    flowTableBytes: 1,
+    quorate: true,
+    ready: true,
+    cpuSeconds: 1,
+    residentBytes: 1,
   };
 }
 
@@ -46,7 +59,12 @@
   const parts = {
     clock: { now: () => 0 },
     forwarder: {
-      ...{ statistics, flowCount: 1, probes: 1, ejections: 1, outliers, answers },
+      statistics,
+      flowCount: 1,
+      probes: 1,
+      ejections: 1,
+      outliers,
+      answers,
     },
     knowledge: {
       routes: () => ({ table: { version: 1 } }),
@@ -55,7 +73,9 @@
       topics: ['routes', 'backends', 'cordons'],
       ageOf: () => 1,
     },
-    ...{ circuit: { isLost: false }, reading: { calls: 1 }, problems: { count: 1 } },
+    circuit: { isLost: false },
+    reading: { calls: 1 },
+    problems: { count: 1 },
     spreader: { isReading: true, peerCount: 1, statistics: { bytesSent: 1, bytesReceived: 1, fetches: 1 } },
   };
   return parts as unknown as CookieDaemonComponents;
--- a/contract/surfaces/wire-fleet.ts
+++ b/contract/surfaces/wire-fleet.ts
@@ -28,8 +28,14 @@
 type Envelope = Parameters<typeof sealEnvelope>[0];
 
 const ENVELOPE: Envelope = {
-  ...{ versionMin: 1, versionMax: 3, senderId: 'balancer-1', senderIncarnation: 1_700_000_000_123 },
-  ...{ sequence: 300, wallSeconds: 1_700_000_500, kind: 'membership', payload: Buffer.from('payload') },
+  versionMin: 1,
+  versionMax: 3,
+  senderId: 'balancer-1',
+  senderIncarnation: 1_700_000_000_123,
+  sequence: 300,
+  wallSeconds: 1_700_000_500,
+  kind: 'membership',
+  payload: Buffer.from('payload'),
 };
 
 const KINDS = ['membership', 'dissemination', 'replication', 'handover', 'health', 'status'] as const;
@@ -73,12 +79,20 @@
 
 function memberRecord(changes: Partial<MemberRecord> = {}): MemberRecord {
   const identity = {
-    ...{ id: 'balancer-1', zone: 'a', control: { host: '10.0.0.1', port: 9_100 } },
-    ...{ admin: { host: '10.0.0.1', port: 9_200 }, data: { host: '10.0.0.1', port: 6_080 } },
+    id: 'balancer-1',
+    zone: 'a',
+    control: { host: '10.0.0.1', port: 9_100 },
+    admin: { host: '10.0.0.1', port: 9_200 },
+    data: { host: '10.0.0.1', port: 6_080 },
   };
   return {
-    ...{ identity, idHash: ID_HASH, incarnation: 1_700_000_000_123, refutation: 2 },
-    ...{ lifecycle: 'active', suspected: false, changedAtMs: 5 },
+    identity,
+    idHash: ID_HASH,
+    incarnation: 1_700_000_000_123,
+    refutation: 2,
+    lifecycle: 'active',
+    suspected: false,
+    changedAtMs: 5,
     ...changes,
   };
 }
@@ -110,14 +124,29 @@
 
 /** Message types by their numbers on the wire. */
 const MESSAGE_TYPES = {
-  ...{ ping: 1, ack: 2, indirectPing: 3, negativeAck: 4, gossip: 5 },
-  ...{ syncRequest: 6, syncState: 7, quorumBaseRequest: 8, quorumBase: 9 },
+  ping: 1,
+  ack: 2,
+  indirectPing: 3,
+  negativeAck: 4,
+  gossip: 5,
+  syncRequest: 6,
+  syncState: 7,
+  quorumBaseRequest: 8,
+  quorumBase: 9,
 } as const;
 
 const FULL_MEMBERSHIP: MembershipFields = {
-  ...{ sequence: 77, regionHash: 0x01020304, settingsVersion: 12, targetHash: ID_HASH },
-  ...{ entries: [fromHex('0a0162'), fromHex('0a0163')], bucketDigests: [1, ACCUSER_HASH] },
-  ...{ wantedBuckets: 0x80000001, baseEpoch: 4, baseMembers: [ID_HASH, 2], part: 1, parts: 2 },
+  sequence: 77,
+  regionHash: 0x01020304,
+  settingsVersion: 12,
+  targetHash: ID_HASH,
+  entries: [fromHex('0a0162'), fromHex('0a0163')],
+  bucketDigests: [1, ACCUSER_HASH],
+  wantedBuckets: 0x80000001,
+  baseEpoch: 4,
+  baseMembers: [ID_HASH, 2],
+  part: 1,
+  parts: 2,
 };
 
 /** Messages of membership, and the entries in them. */
@@ -131,8 +160,13 @@
 }
 
 const VOTE = {
-  ...{ memberHash: ID_HASH, backendId: 0xcafe0001, version: 0xfffffff0, verdict: 1, passiveFailures: 3 },
-  ...{ load: { openFlows: 200, capacity: 300, sampledAtMs: 9_250 }, learnedAtMs: 100 },
+  memberHash: ID_HASH,
+  backendId: 0xcafe0001,
+  version: 0xfffffff0,
+  verdict: 1,
+  passiveFailures: 3,
+  load: { openFlows: 200, capacity: 300, sampledAtMs: 9_250 },
+  learnedAtMs: 100,
 };
 
 const HEALTH_UPDATES: Readonly<Record<string, Parameters<typeof encodeUpdate>[0]>> = {
@@ -142,7 +176,8 @@
       { ...VOTE, backendId: 2, verdict: 2, load: undefined },
       { ...VOTE, memberHash: 1, verdict: 0, passiveFailures: 0, version: 1 },
     ],
-    ...{ digest: [], answer: false },
+    digest: [],
+    answer: false,
   },
   digest: { votes: [], digest: [0, 1, ACCUSER_HASH], answer: false },
   answer: { votes: [VOTE], digest: [5], answer: true },
@@ -162,13 +197,30 @@
 
 /** A value of each form for fields that the fields' numbers name, an unknown number and a name without number. */
 const BACKEND_FIELDS: TreeNode['fields'] = {
-  ...{ address: '10.1.2.3:443', endpoint: '10.1.2.4:7000', healthEndpoint: 'no endpoint', zone: 'zone-a' },
-  ...{ weight: 2.5, maxConnections: null, slots: 8, draining: true, unknownFlow: 'reset' },
-  ...{ idleTimeoutMs: 300_000, zonePreference: 0, 'limits.maxConnections': 2 ** 31 },
-  ...{ 'limits.openingsPerSecond': -5, 'limits.openingsPerSecondPerClient': 2_147_483_647 },
-  ...{ 'limits.retryBudgetShare': 0.2, 'health.probeIntervalMs': 1_000, 'health.probeTimeoutMs': 250 },
-  ...{ 'health.unhealthyThreshold': 3, 'health.healthyThreshold': 2, 'health.maxEjectedShare': 0.5 },
-  ...{ 'health.panicShare': 0.1, 'health.slowStartMs': 0, '#999': 'newer', unnumbered: false },
+  address: '10.1.2.3:443',
+  endpoint: '10.1.2.4:7000',
+  healthEndpoint: 'no endpoint',
+  zone: 'zone-a',
+  weight: 2.5,
+  maxConnections: null,
+  slots: 8,
+  draining: true,
+  unknownFlow: 'reset',
+  idleTimeoutMs: 300_000,
+  zonePreference: 0,
+  'limits.maxConnections': 2 ** 31,
+  'limits.openingsPerSecond': -5,
+  'limits.openingsPerSecondPerClient': 2_147_483_647,
+  'limits.retryBudgetShare': 0.2,
+  'health.probeIntervalMs': 1_000,
+  'health.probeTimeoutMs': 250,
+  'health.unhealthyThreshold': 3,
+  'health.healthyThreshold': 2,
+  'health.maxEjectedShare': 0.5,
+  'health.panicShare': 0.1,
+  'health.slowStartMs': 0,
+  '#999': 'newer',
+  unnumbered: false,
 };
 
 const TREE_NODES: Readonly<Record<string, TreeNode>> = {
@@ -176,7 +228,10 @@
   site: { path: 'north', kind: 'site', fields: { slots: 4 } },
   service: { path: 'north/orders', kind: 'service', parent: '', fields: { address: '10.1.2.3:443' } },
   backend: {
-    ...{ path: 'north/orders/b1', kind: 'backend', parent: 'south/orders', fields: BACKEND_FIELDS },
+    path: 'north/orders/b1',
+    kind: 'backend',
+    parent: 'south/orders',
+    fields: BACKEND_FIELDS,
   },
 };
 
@@ -224,8 +279,11 @@
 
 const { Message } = disseminationMessages.dissemination;
 const STAMP = {
-  ...{ version: 2 ** 33 + 1, readerToken: 9, digest: '0123456789abcdef' },
-  ...{ acceptedAtWallMs: 1_700_000_000_123, nodeCount: 40 },
+  version: 2 ** 33 + 1,
+  readerToken: 9,
+  digest: '0123456789abcdef',
+  acceptedAtWallMs: 1_700_000_000_123,
+  nodeCount: 40,
 };
 const EARLIER = { ...STAMP, version: 5, readerToken: 8 };
 
@@ -238,13 +296,20 @@
   probeWithoutTree: { probe: { stamp: encodeStamp(NO_TREE) } },
   pullRequest: {
     pullRequest: {
-      ...{ requestId: ID_HASH, have: encodeStamp(EARLIER), target: encodeStamp(STAMP), offset: 1_000 },
+      requestId: ID_HASH,
+      have: encodeStamp(EARLIER),
+      target: encodeStamp(STAMP),
+      offset: 1_000,
     },
   },
   pullChunk: {
     pullChunk: {
-      ...{ requestId: ID_HASH, base: encodeStamp(EARLIER), target: encodeStamp(STAMP) },
-      ...{ offset: 1_000, totalBytes: 1_003, data: fromHex('0a0b0c') },
+      requestId: ID_HASH,
+      base: encodeStamp(EARLIER),
+      target: encodeStamp(STAMP),
+      offset: 1_000,
+      totalBytes: 1_003,
+      data: fromHex('0a0b0c'),
     },
   },
   nothing: {},
--- a/contract/surfaces/wire-flows.ts
+++ b/contract/surfaces/wire-flows.ts
@@ -33,14 +33,20 @@
   heartbeatAck: { heartbeatAck: { echo: 12.5, sentAt: 13, shards: 300, digest: 0x89abcdef, lapsed: true } },
   records: {
     records: {
-      ...{ sequence: 300, backendKeys: KEYS, records: packBatch(BATCH).records },
-      ...{ fromBackup: true, session: 0xcafe0001 },
+      sequence: 300,
+      backendKeys: KEYS,
+      records: packBatch(BATCH).records,
+      fromBackup: true,
+      session: 0xcafe0001,
     },
   },
   recordsAck: {
     recordsAck: {
-      ...{ sequence: 300, statuses: fromHex('000102'), ownKeys: KEYS },
-      ...{ fromBackup: true, session: 0xcafe0001 },
+      sequence: 300,
+      statuses: fromHex('000102'),
+      ownKeys: KEYS,
+      fromBackup: true,
+      session: 0xcafe0001,
     },
   },
   assignment: { assignment: { shards: fromHex('0180') } },
@@ -52,8 +58,14 @@
 };
 
 const HEADER = {
-  ...{ epoch: 0xfedcba98, purpose: 1, baseVersion: 9, oldestBaseVersion: 3, complete: true, trusted: true },
-  ...{ learningMs: 1_500, generation: 4 },
+  epoch: 0xfedcba98,
+  purpose: 1,
+  baseVersion: 9,
+  oldestBaseVersion: 3,
+  complete: true,
+  trusted: true,
+  learningMs: 1_500,
+  generation: 4,
 };
 const PART = { ...HEADER, shard: SHARD, transferId: 0xcafe0001, part: 1, partCount: 2, ...packPart(RECORDS) };
 
@@ -72,12 +84,21 @@
 ];
 
 const CATALOGUE_ENTRY = {
-  ...{ id: KEYS[0], serviceId: 7, host: '10.1.2.3', port: 7_001, idleTimeoutMs: 300_000 },
-  ...{ serviceAddresses: [0x0ac80001, 0x0ac80002], servicePorts: [443, 80] },
+  id: KEYS[0],
+  serviceId: 7,
+  host: '10.1.2.3',
+  port: 7_001,
+  idleTimeoutMs: 300_000,
+  serviceAddresses: [0x0ac80001, 0x0ac80002],
+  servicePorts: [443, 80],
 };
 
 const BASE_REPLY = {
-  ...{ baseVersion: 9, differenceFrom: 8, part: 1, partCount: 2, removedServiceIds: [5, 6] },
+  baseVersion: 9,
+  differenceFrom: 8,
+  part: 1,
+  partCount: 2,
+  removedServiceIds: [5, 6],
   services: [{ id: 7, backends: [{ id: KEYS[0], host: '10.1.2.3', port: 7_001, weight: 2.5 }] }],
 };
 
--- a/contract/surfaces/wire-gossip.ts
+++ b/contract/surfaces/wire-gossip.ts
@@ -10,10 +10,15 @@
 const REVISION = 2 ** 40 + 3;
 
 const TABLE = {
-  ...{ version: 17, revision: REVISION, idleTimeoutMs: 300_000 },
+  version: 17,
+  revision: REVISION,
+  idleTimeoutMs: 300_000,
   routes: [
     {
-      ...{ name: 'web', address: 0x0ac80001, port: 443, allowedRegions: ['north', 'south'] },
+      name: 'web',
+      address: 0x0ac80001,
+      port: 443,
+      allowedRegions: ['north', 'south'],
       targets: [
         { service: 'orders', weight: 0.75 },
         { service: 'orders-next', weight: 0.25 },
@@ -28,37 +33,54 @@
 } as const;
 
 const BACKEND = {
-  ...{ id: 'srv-00c0ffee', service: 'orders', endpoint: { host: '10.1.2.3', port: 7_001 }, zone: 'a' },
-  ...{ capacity: 8, draining: true, coldMs: 2_500, createdRevision: 12, revision: REVISION },
+  id: 'srv-00c0ffee',
+  service: 'orders',
+  endpoint: { host: '10.1.2.3', port: 7_001 },
+  zone: 'a',
+  capacity: 8,
+  draining: true,
+  coldMs: 2_500,
+  createdRevision: 12,
+  revision: REVISION,
 };
 
 const NO_CHANGES = { routes: [], backends: [], removals: [] } as const;
 
 const UPDATES: Readonly<Record<string, Update>> = {
   wholeTable: {
-    ...{ topic: 'routes', since: -1 },
+    topic: 'routes',
+    since: -1,
     update: { ...NO_CHANGES, revision: REVISION, complete: true, routes: [TABLE] },
   },
   tableChange: {
-    ...{ topic: 'routes', since: 15 },
+    topic: 'routes',
+    since: 15,
     update: {
-      ...{ ...NO_CHANGES, revision: REVISION, complete: false },
+      ...NO_CHANGES,
+      revision: REVISION,
+      complete: false,
       routeChange: { ...TABLE, fromRevisions: [15, 16], removedRoutes: ['old'], digest: 0x89abcdef },
     },
   },
   backends: {
-    ...{ topic: 'backends', since: 3 },
+    topic: 'backends',
+    since: 3,
     update: {
-      ...{ ...NO_CHANGES, revision: REVISION, complete: false },
+      ...NO_CHANGES,
+      revision: REVISION,
+      complete: false,
       backends: [BACKEND, { ...BACKEND, id: 'srv-2', draining: false, coldMs: 0 }],
       removals: [{ id: 'srv-3', revision: 9 }],
       departed: [{ record: { ...BACKEND, id: 'srv-4' }, departedAtMs: SENT_AT_MS - 4_000 }],
     },
   },
   cordons: {
-    ...{ topic: 'cordons', since: 0 },
+    topic: 'cordons',
+    since: 0,
     update: {
-      ...{ ...NO_CHANGES, revision: 8, complete: false },
+      ...NO_CHANGES,
+      revision: 8,
+      complete: false,
       cordons: [{ zone: 'b', revision: 7 }],
       cordonRemovals: [{ zone: 'c', revision: 8 }],
     },
@@ -67,7 +89,11 @@
 };
 
 const FULL: Message = {
-  ...{ type: 'news', senderId: 'daemon-1', senderZone: 'a', leaving: true, departedCount: 3 },
+  type: 'news',
+  senderId: 'daemon-1',
+  senderZone: 'a',
+  leaving: true,
+  departedCount: 3,
   confirmations: {
     routes: { revision: REVISION, changedRevision: 12, confirmedAtMs: SENT_AT_MS - 40.5 },
     backends: { revision: 21, changedRevision: 20, confirmedAtMs: SENT_AT_MS },
@@ -79,7 +105,9 @@
   suspicions: [{ backendId: 'srv-5', atMs: SENT_AT_MS - 250 }],
   loads: [
     {
-      ...{ page: 2, measuredAtMs: SENT_AT_MS - 700, validMs: 9_000 },
+      page: 2,
+      measuredAtMs: SENT_AT_MS - 700,
+      validMs: 9_000,
       busy: [
         { tag: 0xabc, level: 2.5 },
         { tag: 1, level: 1.26 },
@@ -91,16 +119,30 @@
 };
 
 const MINIMAL: Message = {
-  ...{ type: 'news', senderId: 'd', senderZone: '', leaving: false, departedCount: 0, tableRevision: -1 },
-  ...{ confirmations: {}, readers: [], peers: [], updates: [], suspicions: [], loads: [], badAnswers: [] },
+  type: 'news',
+  senderId: 'd',
+  senderZone: '',
+  leaving: false,
+  departedCount: 0,
+  tableRevision: -1,
+  confirmations: {},
+  readers: [],
+  peers: [],
+  updates: [],
+  suspicions: [],
+  loads: [],
+  badAnswers: [],
 };
 
 const PULL: Message = { ...MINIMAL, type: 'pull', confirmations: FULL.confirmations, tableRevision: 15 };
 
 const MESSAGES: Readonly<Record<string, Message>> = {
-  ...{ news: FULL, pull: PULL, state: { ...FULL, type: 'state', leaving: false } },
-  ...{ minimalNews: MINIMAL, minimalPull: { ...MINIMAL, type: 'pull' } },
-  ...{ minimalState: { ...MINIMAL, type: 'state' } },
+  news: FULL,
+  pull: PULL,
+  state: { ...FULL, type: 'state', leaving: false },
+  minimalNews: MINIMAL,
+  minimalPull: { ...MINIMAL, type: 'pull' },
+  minimalState: { ...MINIMAL, type: 'state' },
   newsFromTheFuture: { ...MINIMAL, readers: [{ id: 'daemon-2', confirmedAtMs: SENT_AT_MS + 10 }] },
   ...Object.fromEntries(
     Object.entries(UPDATES).map(([name, update]) => [`update: ${name}`, { ...MINIMAL, updates: [update] }]),
--- a/contract/surfaces/wire-hashes.ts
+++ b/contract/surfaces/wire-hashes.ts
@@ -36,7 +36,8 @@
 ] as const;
 
 const WEIGHTED = Array.from({ length: 7 }, (_unused, index) => ({
-  ...{ id: hashString(`b-${index}`), weight: [1, 2.5, 0.001, 1_000, 1, 8, 3][index] ?? 1 },
+  id: hashString(`b-${index}`),
+  weight: [1, 2.5, 0.001, 1_000, 1, 8, 3][index] ?? 1,
 }));
 
 function flowForms(flow: (typeof FLOWS)[number]): unknown {
@@ -46,7 +47,11 @@
   const ranked = (count: number): number[] =>
     weightedRendezvous(fingerprint, WEIGHTED, count).map(({ id }) => id);
   return {
-    ...{ flow, fingerprint, shard: shardOf(fingerprint.high), first: ranked(1), ranked: ranked(7) },
+    flow,
+    fingerprint,
+    shard: shardOf(fingerprint.high),
+    first: ranked(1),
+    ranked: ranked(7),
     scores: WEIGHTED.map(({ id, weight }) => rendezvousScore(fingerprint, id, weight).toPrecision(12)),
   };
 }
@@ -54,10 +59,15 @@
 type Member = Parameters<typeof ShardMap.build>[0][number];
 
 const MEMBERS = Array.from({ length: 8 }, (_unused, index): Member => ({
-  ...{ id: `balancer-${index}`, region: 'north', zone: ['a', 'b', 'c'][index % 3] ?? 'a' },
-  ...{ control: { host: '10.0.0.1', port: 9_100 }, admin: { host: '10.0.0.1', port: 9_200 } },
-  ...{ data: { host: '10.0.0.1', port: 6_080 }, incarnation: 1_700_000_000_000 + index },
-  ...{ state: 'active', settingsVersion: 1 },
+  id: `balancer-${index}`,
+  region: 'north',
+  zone: ['a', 'b', 'c'][index % 3] ?? 'a',
+  control: { host: '10.0.0.1', port: 9_100 },
+  admin: { host: '10.0.0.1', port: 9_200 },
+  data: { host: '10.0.0.1', port: 6_080 },
+  incarnation: 1_700_000_000_000 + index,
+  state: 'active',
+  settingsVersion: 1,
 }));
 
 const SHARDS = [0, 1, 2, 255, 256, 2_047, 2_748, 4_094, 4_095];
@@ -100,8 +110,13 @@
   const endpoint = { host: '10.0.0.1', port: 9_100 };
   const identity = { id: 'balancer-1', zone: 'a', control: endpoint, admin: endpoint, data: endpoint };
   return {
-    ...{ identity, idHash: hashString('balancer-1'), incarnation: 1_700_000_000_123, refutation: 2 },
-    ...{ lifecycle, suspected: false, changedAtMs: 0 },
+    identity,
+    idHash: hashString('balancer-1'),
+    incarnation: 1_700_000_000_123,
+    refutation: 2,
+    lifecycle,
+    suspected: false,
+    changedAtMs: 0,
   };
 }
 
@@ -149,7 +164,9 @@
 ];
 
 const READER_TIMINGS = {
-  ...{ readerMissedMs: 5_000, readerFreshMs: 2_000, pullAfterMs: 1_000 },
+  readerMissedMs: 5_000,
+  readerFreshMs: 2_000,
+  pullAfterMs: 1_000,
 } as ConstructorParameters<typeof ReaderRole>[2];
 
 /** Readers in the order in which a daemon names them, the last one without a recent confirmation. */
@@ -170,7 +187,10 @@
 function loadTags(): unknown {
   const rates = new CallRates();
   const counts = Array.from({ length: 6 }, (_unused, index) => ({
-    ...{ id: `srv-${index}`, service: 'orders', capacity: 4, calls: 0 },
+    id: `srv-${index}`,
+    service: 'orders',
+    capacity: 4,
+    calls: 0,
   }));
   rates.note(counts, 0);
   rates.note(
--- a/contract/surfaces/wire-packets.ts
+++ b/contract/surfaces/wire-packets.ts
@@ -33,8 +33,11 @@
 } as const;
 
 const RESET_TARGET = {
-  ...{ sourceAddress: 0x0a000001, sourcePort: 40_000 },
-  ...{ destinationAddress: 0x0ac80002, destinationPort: 80, acknowledgement: 0x05060708 },
+  sourceAddress: 0x0a000001,
+  sourcePort: 40_000,
+  destinationAddress: 0x0ac80002,
+  destinationPort: 80,
+  acknowledgement: 0x05060708,
 };
 
 const BACKEND_IDS = ['', 'b-1', 'b-2', 'orders-00c0ffee', 'srv-0123456789abcdef', 'überlast', 'x'.repeat(64)];
@@ -66,12 +69,24 @@
 
 function knownBackend(id: string, createdRevision: number): Backend {
   const record = {
-    ...{ id, service: 'orders', endpoint: { host: '10.1.0.1', port: 7_000 }, zone: 'a', capacity: 4 },
-    ...{ draining: false, coldMs: 0, createdRevision, revision: createdRevision },
+    id,
+    service: 'orders',
+    endpoint: { host: '10.1.0.1', port: 7_000 },
+    zone: 'a',
+    capacity: 4,
+    draining: false,
+    coldMs: 0,
+    createdRevision,
+    revision: createdRevision,
   };
   return {
-    ...{ id, record, departed: false, lapsed: false, removedRevision: -1 },
-    ...{ departedAtMs: undefined, coldUntilMs: 0 },
+    id,
+    record,
+    departed: false,
+    lapsed: false,
+    removedRevision: -1,
+    departedAtMs: undefined,
+    coldUntilMs: 0,
   };
 }
 
@@ -97,8 +112,14 @@
 
 const NO_FLAGS = { syn: false, ack: false, fin: false, rst: false };
 const SEGMENT = {
-  ...{ sourceAddress: 0x0a000001, destinationAddress: 0xc0a80002, sourcePort: 40_000, destinationPort: 443 },
-  ...{ ...NO_FLAGS, sequence: 0xfffffff0, acknowledgement: 0x01020304, payload: Buffer.alloc(0) },
+  sourceAddress: 0x0a000001,
+  destinationAddress: 0xc0a80002,
+  sourcePort: 40_000,
+  destinationPort: 443,
+  ...NO_FLAGS,
+  sequence: 0xfffffff0,
+  acknowledgement: 0x01020304,
+  payload: Buffer.alloc(0),
 };
 const SEGMENTS = {
   syn: { ...SEGMENT, syn: true, acknowledgement: 0 },
@@ -152,14 +173,17 @@
 function malformedPackets(): Readonly<Record<string, Buffer>> {
   const data = encodeSegment(SEGMENTS.data);
   return {
-    ...{ empty: Buffer.alloc(0), cut: data.subarray(0, 30), longer: Buffer.concat([data, Buffer.alloc(1)]) },
-    ...{ ipv6: changedPacket(0, 0x65), shortHeader: changedPacket(0, 0x44), udp: changedPacket(9, 17) },
-    ...{
-      wrongSum: changedPacket(12, 0x0b, true),
-      noTtl: changedPacket(8, 0),
-      fragment: changedPacket(6, 0x20),
-    },
-    ...{ tcpHeaderTooShort: changedPacket(32, 0x40), wrongTcpSum: changedPacket(44, 0x21) },
+    empty: Buffer.alloc(0),
+    cut: data.subarray(0, 30),
+    longer: Buffer.concat([data, Buffer.alloc(1)]),
+    ipv6: changedPacket(0, 0x65),
+    shortHeader: changedPacket(0, 0x44),
+    udp: changedPacket(9, 17),
+    wrongSum: changedPacket(12, 0x0b, true),
+    noTtl: changedPacket(8, 0),
+    fragment: changedPacket(6, 0x20),
+    tcpHeaderTooShort: changedPacket(32, 0x40),
+    wrongTcpSum: changedPacket(44, 0x21),
   };
 }
 
--- a/contract/surfaces/wire-stores.ts
+++ b/contract/surfaces/wire-stores.ts
@@ -109,7 +109,10 @@
     return Promise.resolve({ statusCode: answer.status, headers: {}, body: bodyOf(answer) });
   };
   const client = createStoreClient({
-    ...{ baseUrl: 'http://store.invalid', clock: CLOCK, random: () => 0.5, caller: 'contract' },
+    baseUrl: 'http://store.invalid',
+    clock: CLOCK,
+    random: () => 0.5,
+    caller: 'contract',
     events: { emit: () => undefined },
   });
   const result = await withMethod(PlatformTransport.prototype, 'open', open, () => call(client));
@@ -180,21 +183,34 @@
 const CONFIG = { version: 17, routes: ROUTES, services: SERVICES, limits: { idle_timeout_ms: 300_000 } };
 const SOUND_CONFIG = { ...CONFIG, routes: ROUTES.slice(0, 3), services: SERVICES.slice(0, 2) };
 const CONFIGS = {
-  ...{ whole: CONFIG, none: null, badVersion: { ...CONFIG, version: '17' } },
-  ...{ badRoutes: { ...CONFIG, routes: {} }, badServices: { ...CONFIG, services: undefined } },
+  whole: CONFIG,
+  none: null,
+  badVersion: { ...CONFIG, version: '17' },
+  badRoutes: { ...CONFIG, routes: {} },
+  badServices: { ...CONFIG, services: undefined },
   noTimeout: { ...CONFIG, limits: {} },
 };
 
 const BACKEND = {
-  ...{ service: 'orders', address: '10.1.2.3:7001', zone: 'a', capacity: 8, state: 'ready' },
-  ...{ cold_remaining_ms: 2_500, call_count: 41 },
+  service: 'orders',
+  address: '10.1.2.3:7001',
+  zone: 'a',
+  capacity: 8,
+  state: 'ready',
+  cold_remaining_ms: 2_500,
+  call_count: 41,
 };
 const BACKENDS = {
-  ...{ whole: BACKEND, draining: { ...BACKEND, state: 'draining', cold_remaining_ms: 0 } },
-  ...{ otherState: { ...BACKEND, state: 'asleep' }, noCapacity: { ...BACKEND, capacity: 0 } },
-  ...{ noCold: { ...BACKEND, cold_remaining_ms: -1 }, noCalls: { ...BACKEND, call_count: undefined } },
-  ...{ noService: { ...BACKEND, service: 1 }, noZone: { ...BACKEND, zone: undefined } },
-  ...{ badAddress: { ...BACKEND, address: 'here:1' }, none: 'text' },
+  whole: BACKEND,
+  draining: { ...BACKEND, state: 'draining', cold_remaining_ms: 0 },
+  otherState: { ...BACKEND, state: 'asleep' },
+  noCapacity: { ...BACKEND, capacity: 0 },
+  noCold: { ...BACKEND, cold_remaining_ms: -1 },
+  noCalls: { ...BACKEND, call_count: undefined },
+  noService: { ...BACKEND, service: 1 },
+  noZone: { ...BACKEND, zone: undefined },
+  badAddress: { ...BACKEND, address: 'here:1' },
+  none: 'text',
 };
 
 /** What `read` makes of a record, and how many problems it reports: their wording is for operators. */
--- a/src/cli/commands.test.ts
+++ b/src/cli/commands.test.ts
@@ -144,15 +144,16 @@
   writeFileSync(clusterKeyFile, JSON.stringify({ active: 1, keys: [{ id: 1, secret }] }));
   const address = '127.0.0.1:0';
   const config = {
-    ...{
-      id: 'balancer-1',
-      region: 'region',
-      zone: 'zone-a',
-      control: address,
-      data: address,
-      admin: address,
-    },
-    ...{ fabricReturn: '127.0.0.1:9', clusterKeyFile, log: { format: 'json' }, ...fields },
+    id: 'balancer-1',
+    region: 'region',
+    zone: 'zone-a',
+    control: address,
+    data: address,
+    admin: address,
+    fabricReturn: '127.0.0.1:9',
+    clusterKeyFile,
+    log: { format: 'json' },
+    ...fields,
   };
   const configFile = join(directory, 'daemon.yaml');
   writeFileSync(configFile, stringify(config));
--- a/src/cli/fleet.test.ts
+++ b/src/cli/fleet.test.ts
@@ -33,8 +33,17 @@
 
 function backend(condition: BackendStatus['condition']): BackendStatus {
   return {
-    ...{ service: 'site/push', name: 'site/push/b0', id: 77, endpoint: CLOSED, zone: 'zone-a', condition },
-    ...{ eligible: condition === 'healthy', warmup: 1, weight: 1, openFlows: 0, reportedLoad: undefined },
+    service: 'site/push',
+    name: 'site/push/b0',
+    id: 77,
+    endpoint: CLOSED,
+    zone: 'zone-a',
+    condition,
+    eligible: condition === 'healthy',
+    warmup: 1,
+    weight: 1,
+    openFlows: 0,
+    reportedLoad: undefined,
     evidence: [
       { source: 'passive', text: `seen ${condition}`, ageMs: 1_500 },
       { source: 'probe', text: 'newer but less weighty', ageMs: 100 },
@@ -49,13 +58,11 @@
   const statusOf = (balancer: FakeBalancer, view: StatusView): Partial<DaemonStatus> => {
     asked.push(`${balancer.id} ${view}`);
     return {
-      ...{
-        id: balancer.id,
-        region: 'region',
-        ready: true,
-        reasons: [],
-        flowsByBackend: { 77: balancer.flows },
-      },
+      id: balancer.id,
+      region: 'region',
+      ready: true,
+      reasons: [],
+      flowsByBackend: { 77: balancer.flows },
       settings: { version: balancer.version } as DaemonStatus['settings'],
       membership: { sequence: 1, digest: 1, quorate: true, members },
       flow: { open: balancer.flows, shardsKept: 10, shardsBackedUp: 20 } as DaemonStatus['flow'],
--- a/src/cookie-edge/backend-health/backend-states.ts
+++ b/src/cookie-edge/backend-health/backend-states.ts
@@ -93,7 +93,8 @@
     this.ejectionCount += 1;
     this.onEject(state, nowMs);
     this.events.emit(COOKIE_FLOW_EVENTS.backendEjected, {
-      ...{ backend: state.backend.id, service: state.backend.record.service },
+      backend: state.backend.id,
+      service: state.backend.record.service,
       failures: state.failuresInRow,
       lastSignOfLifeMs: Number.isFinite(state.lastSignOfLifeMs)
         ? Math.round(nowMs - state.lastSignOfLifeMs)
--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -191,7 +191,10 @@
     state.noteDead(untilMs);
     const { backend, lastSignOfLifeMs } = state;
     this.parts.events.emit(COOKIE_FLOW_EVENTS.backendDead, {
-      ...{ backend: backend.id, service: backend.record.service, zone: backend.record.zone, proof },
+      backend: backend.id,
+      service: backend.record.service,
+      zone: backend.record.zone,
+      proof,
       flows: flows.length,
       lastSignOfLifeMs: Number.isFinite(lastSignOfLifeMs) ? Math.round(nowMs - lastSignOfLifeMs) : undefined,
     });
@@ -201,7 +204,9 @@
       this.parts.cache.remove(flow);
       this.parts.statistics.resets += 1;
       this.parts.events.emit(COOKIE_FLOW_EVENTS.flowReset, {
-        ...{ flow: formatFlowId(target), backend: backend.id, proof },
+        flow: formatFlowId(target),
+        backend: backend.id,
+        proof,
         silentMs: Math.round(nowMs - flow.lastPacketMs),
       });
     }
--- a/src/cookie-edge/backend-health/slow-back-ends.test.ts
+++ b/src/cookie-edge/backend-health/slow-back-ends.test.ts
@@ -11,8 +11,14 @@
 
 /** The work of a lift operator: 790 requests a second, most on flows that are kept; 27% of the slots are busy. */
 const CALM: ReplayedDay = {
-  ...{ balancers: 28, backends: BACKENDS, freshPerSecond: 175, keptFlows: 900, pauseMs: 1_400 },
-  ...{ workMs: 58, slownessOf: () => 1, seed: 1 },
+  balancers: 28,
+  backends: BACKENDS,
+  freshPerSecond: 175,
+  keptFlows: 900,
+  pauseMs: 1_400,
+  workMs: 58,
+  slownessOf: () => 1,
+  seed: 1,
 };
 
 function played(change: Partial<ReplayedDay>): ReplayedLoad {
@@ -34,7 +40,8 @@
 for (const balancers of [4, 28, 146]) {
   test(`a fifth of the back ends five times slower in a burst, ${balancers} balancers`, (t) => {
     const change: Partial<ReplayedDay> = {
-      ...{ balancers, burstAt },
+      balancers,
+      burstAt,
       slownessOf: (backend, nowMs) => (backend % 5 === 0 && nowMs >= TROUBLE_MS ? 5 : 1),
     };
     const without = lateFresh(played({ ...change, switchedOff: ['outlier-detection'] }));
--- a/src/cookie-edge/daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -61,21 +61,37 @@
   const source = adapters.createSource(address, clock);
   const loads = new LoadView();
   const loadReader = new LoadReader({
-    ...{ clock, events, source },
+    clock,
+    events,
+    source,
     isWanted: () => isOn('reported-load') && !circuit.isLost && spreader.fleetSize >= LOAD_MIN_DAEMONS,
     onReport: (report) => spreader.tellLoad(report),
   });
   const problems = new ProblemLog(events);
   const following = {
-    ...{ clock, source, knowledge, circuit, timings, problems, usesLongWatches: isOn('long-watches') },
+    clock,
+    source,
+    knowledge,
+    circuit,
+    timings,
+    problems,
+    usesLongWatches: isOn('long-watches'),
     onConfirmation: () => spreader.noteOwnConfirmation(),
   };
   const reading = new SourceReading(following, loadReader);
   reading.readFirst();
   const transport = await NetworkTransport.open(control, events);
   const spreader: Spreader = new Spreader({
-    ...{ selfId: id, zone, seeds: () => seedsOf(config()), transport, knowledge, clock, random, events },
-    ...{ timings, isOn },
+    selfId: id,
+    zone,
+    seeds: () => seedsOf(config()),
+    transport,
+    knowledge,
+    clock,
+    random,
+    events,
+    timings,
+    isOn,
     setReading: (isReading) => reading.set(isReading),
     noteArrival: () => pauses.noteRead('peers'),
     mayBeOld: () => pauses.mayBeOld(clock.now()),
@@ -86,12 +102,24 @@
   });
   circuit.retryNoSoonerThan(() => spreader.leastRetryMs());
   const forwarder: CookieForwarder = new CookieForwarder({
-    ...{ clock, random, events, knowledge, edge, pauses, isOn, loads },
-    ...{ zone, zoneMargin, zoneLoadFactor, maxFlowAgeMs, probe: probeConnect },
+    clock,
+    random,
+    events,
+    knowledge,
+    edge,
+    pauses,
+    isOn,
+    loads,
+    zone,
+    zoneMargin,
+    zoneLoadFactor,
+    maxFlowAgeMs,
+    probe: probeConnect,
     regionOf: (name) => zoneRegions[name],
     cold: { overage, slack, isOwner: (backendId, count) => spreader.isOwner(backendId, count) },
     maxFlows: () => config().limits.maxFlows,
-    ...{ observer: hashString(id), outliers: config().outliers },
+    observer: hashString(id),
+    outliers: config().outliers,
     onBadAnswer: (report) => spreader.tellBadAnswer(report),
     onEject: (backendId, atMs) => spreader.tellSuspicion({ backendId, atMs }),
   });
--- a/src/cookie-edge/daemon/config.test.ts
+++ b/src/cookie-edge/daemon/config.test.ts
@@ -6,8 +6,13 @@
 import { checkCookieDaemonConfig, compareConfigs, loadCookieDaemonConfig } from './config.js';
 
 const VALID = {
-  ...{ id: 'balancer-1', region: 'region-1', zone: 'zone-a', data: '10.0.0.1:8172', admin: '10.0.0.1:8167' },
-  ...{ control: '10.0.0.1:7720', source: '10.0.0.9:8169' },
+  id: 'balancer-1',
+  region: 'region-1',
+  zone: 'zone-a',
+  data: '10.0.0.1:8172',
+  admin: '10.0.0.1:8167',
+  control: '10.0.0.1:7720',
+  source: '10.0.0.9:8169',
 };
 
 test('the smallest configuration is valid, gets defaults, and unknown fields are ignored', (t) => {
--- a/src/cookie-edge/daemon/edge-gate.test.ts
+++ b/src/cookie-edge/daemon/edge-gate.test.ts
@@ -6,9 +6,18 @@
 import { EdgeGate } from './edge-gate.js';
 
 const EMPTY: CookiePacket = {
-  ...{ sourceAddress: 1, sourcePort: 1, destinationAddress: 2, destinationPort: 2 },
-  ...{ syn: false, ack: true, fin: false, rst: false },
-  ...{ sequence: 1, acknowledgement: 0, payloadBytes: 0, cookie: 7 },
+  sourceAddress: 1,
+  sourcePort: 1,
+  destinationAddress: 2,
+  destinationPort: 2,
+  syn: false,
+  ack: true,
+  fin: false,
+  rst: false,
+  sequence: 1,
+  acknowledgement: 0,
+  payloadBytes: 0,
+  cookie: 7,
 };
 
 /** A gate on a virtual clock whose edge delivers what it kept, as the real one does. */
--- a/src/cookie-edge/daemon/edge-gate.ts
+++ b/src/cookie-edge/daemon/edge-gate.ts
@@ -64,7 +64,9 @@
     for (const { deliver } of young) deliver();
     if (held === 0) return;
     this.options.events.emit(COOKIE_DAEMON_EVENTS.heldPacketsDelivered, {
-      ...{ delivered: young.length, tooOld: held - young.length, tooMany: this.tooMany },
+      delivered: young.length,
+      tooOld: held - young.length,
+      tooMany: this.tooMany,
       boundForMs: Math.round(nowMs - this.boundAtMs),
     });
   }
@@ -92,7 +94,9 @@
   private isYoung({ synCopy, readAtMs }: HeldPacket, nowMs: number): boolean {
     if (synCopy === undefined) return true;
     return mayPlaceHeldSyn({
-      ...{ copy: synCopy, boundForMs: nowMs - this.boundAtMs, readAgoMs: nowMs - readAtMs },
+      copy: synCopy,
+      boundForMs: nowMs - this.boundAtMs,
+      readAgoMs: nowMs - readAtMs,
     });
   }
 }
--- a/src/cookie-edge/daemon/run.ts
+++ b/src/cookie-edge/daemon/run.ts
@@ -22,8 +22,12 @@
   const clock = new SystemClock();
   const writer = new LineWriter(clock);
   const events = new ConsolaEventLog({
-    ...{ format: 'json', level: config.log.level, burst: config.log.burst },
-    ...{ memberId: config.id, clock, write: writer.write },
+    format: 'json',
+    level: config.log.level,
+    burst: config.log.burst,
+    memberId: config.id,
+    clock,
+    write: writer.write,
   });
   reportUncaught(events, writer);
   const random = seededRandom(Math.floor(Math.random() * MAX_SEED));
--- a/src/cookie-edge/daemon/status.ts
+++ b/src/cookie-edge/daemon/status.ts
@@ -56,9 +56,16 @@
 }: CookieDaemonComponents): Record<string, number | string> {
   const { packets, forwarded, opened, takenOver, placedAnew, resets, drops, refusals } = forwarder.statistics;
   return {
-    ...{ packets, forwarded, opened, takenOver, placedAnew, ejections: forwarder.ejections },
-    ...{ resets, probes: forwarder.probes, outlierVerdicts: forwarder.outliers.verdicts },
-    ...{ answers: JSON.stringify(forwarder.answers.statistics) },
+    packets,
+    forwarded,
+    opened,
+    takenOver,
+    placedAnew,
+    ejections: forwarder.ejections,
+    resets,
+    probes: forwarder.probes,
+    outlierVerdicts: forwarder.outliers.verdicts,
+    answers: JSON.stringify(forwarder.answers.statistics),
     badAnswerReports: JSON.stringify(forwarder.outliers.reportCounts),
     drops: JSON.stringify(drops),
     refusals: JSON.stringify(refusals),
--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -98,12 +98,24 @@
     const answers = new AnswerTracker({ slowFactor, onBadAnswer: (bad) => this.outliers.noteOwn(bad) });
     const cookies = new CookieRegistry();
     this.parts = {
-      ...{ events, knowledge, edge, isOn, states, cookies, statistics: this.statistics },
-      ...{ cache: new FlowCache(maxFlows), pending: new PendingOpenings(), answers },
+      events,
+      knowledge,
+      edge,
+      isOn,
+      states,
+      cookies,
+      statistics: this.statistics,
+      cache: new FlowCache(maxFlows),
+      pending: new PendingOpenings(),
+      answers,
     };
     const splitter = new TrafficSplitter(random, isOn);
     const placement = new OpeningPlacement({
-      ...{ zone, zoneMargin, zoneLoadFactor, isOn, loads: options.loads },
+      zone,
+      zoneMargin,
+      zoneLoadFactor,
+      isOn,
+      loads: options.loads,
     });
     const coldAdmission = (this.coldAdmission = new ColdAdmission(options.cold));
     const eligibility = new BackendEligibility({ knowledge, coldAdmission, regionOf });
@@ -244,7 +256,9 @@
     const { backends } = knowledge;
     return new OutlierDetector(
       {
-        ...{ ...(outliers ?? DEFAULT_OUTLIER_OPTIONS), events, self: observer ?? 0 },
+        ...(outliers ?? DEFAULT_OUTLIER_OPTIONS),
+        events,
+        self: observer ?? 0,
         serviceOf: (backendId) => backends.get(backendId)?.record.service,
         countBackends: (service) => backends.countRecorded(service),
         onReport: (report) => onBadAnswer?.(report),
--- a/src/cookie-edge/forwarding/cookie-parts.test.ts
+++ b/src/cookie-edge/forwarding/cookie-parts.test.ts
@@ -172,7 +172,9 @@
   all.slice(4).forEach((backend) => (backend.record = { ...backend.record, zone: 'south' }));
   const states = new Map(all.map((backend) => [backend, new BackendState(backend)]));
   const placement = new OpeningPlacement({
-    ...{ zone: 'north', zoneMargin: DEFAULT_ZONE_MARGIN, zoneLoadFactor: DEFAULT_ZONE_LOAD_FACTOR },
+    zone: 'north',
+    zoneMargin: DEFAULT_ZONE_MARGIN,
+    zoneLoadFactor: DEFAULT_ZONE_LOAD_FACTOR,
   });
   const counts = { own: 0, other: 0 };
   for (let flow = 0; flow < flows; flow += 1) {
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -81,15 +81,13 @@
       keepPacket: () => () => undefined,
     };
     this.forwarder = new CookieForwarder({
-      ...{
-        clock,
-        events,
-        knowledge: this.knowledge,
-        edge,
-        zone: 'north',
-        zoneMargin: 0.5,
-        zoneLoadFactor: 1.5,
-      },
+      clock,
+      events,
+      knowledge: this.knowledge,
+      edge,
+      zone: 'north',
+      zoneMargin: 0.5,
+      zoneLoadFactor: 1.5,
       isOn: allBut(switchedOff),
       regionOf: (zone) => surroundings.regions?.[zone],
       probe: surroundings.probe ?? (() => Promise.resolve('answered')),
@@ -98,7 +96,8 @@
       pauses: new PauseDetector(clock.now(), TICK_MS, (callback) => this.turns.push(callback)),
       maxFlowAgeMs: 60_000,
       maxFlows: () => 1_000,
-      ...{ observer: surroundings.observer, onBadAnswer: surroundings.onBadAnswer },
+      observer: surroundings.observer,
+      onBadAnswer: surroundings.onBadAnswer,
       onEject: (backendId) => this.told.push(backendId),
     });
     this.forwarder.start(this.abort.signal);
@@ -177,10 +176,18 @@
 }
 
 const EMPTY_PACKET: CookiePacket = {
-  ...{ sourceAddress: 0x64400007, sourcePort: 40_001 },
-  ...{ destinationAddress: SERVICE_ADDRESS, destinationPort: SERVICE_PORT },
-  ...{ syn: false, ack: false, fin: false, rst: false },
-  ...{ sequence: 1, acknowledgement: 0, payloadBytes: 0, cookie: 0 },
+  sourceAddress: 0x64400007,
+  sourcePort: 40_001,
+  destinationAddress: SERVICE_ADDRESS,
+  destinationPort: SERVICE_PORT,
+  syn: false,
+  ack: false,
+  fin: false,
+  rst: false,
+  sequence: 1,
+  acknowledgement: 0,
+  payloadBytes: 0,
+  cookie: 0,
 };
 
 /** A question in which nothing but load decides, at time 0, for a flow that is told from others by `flow`. */
@@ -189,8 +196,13 @@
   flow: number,
 ): PlacementQuestion {
   return {
-    ...{ backends: states.keys(), stateOf: (backend) => states.get(backend)!, exclusionOf: () => undefined },
-    ...{ maxConnections: 1_000, flowHash: combine32(flow, 7), nowMs: 0, usualAnswerMs: 10 },
+    backends: states.keys(),
+    stateOf: (backend) => states.get(backend)!,
+    exclusionOf: () => undefined,
+    maxConnections: 1_000,
+    flowHash: combine32(flow, 7),
+    nowMs: 0,
+    usualAnswerMs: 10,
   };
 }
 
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -53,9 +53,18 @@
     const serviceKey = addressKey(packet.destinationAddress, packet.destinationPort);
     const callerKey = addressKey(packet.sourceAddress, packet.sourcePort);
     const flow: Flow = {
-      ...{ callerKey, serviceKey, state, phase, openedAtMs: nowMs, lastPacketMs: nowMs },
-      ...{ dataSequence: -1, dataAtMs: 0, acknowledgement: packet.acknowledgement },
-      ...{ failureNoted: false, awaitsAnswer: false, request: undefined },
+      callerKey,
+      serviceKey,
+      state,
+      phase,
+      openedAtMs: nowMs,
+      lastPacketMs: nowMs,
+      dataSequence: -1,
+      dataAtMs: 0,
+      acknowledgement: packet.acknowledgement,
+      failureNoted: false,
+      awaitsAnswer: false,
+      request: undefined,
     };
     this.flowsOf(serviceKey).set(callerKey, flow);
     this.count += 1;
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -64,7 +64,10 @@
     if (flow.request || !this.parts.isOn('outlier-detection')) return;
     const { id, record } = flow.state.backend;
     flow.request = {
-      ...{ backendId: id, service: record.service, routeKey: flow.serviceKey, sentAtMs: nowMs },
+      backendId: id,
+      service: record.service,
+      routeKey: flow.serviceKey,
+      sentAtMs: nowMs,
     };
     this.parts.answers.begin(flow.request);
   }
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -94,7 +94,9 @@
   ): void {
     this.parts.statistics.countRefusal(reason);
     this.parts.events.emit(COOKIE_FLOW_EVENTS.refused, {
-      ...{ flow: formatFlowId(packet), reason, route: route?.name },
+      flow: formatFlowId(packet),
+      reason,
+      route: route?.name,
       excluded: route && JSON.stringify(this.options.eligibility.countExclusions(route, nowMs)),
       version: this.parts.knowledge.routes()?.table.version,
       knowledgeAgeMs: Math.round(this.parts.knowledge.age()),
@@ -107,7 +109,9 @@
     const flowHash = hashFlow(packet);
     const chooseIn = (service: string): Placement | undefined =>
       this.options.placement.choose({
-        ...{ backends: knowledge.backends.ofService(service), flowHash, nowMs },
+        backends: knowledge.backends.ofService(service),
+        flowHash,
+        nowMs,
         usualAnswerMs: this.parts.pending.usualMs,
         stateOf: (backend) => this.parts.states.of(backend),
         exclusionOf: (backend) => this.options.eligibility.exclusionOf(backend, route, nowMs),
@@ -130,8 +134,12 @@
   private logPlacement(packet: CookiePacket, route: Route, placement: Placement): void {
     const { knowledge, events } = this.parts;
     events.emit(COOKIE_FLOW_EVENTS.opened, {
-      ...{ flow: formatFlowId(packet), route: route.name, service: placement.state.backend.record.service },
-      ...{ backend: placement.state.backend.id, rule: placement.rule, candidates: placement.candidates },
+      flow: formatFlowId(packet),
+      route: route.name,
+      service: placement.state.backend.record.service,
+      backend: placement.state.backend.id,
+      rule: placement.rule,
+      candidates: placement.candidates,
       flowsThere: placement.state.openFlows,
       passedOver: placement.passedOver,
       copy: packet.acknowledgement,
--- a/src/cookie-edge/load/load.test.ts
+++ b/src/cookie-edge/load/load.test.ts
@@ -96,7 +96,10 @@
   const clock = new VirtualClock();
   const reports: LoadReport[] = [];
   const reader = new LoadReader({
-    ...{ clock, events: SILENT_EVENT_LOG, isWanted, onReport: (report) => reports.push(report) },
+    clock,
+    events: SILENT_EVENT_LOG,
+    isWanted,
+    onReport: (report) => reports.push(report),
     source: {
       readCallCounts: (after) => {
         const page = pageAt(after);
--- a/src/cookie-edge/outliers/outlier-detector.test.ts
+++ b/src/cookie-edge/outliers/outlier-detector.test.ts
@@ -29,12 +29,10 @@
   constructor(backends = BACKENDS, startedAtMs = 0, share = maxAvoidedShare) {
     const emit = ({ number }: EventDefinition): void => void this.logged.push(number);
     const options = {
-      ...{
-        ...DEFAULT_OUTLIER_OPTIONS,
-        maxAvoidedShare: share,
-        self: SELF,
-        events: { ...SILENT_EVENT_LOG, emit },
-      },
+      ...DEFAULT_OUTLIER_OPTIONS,
+      maxAvoidedShare: share,
+      self: SELF,
+      events: { ...SILENT_EVENT_LOG, emit },
       serviceOf: (id: string) => (id.startsWith('b') ? 'alpha' : undefined),
       countBackends: () => backends,
       onReport: (report: BadAnswerReport) => void this.told.push(report),
--- a/src/cookie-edge/outliers/outlier-detector.ts
+++ b/src/cookie-edge/outliers/outlier-detector.ts
@@ -136,7 +136,11 @@
     if (phase !== 'avoided' && !this.mayAvoidOneMore(evidence)) {
       const { service } = record;
       return this.options.events.emit(OUTLIER_EVENTS.tooMany, {
-        ...{ backend: backendId, service, reports, avoided: evidence.avoided, backends: evidence.backends },
+        backend: backendId,
+        service,
+        reports,
+        avoided: evidence.avoided,
+        backends: evidence.backends,
       });
     }
     record.avoid(nowMs);
@@ -144,8 +148,13 @@
     this.verdictCount += 1;
     record.loggedPhase = 'avoided';
     this.options.events.emit(OUTLIER_EVENTS.avoided, {
-      ...{ backend: backendId, service: record.service, reports, before: phase },
-      ...{ serviceReports: evidence.reports, avoided: evidence.avoided + 1, backends: evidence.backends },
+      backend: backendId,
+      service: record.service,
+      reports,
+      before: phase,
+      serviceReports: evidence.reports,
+      avoided: evidence.avoided + 1,
+      backends: evidence.backends,
     });
   }
 
@@ -183,7 +192,8 @@
     const isDiscounted = (observer: number): boolean =>
       (reportedBy.get(observer) ?? 0) > mostReportable(backends);
     return {
-      ...{ backends, isDiscounted },
+      backends,
+      isDiscounted,
       reports: records.reduce((sum, record) => sum + record.countAt(nowMs, isDiscounted), 0),
       avoided: records.filter((record) => record.phaseAt(nowMs) === 'avoided').length,
     };
--- a/src/cookie-edge/placement/backend-eligibility.test.ts
+++ b/src/cookie-edge/placement/backend-eligibility.test.ts
@@ -91,7 +91,9 @@
 
 test('a split keeps to the services that have back ends outside of cordoned zones', (t) => {
   const route = {
-    ...{ name: 'split', address: SERVICE_ADDRESS, port: SERVICE_PORT },
+    name: 'split',
+    address: SERVICE_ADDRESS,
+    port: SERVICE_PORT,
     targets: [
       { service: 'alpha', weight: 1 },
       { service: 'beta', weight: 1 },
--- a/src/cookie-edge/placement/load-balance.test.ts
+++ b/src/cookie-edge/placement/load-balance.test.ts
@@ -46,7 +46,9 @@
 
 function recorded(): KnownBackend[] {
   const registry = new BackendRegistry({
-    ...{ clock: new VirtualClock(), events: SILENT_EVENT_LOG, retentionMs: 1_000 },
+    clock: new VirtualClock(),
+    events: SILENT_EVENT_LOG,
+    retentionMs: 1_000,
   });
   const ids = Array.from({ length: BACKENDS }, (_, index) => `i-${index}`);
   ids.forEach((id, index) => registry.put(backendAt(id, index + 1), -1));
--- a/src/cookie-edge/placement/opening-placement.ts
+++ b/src/cookie-edge/placement/opening-placement.ts
@@ -160,7 +160,11 @@
 
   private classify(question: PlacementQuestion): CandidateClasses {
     const classes: CandidateClasses = {
-      ...{ alive: [], outlier: [], suspect: [], ejected: [], lapsed: [] },
+      alive: [],
+      outlier: [],
+      suspect: [],
+      ejected: [],
+      lapsed: [],
       trial: undefined,
     };
     for (const backend of question.backends) {
--- a/src/cookie-edge/placement/replayed-load.ts
+++ b/src/cookie-edge/placement/replayed-load.ts
@@ -144,7 +144,7 @@
     if (Number.isFinite(slowness)) slots[slot] = doneAtMs;
     const tookMs = doneAtMs - sentAtMs;
     const isAnswered = tookMs <= DEADLINE_MS;
-    this.requests.push({ ...{ sentAtMs, backend, isFresh }, tookMs: isAnswered ? tookMs : Infinity });
+    this.requests.push({ sentAtMs, backend, isFresh, tookMs: isAnswered ? tookMs : Infinity });
     this.clock.schedule(Math.min(tookMs, DEADLINE_MS), () => whenDone(isAnswered));
   }
 
--- a/src/cookie-edge/placement/traffic-splitter.ts
+++ b/src/cookie-edge/placement/traffic-splitter.ts
@@ -42,7 +42,8 @@
     if (known && sameShares(known, route.targets)) return known;
     const total = sum(route.targets);
     const credits = route.targets.map(({ service, weight }) => ({
-      ...{ service, share: weight / total },
+      service,
+      share: weight / total,
       credit: this.random() - 1 / 2,
     }));
     this.credits.set(route.name, credits);
--- a/src/cookie-edge/routing/backend-registry.ts
+++ b/src/cookie-edge/routing/backend-registry.ts
@@ -157,14 +157,12 @@
 
   private add(record: RoutedBackend): void {
     const backend: KnownBackend = {
-      ...{
-        id: record.id,
-        record,
-        departed: false,
-        lapsed: false,
-        removedRevision: -1,
-        departedAtMs: undefined,
-      },
+      id: record.id,
+      record,
+      departed: false,
+      lapsed: false,
+      removedRevision: -1,
+      departedAtMs: undefined,
       coldUntilMs: this.options.clock.now() + record.coldMs,
     };
     this.byId.set(record.id, backend);
--- a/src/cookie-edge/routing/route-table-change.ts
+++ b/src/cookie-edge/routing/route-table-change.ts
@@ -10,8 +10,14 @@
   const removedRoutes = before.routes.filter(({ name }) => !present.has(name)).map(({ name }) => name);
   const { version, revision, idleTimeoutMs, services } = after;
   return {
-    ...{ fromRevisions: [before.revision], version, revision, idleTimeoutMs, services },
-    ...{ routes, removedRoutes, digest: digestOfRoutes(after.routes) },
+    fromRevisions: [before.revision],
+    version,
+    revision,
+    idleTimeoutMs,
+    services,
+    routes,
+    removedRoutes,
+    digest: digestOfRoutes(after.routes),
   };
 }
 
--- a/src/cookie-edge/routing/routing-test-support.ts
+++ b/src/cookie-edge/routing/routing-test-support.ts
@@ -20,7 +20,9 @@
 export function tableAt(revision: number, change: Partial<RouteTable> = {}): RouteTable {
   const targets = [{ service: 'alpha', weight: 1 }];
   return {
-    ...{ version: revision, revision, idleTimeoutMs: 15_000 },
+    version: revision,
+    revision,
+    idleTimeoutMs: 15_000,
     routes: [{ name: 'route-1', address: SERVICE_ADDRESS, port: SERVICE_PORT, targets }],
     services: [{ name: 'alpha', maxConnections: 2_000 }],
     ...change,
@@ -30,8 +32,15 @@
 /** A back end of `alpha` that was recorded at `revision`; each id has an address of its own. */
 export function backendAt(id: string, revision: number, change: Partial<RoutedBackend> = {}): RoutedBackend {
   return {
-    ...{ id, service: 'alpha', endpoint: endpointOf(id), zone: 'north', capacity: 2 },
-    ...{ draining: false, coldMs: 0, createdRevision: revision, revision },
+    id,
+    service: 'alpha',
+    endpoint: endpointOf(id),
+    zone: 'north',
+    capacity: 2,
+    draining: false,
+    coldMs: 0,
+    createdRevision: revision,
+    revision,
     ...change,
   };
 }
--- a/src/cookie-edge/spreading/bad-answers.test.ts
+++ b/src/cookie-edge/spreading/bad-answers.test.ts
@@ -80,11 +80,23 @@
   const cluster = await settled(7);
   const nowMs = cluster.clock.now();
   const badAnswers = Array.from({ length: BAD_ANSWERS_A_MESSAGE }, (_unused, index) => ({
-    ...{ backendId: `i-012345678${index}`, observer: 0xffff_ffff - index, atMs: nowMs - 100 * index },
+    backendId: `i-012345678${index}`,
+    observer: 0xffff_ffff - index,
+    atMs: nowMs - 100 * index,
   }));
   const message: PeerMessage = {
-    ...{ type: 'news', senderId: 'a', senderZone: 'z', leaving: false, confirmations: {}, readers: [] },
-    ...{ peers: [], updates: [], suspicions: [], loads: [], departedCount: 0, tableRevision: -1 },
+    type: 'news',
+    senderId: 'a',
+    senderZone: 'z',
+    leaving: false,
+    confirmations: {},
+    readers: [],
+    peers: [],
+    updates: [],
+    suspicions: [],
+    loads: [],
+    departedCount: 0,
+    tableRevision: -1,
     badAnswers,
   };
   const bytes = encodePeerMessage(message, nowMs);
@@ -101,8 +113,18 @@
   const cluster = await settled(7);
   const nowMs = cluster.clock.now();
   const message: PeerMessage = {
-    ...{ type: 'news', senderId: 'a', senderZone: 'z', leaving: false, confirmations: {}, readers: [] },
-    ...{ peers: [], updates: [], suspicions: [], loads: [], departedCount: 0, tableRevision: -1 },
+    type: 'news',
+    senderId: 'a',
+    senderZone: 'z',
+    leaving: false,
+    confirmations: {},
+    readers: [],
+    peers: [],
+    updates: [],
+    suspicions: [],
+    loads: [],
+    departedCount: 0,
+    tableRevision: -1,
     badAnswers: [],
   };
   const old = encodePeerMessage(message, nowMs);
--- a/src/cookie-edge/spreading/catch-up.ts
+++ b/src/cookie-edge/spreading/catch-up.ts
@@ -122,7 +122,8 @@
     if (!message) return events.emit(SPREADING_EVENTS.malformedMessage, { from: peer });
     const ageMs = knowledge.age();
     events.emit(SPREADING_EVENTS.fetched, {
-      ...{ peer, bytes: answer.value.length },
+      peer,
+      bytes: answer.value.length,
       ageMs: Number.isFinite(ageMs) ? Math.round(ageMs) : undefined,
     });
     take(message, from);
--- a/src/cookie-edge/spreading/load-report-size.test.ts
+++ b/src/cookie-edge/spreading/load-report-size.test.ts
@@ -15,20 +15,33 @@
 
 test('the largest report leaves room for the rest of its message', (t) => {
   const message: PeerMessage = {
-    ...{ type: 'news', senderId: 'frontend-halle-mitte-100', senderZone: 'halle-mitte', leaving: false },
-    ...{ confirmations: {}, peers: [], updates: [], departedCount: 200, tableRevision: 1_000_000 },
+    type: 'news',
+    senderId: 'frontend-halle-mitte-100',
+    senderZone: 'halle-mitte',
+    leaving: false,
+    confirmations: {},
+    peers: [],
+    updates: [],
+    departedCount: 200,
+    tableRevision: 1_000_000,
     readers: Array.from({ length: READERS_A_MESSAGE + 1 }, (_, index) => ({
-      ...{ id: `frontend-halle-mitte-10${index}`, confirmedAtMs: 0 },
+      id: `frontend-halle-mitte-10${index}`,
+      confirmedAtMs: 0,
     })),
     suspicions: Array.from({ length: SUSPICIONS_A_MESSAGE }, (_, index) => ({
-      ...{ backendId: `i-012345678${index}`, atMs: 0 },
+      backendId: `i-012345678${index}`,
+      atMs: 0,
     })),
     badAnswers: Array.from({ length: BAD_ANSWERS_A_MESSAGE }, (_, index) => ({
-      ...{ backendId: `i-012345678${index}`, observer: 0xffff_ffff, atMs: 0 },
+      backendId: `i-012345678${index}`,
+      observer: 0xffff_ffff,
+      atMs: 0,
     })),
     loads: [
       {
-        ...{ page: 12, measuredAtMs: 0, validMs: 78_000 },
+        page: 12,
+        measuredAtMs: 0,
+        validMs: 78_000,
         busy: Array.from({ length: MAX_REPORTED }, (_, index) => ({ tag: TAG_MASK - index, level: 20 })),
       },
     ],
--- a/src/cookie-edge/spreading/message-codec.test.ts
+++ b/src/cookie-edge/spreading/message-codec.test.ts
@@ -10,17 +10,19 @@
 
 function messageWith(update: SpreadUpdate): PeerMessage {
   return {
-    ...{ type: 'news', senderId: 'balancer-1', senderZone: 'north', leaving: false, updates: [update] },
-    ...{
-      confirmations: {},
-      readers: [],
-      peers: [],
-      suspicions: [],
-      loads: [],
-      badAnswers: [],
-      departedCount: 0,
-      tableRevision: 5,
-    },
+    type: 'news',
+    senderId: 'balancer-1',
+    senderZone: 'north',
+    leaving: false,
+    updates: [update],
+    confirmations: {},
+    readers: [],
+    peers: [],
+    suspicions: [],
+    loads: [],
+    badAnswers: [],
+    departedCount: 0,
+    tableRevision: 5,
   };
 }
 
--- a/src/cookie-edge/spreading/message-codec.ts
+++ b/src/cookie-edge/spreading/message-codec.ts
@@ -47,11 +47,16 @@
     senderZone: message.senderZone,
     leaving: message.leaving,
     proofs: confirmations.map(([topic, { revision, changedRevision, confirmedAtMs }]) => ({
-      ...{ topic: TOPIC_NUMBERS[topic], revision, changedRevision, ageMs: age(nowMs, confirmedAtMs) },
+      topic: TOPIC_NUMBERS[topic],
+      revision,
+      changedRevision,
+      ageMs: age(nowMs, confirmedAtMs),
     })),
     readers: message.readers.map(({ id, confirmedAtMs }) => ({ id, ageMs: age(nowMs, confirmedAtMs) })),
     peers: message.peers.map(({ endpoint, zone, heardAtMs }) => ({
-      ...{ ...encodeEndpoint(endpoint), zone, ageMs: age(nowMs, heardAtMs) },
+      ...encodeEndpoint(endpoint),
+      zone,
+      ageMs: age(nowMs, heardAtMs),
     })),
     updates: message.updates.map((update) => encodeUpdate(update, nowMs)),
     departedCount: message.departedCount,
@@ -59,7 +64,9 @@
     suspicions: message.suspicions.map(({ backendId, atMs }) => ({ backendId, ageMs: age(nowMs, atMs) })),
     loads: message.loads.map((report) => encodeLoad(report, nowMs)),
     badAnswers: message.badAnswers.map(({ backendId, observer, atMs }) => ({
-      ...{ backendId, observer, ageMs: age(nowMs, atMs) },
+      backendId,
+      observer,
+      ageMs: age(nowMs, atMs),
     })),
   }).finish();
 }
@@ -85,24 +92,32 @@
     confirmations[name] = { revision: revision ?? 0, changedRevision: changedRevision ?? 0, confirmedAtMs };
   }
   return {
-    ...{ type, senderId: message.senderId, senderZone: message.senderZone ?? '', confirmations },
+    type,
+    senderId: message.senderId,
+    senderZone: message.senderZone ?? '',
+    confirmations,
     leaving: message.leaving ?? false,
     readers: (message.readers ?? []).map(({ id, ageMs }): ReaderSighting => ({
       id: id ?? '',
       confirmedAtMs: arrivedMs - (ageMs ?? 0),
     })),
     peers: (message.peers ?? []).map(({ zone, ageMs, ...at }): Peer => ({
-      ...{ endpoint: decodeEndpoint(at), zone: zone ?? '', heardAtMs: arrivedMs - (ageMs ?? 0) },
+      endpoint: decodeEndpoint(at),
+      zone: zone ?? '',
+      heardAtMs: arrivedMs - (ageMs ?? 0),
     })),
     updates: (message.updates ?? []).flatMap((update) => decodeUpdate(update, arrivedMs) ?? []),
     departedCount: message.departedCount ?? 0,
     tableRevision: message.tableRevision ?? NOTHING_KNOWN,
     suspicions: (message.suspicions ?? []).map(({ backendId, ageMs }) => ({
-      ...{ backendId: backendId ?? '', atMs: arrivedMs - (ageMs ?? 0) },
+      backendId: backendId ?? '',
+      atMs: arrivedMs - (ageMs ?? 0),
     })),
     loads: (message.loads ?? []).map((report) => decodeLoad(report, arrivedMs)),
     badAnswers: (message.badAnswers ?? []).map(({ backendId, observer, ageMs }) => ({
-      ...{ backendId: backendId ?? '', observer: observer ?? 0, atMs: arrivedMs - (ageMs ?? 0) },
+      backendId: backendId ?? '',
+      observer: observer ?? 0,
+      atMs: arrivedMs - (ageMs ?? 0),
     })),
   };
 }
@@ -111,13 +126,18 @@
   const table = update.routes.at(-1);
   const departed = update.departed ?? [];
   return {
-    ...{ topic: TOPIC_NUMBERS[topic], complete: update.complete, since, revision: update.revision },
+    topic: TOPIC_NUMBERS[topic],
+    complete: update.complete,
+    since,
+    revision: update.revision,
     routes: table && encodeTable(table),
     routeChange: update.routeChange && encodeTableChange(update.routeChange),
     backends: [
       ...update.backends.map(encodeBackend),
       ...departed.map(({ record, departedAtMs }) => ({
-        ...{ ...encodeBackend(record), departed: true, departedAgeMs: age(nowMs, departedAtMs) },
+        ...encodeBackend(record),
+        departed: true,
+        departedAgeMs: age(nowMs, departedAtMs),
       })),
     ],
     removals: update.removals.map(({ id, revision }) => ({ id, revision })),
@@ -131,7 +151,8 @@
   if (!topic) return undefined;
   const backends = update.backends ?? [];
   const decoded: RoutingUpdate = {
-    ...{ revision: update.revision ?? 0, complete: update.complete ?? false },
+    revision: update.revision ?? 0,
+    complete: update.complete ?? false,
     routes: update.routes ? [decodeTable(update.routes)] : [],
     routeChange: update.routeChange ? decodeTableChange(update.routeChange) : undefined,
     backends: backends.filter(({ departed }) => !departed).map(decodeBackend),
@@ -150,7 +171,9 @@
 
 function encodeLoad({ page, measuredAtMs, validMs, busy }: LoadReport, nowMs: number): WireLoadReport {
   return {
-    ...{ page, ageMs: age(nowMs, measuredAtMs), validMs },
+    page,
+    ageMs: age(nowMs, measuredAtMs),
+    validMs,
     tags: busy.map(({ tag }) => tag),
     sixteenths: busy.map(({ level }) => Math.round(level * LEVEL_PARTS)),
   };
@@ -161,7 +184,9 @@
   arrivedMs: number,
 ): LoadReport {
   return {
-    ...{ page: page ?? 0, measuredAtMs: arrivedMs - (ageMs ?? 0), validMs: validMs ?? 0 },
+    page: page ?? 0,
+    measuredAtMs: arrivedMs - (ageMs ?? 0),
+    validMs: validMs ?? 0,
     busy: (tags ?? []).map((tag, index) => ({ tag, level: (sixteenths?.[index] ?? 0) / LEVEL_PARTS })),
   };
 }
@@ -169,7 +194,9 @@
 function encodeTable(table: RouteTable): sailquay.spreading.IRouteTable {
   const { version, revision, idleTimeoutMs, routes, services } = table;
   return {
-    ...{ version, revision, idleTimeoutMs },
+    version,
+    revision,
+    idleTimeoutMs,
     routes: routes.map(encodeRoute),
     services: services.map(encodeService),
   };
@@ -177,7 +204,8 @@
 
 function decodeTable(table: sailquay.spreading.IRouteTable): RouteTable {
   return {
-    ...{ version: table.version ?? 0, revision: table.revision ?? 0 },
+    version: table.version ?? 0,
+    revision: table.revision ?? 0,
     idleTimeoutMs: table.idleTimeoutMs ?? 0,
     routes: (table.routes ?? []).map(decodeRoute),
     services: (table.services ?? []).map(decodeService),
@@ -187,7 +215,11 @@
 function encodeTableChange(change: RouteTableChange): sailquay.spreading.IRouteTableChange {
   const { fromRevisions, version, revision, idleTimeoutMs, routes, removedRoutes, services } = change;
   return {
-    ...{ fromRevisions: [...fromRevisions], version, revision, idleTimeoutMs, digest: change.digest },
+    fromRevisions: [...fromRevisions],
+    version,
+    revision,
+    idleTimeoutMs,
+    digest: change.digest,
     routes: routes.map(encodeRoute),
     removedRoutes: [...removedRoutes],
     services: services.map(encodeService),
@@ -196,12 +228,11 @@
 
 function decodeTableChange(change: sailquay.spreading.IRouteTableChange): RouteTableChange {
   return {
-    ...{
-      fromRevisions: change.fromRevisions ?? [],
-      version: change.version ?? 0,
-      digest: change.digest ?? 0,
-    },
-    ...{ revision: change.revision ?? 0, idleTimeoutMs: change.idleTimeoutMs ?? 0 },
+    fromRevisions: change.fromRevisions ?? [],
+    version: change.version ?? 0,
+    digest: change.digest ?? 0,
+    revision: change.revision ?? 0,
+    idleTimeoutMs: change.idleTimeoutMs ?? 0,
     routes: (change.routes ?? []).map(decodeRoute),
     removedRoutes: change.removedRoutes ?? [],
     services: (change.services ?? []).map(decodeService),
@@ -215,7 +246,10 @@
 function encodeRoute(route: Route): sailquay.spreading.IRoute {
   const { name, address, port, targets, allowedRegions } = route;
   return {
-    ...{ name, address, port, targets: targets.map(({ service, weight }) => ({ service, weight })) },
+    name,
+    address,
+    port,
+    targets: targets.map(({ service, weight }) => ({ service, weight })),
     allowedRegions: allowedRegions && [...allowedRegions],
   };
 }
@@ -223,10 +257,13 @@
 function decodeRoute(route: sailquay.spreading.IRoute): Route {
   const { name, address, port, targets, allowedRegions } = route;
   return {
-    ...{ name: name ?? '', address: address ?? 0, port: port ?? 0 },
+    name: name ?? '',
+    address: address ?? 0,
+    port: port ?? 0,
     ...(allowedRegions && allowedRegions.length > 0 ? { allowedRegions } : {}),
     targets: (targets ?? []).map(({ service, weight }) => ({
-      ...{ service: service ?? '', weight: weight ?? 0 },
+      service: service ?? '',
+      weight: weight ?? 0,
     })),
   };
 }
@@ -234,7 +271,8 @@
 function encodeService(service: RoutedService): sailquay.spreading.IService {
   const { name, maxConnections, coldRequestsPerSecond } = service;
   return {
-    ...{ name, maxConnections: Number.isFinite(maxConnections) ? maxConnections : 0 },
+    name,
+    maxConnections: Number.isFinite(maxConnections) ? maxConnections : 0,
     coldRequestsPerSecond,
   };
 }
@@ -242,7 +280,8 @@
 function decodeService(service: sailquay.spreading.IService): RoutedService {
   const { name, maxConnections, coldRequestsPerSecond } = service;
   return {
-    ...{ name: name ?? '', maxConnections: maxConnections || Number.POSITIVE_INFINITY },
+    name: name ?? '',
+    maxConnections: maxConnections || Number.POSITIVE_INFINITY,
     ...(coldRequestsPerSecond ? { coldRequestsPerSecond } : {}),
   };
 }
@@ -254,10 +293,15 @@
 
 function decodeBackend(backend: sailquay.spreading.IBackend): RoutedBackend {
   return {
-    ...{ id: backend.id ?? '', service: backend.service ?? '', zone: backend.zone ?? '' },
-    ...{ endpoint: decodeEndpoint(backend), capacity: backend.capacity ?? 1 },
-    ...{ draining: backend.draining ?? false, coldMs: backend.coldMs ?? 0 },
-    ...{ createdRevision: backend.createdRevision ?? 0, revision: backend.revision ?? 0 },
+    id: backend.id ?? '',
+    service: backend.service ?? '',
+    zone: backend.zone ?? '',
+    endpoint: decodeEndpoint(backend),
+    capacity: backend.capacity ?? 1,
+    draining: backend.draining ?? false,
+    coldMs: backend.coldMs ?? 0,
+    createdRevision: backend.createdRevision ?? 0,
+    revision: backend.revision ?? 0,
   };
 }
 
--- a/src/cookie-edge/spreading/message-composer.ts
+++ b/src/cookie-edge/spreading/message-composer.ts
@@ -89,15 +89,18 @@
   badAnswerMessage(): PeerMessage {
     const { selfId, zone, clock } = this.options;
     return {
-      ...{ type: 'news', senderId: selfId, senderZone: zone, leaving: false, updates: [], confirmations: {} },
-      ...{
-        suspicions: [],
-        loads: [],
-        readers: [],
-        peers: [],
-        departedCount: 0,
-        tableRevision: NOTHING_KNOWN,
-      },
+      type: 'news',
+      senderId: selfId,
+      senderZone: zone,
+      leaving: false,
+      updates: [],
+      confirmations: {},
+      suspicions: [],
+      loads: [],
+      readers: [],
+      peers: [],
+      departedCount: 0,
+      tableRevision: NOTHING_KNOWN,
       badAnswers: this.badAnswers.takeForPush(clock.now()),
     };
   }
@@ -113,10 +116,15 @@
     const hasConfirmed = role.isReading && Number.isFinite(this.ownConfirmationMs);
     const self = hasConfirmed ? [{ id: selfId, confirmedAtMs: this.ownConfirmationMs }] : [];
     return {
-      ...{ type, senderId: selfId, senderZone: zone, leaving: false, updates },
+      type,
+      senderId: selfId,
+      senderZone: zone,
+      leaving: false,
+      updates,
       confirmations: confirmationsOf(knowledge),
       suspicions: suspicions.recent(nowMs),
-      ...{ loads: [], badAnswers: [] },
+      loads: [],
+      badAnswers: [],
       departedCount: knowledge.backends.departedCount,
       tableRevision: knowledge.tableRevision,
       readers: [...self, ...role.leadingReaders(nowMs, READERS_A_MESSAGE)],
--- a/src/cookie-edge/spreading/network-transport.ts
+++ b/src/cookie-edge/spreading/network-transport.ts
@@ -114,7 +114,9 @@
   const parameters = new URLSearchParams(query);
   const revision = (topic: string): number => Number(parameters.get(topic) ?? NOTHING_KNOWN);
   return {
-    ...{ routes: revision('routes'), backends: revision('backends'), cordons: revision('cordons') },
+    routes: revision('routes'),
+    backends: revision('backends'),
+    cordons: revision('cordons'),
     table: revision('table'),
   };
 }
--- a/src/cookie-edge/spreading/peer-view.test.ts
+++ b/src/cookie-edge/spreading/peer-view.test.ts
@@ -22,7 +22,10 @@
 
 function viewOf(index: number): PeerView {
   return new PeerView({
-    ...{ self: endpointOf(index), zone: 'a', random: seededRandom(index + 1), events: SILENT_EVENTS },
+    self: endpointOf(index),
+    zone: 'a',
+    random: seededRandom(index + 1),
+    events: SILENT_EVENTS,
   });
 }
 
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -76,8 +76,12 @@
 /** See the module. Call `start` once, and `leave` before the transport closes. */
 export class Spreader {
   private readonly counts = {
-    ...{ messagesSent: 0, messagesReceived: 0, bytesSent: 0, bytesReceived: 0 },
-    ...{ pulls: 0, malformed: 0 },
+    messagesSent: 0,
+    messagesReceived: 0,
+    bytesSent: 0,
+    bytesReceived: 0,
+    pulls: 0,
+    malformed: 0,
   };
   private readonly peers: PeerView;
   private readonly role: ReaderRole;
@@ -104,7 +108,12 @@
     this.composer = composer;
     this.sender = new UpdateSender({ clock, knowledge, peers, log, composer, isOn, send });
     this.catchUp = new CatchUp({
-      ...{ zone, clock, random, events, knowledge, transport },
+      zone,
+      clock,
+      random,
+      events,
+      knowledge,
+      transport,
       ask: (peer) => this.ask(peer),
       take: (message, from) => this.take(message, from),
     });
--- a/src/cookie-edge/spreading/spreading-test-support.ts
+++ b/src/cookie-edge/spreading/spreading-test-support.ts
@@ -52,20 +52,25 @@
     const circuit = new SourceCircuit(clock, random, events);
     circuit.retryNoSoonerThan(() => this.spreader.leastRetryMs());
     const following = {
-      ...{ clock, source: source.for(id), knowledge: this.knowledge, circuit, timings: TIMINGS },
+      clock,
+      source: source.for(id),
+      knowledge: this.knowledge,
+      circuit,
+      timings: TIMINGS,
       problems: new ProblemLog(events),
       usesLongWatches: cluster.options.usesLongWatches,
       onConfirmation: () => this.spreader.noteOwnConfirmation(),
     };
     const followers = this.knowledge.topics.map((topic) => new SourceFollower(topic, following));
     this.spreader = new Spreader({
-      ...{
-        selfId: id,
-        zone: zoneOf(formatEndpoint(this.endpoint)),
-        seeds: () => cluster.seeds,
-        knowledge: this.knowledge,
-      },
-      ...{ transport: network.open(this.endpoint), clock, random, events },
+      selfId: id,
+      zone: zoneOf(formatEndpoint(this.endpoint)),
+      seeds: () => cluster.seeds,
+      knowledge: this.knowledge,
+      transport: network.open(this.endpoint),
+      clock,
+      random,
+      events,
       timings: TIMINGS,
       setReading: (isReading) => {
         this.reading?.abort();
--- a/src/cookie-edge/spreading/table-consistency.test.ts
+++ b/src/cookie-edge/spreading/table-consistency.test.ts
@@ -39,7 +39,9 @@
 class TellingDaemon {
   readonly log = new UpdateLog();
   readonly knowledge = new RoutingKnowledge({
-    ...{ clock: new VirtualClock(), events: SILENT_EVENT_LOG, retentionMs: 60_000 },
+    clock: new VirtualClock(),
+    events: SILENT_EVENT_LOG,
+    retentionMs: 60_000,
   });
 
   constructor() {
--- a/src/cookie-edge/spreading/update-log.ts
+++ b/src/cookie-edge/spreading/update-log.ts
@@ -100,7 +100,9 @@
   if (revision < 0 || (topic === 'routes' && !table)) return undefined;
   const all = topic === 'backends' ? [...knowledge.backends.all()] : [];
   const update: RoutingUpdate = {
-    ...{ revision, complete: true, removals: [] },
+    revision,
+    complete: true,
+    removals: [],
     routes: topic === 'routes' && table ? [table] : [],
     backends: all.filter(({ departed }) => !departed).map(({ record }) => record),
     departed: all.flatMap(({ record, departedAtMs }) =>
--- a/src/cookie-edge/spreading/update-sender.ts
+++ b/src/cookie-edge/spreading/update-sender.ts
@@ -41,7 +41,10 @@
   private changesSentMs = Number.NEGATIVE_INFINITY;
   /** Revisions up to which changes were sent. */
   private sentRevisions: KnownRevisions = {
-    ...{ routes: NOTHING_KNOWN, backends: NOTHING_KNOWN, cordons: NOTHING_KNOWN, table: NOTHING_KNOWN },
+    routes: NOTHING_KNOWN,
+    backends: NOTHING_KNOWN,
+    cordons: NOTHING_KNOWN,
+    table: NOTHING_KNOWN,
   };
 
   constructor(private readonly options: UpdateSenderOptions) {}
--- a/src/experiment/capacity/capacity-model.ts
+++ b/src/experiment/capacity/capacity-model.ts
@@ -73,8 +73,13 @@
   const fitted = FITTED.flatMap((each) => contribution(steps, read, each) ?? []);
   return [
     {
-      ...{ dimension: 'base', variable: `${base.members} idle daemons, ${base.backends} back ends` },
-      ...{ target: 0, base: 0, largestMeasured: 0, fit: undefined, value: read(base) },
+      dimension: 'base',
+      variable: `${base.members} idle daemons, ${base.backends} back ends`,
+      target: 0,
+      base: 0,
+      largestMeasured: 0,
+      fit: undefined,
+      value: read(base),
     },
     ...fitted,
   ];
@@ -92,8 +97,13 @@
     step.cpuFraction - fits.stub.slope * step.probesPerSecond;
   const largestMeasured = Math.max(...probes.map(({ httpProbesPerSecond }) => httpProbesPerSecond));
   const real: Contribution = {
-    ...{ dimension: 'probes', variable: 'HTTP probes/s of a daemon', target: rate, base: 0 },
-    ...{ largestMeasured, fit: fits.http, value: fits.http.slope * rate },
+    dimension: 'probes',
+    variable: 'HTTP probes/s of a daemon',
+    target: rate,
+    base: 0,
+    largestMeasured,
+    fit: fits.http,
+    value: fits.http.slope * rate,
   };
   return [...contributions(steps, withoutStub), real];
 }
@@ -154,7 +164,11 @@
   const sizes = points.map(({ x }) => x);
   const base = Math.min(...sizes);
   return {
-    ...{ dimension: fitted.dimension, variable: fitted.variable, target: fitted.target, base, fit },
+    dimension: fitted.dimension,
+    variable: fitted.variable,
+    target: fitted.target,
+    base,
+    fit,
     largestMeasured: Math.max(...sizes),
     // A part that falls with the size is noise, or a cost that was shared out; it must not hide the others.
     value: Math.max(0, valueAt(fit, fitted.target) - valueAt(fit, base)),
--- a/src/experiment/capacity/capacity-tables.ts
+++ b/src/experiment/capacity/capacity-tables.ts
@@ -41,15 +41,24 @@
   const cpu = cpuContributions(steps, probes).map((part) => percent(part));
   return [
     {
-      ...{ title: 'Bytes sent', unit: 'B/s', digits: 0, budget: DAEMON_BUDGET.bytesPerSecond },
+      title: 'Bytes sent',
+      unit: 'B/s',
+      digits: 0,
+      budget: DAEMON_BUDGET.bytesPerSecond,
       parts: contributions(steps, (step) => step.bytesOutPerSecond),
     },
     {
-      ...{ title: 'Processor', unit: '% of a core', digits: 2, budget: 100 * DAEMON_BUDGET.cpuFraction },
+      title: 'Processor',
+      unit: '% of a core',
+      digits: 2,
+      budget: 100 * DAEMON_BUDGET.cpuFraction,
       parts: cpu,
     },
     {
-      ...{ title: 'Resident memory', unit: 'MB', digits: 1, budget: DAEMON_BUDGET.megabytes },
+      title: 'Resident memory',
+      unit: 'MB',
+      digits: 1,
+      budget: DAEMON_BUDGET.megabytes,
       parts: [...processMemory(reports), ...contributions(steps, (step) => step.residentMegabytes)],
     },
   ];
@@ -77,7 +86,9 @@
   const { fit } = part;
   const scaled = fit && {
     ...fit,
-    ...{ intercept: 100 * fit.intercept, slope: 100 * fit.slope, residual: 100 * fit.residual },
+    intercept: 100 * fit.intercept,
+    slope: 100 * fit.slope,
+    residual: 100 * fit.residual,
   };
   return { ...part, fit: scaled, value: 100 * part.value };
 }
--- a/src/experiment/capacity/capacity.test.ts
+++ b/src/experiment/capacity/capacity.test.ts
@@ -12,28 +12,33 @@
 import { DAEMON_SHARE } from './design-size.js';
 
 const EMPTY: RecordedStep = {
-  ...{ dimensions: [], members: 12, regions: 1, backends: 150, services: 100, flowsPerDaemon: 0 },
-  ...{
-    openingsPerSecond: 0,
-    changesPerSecond: 0,
-    seconds: 15,
-    bytesOutPerSecond: 0,
-    bytesOutPerSecondMax: 0,
-  },
-  ...{ bytesInPerSecond: 0, bytesOutByKind: {}, cpuFraction: 0, residentMegabytes: 0 },
-  ...{
-    secondsToEverywhereMax: null,
-    secondsToEverywhereMedian: null,
-    storeReaders: 2,
-    storeRequestsPerSecond: 1,
-  },
-  ...{ falseSuspicions: 0, falseRemovals: 0, settleSeconds: 1, settleBytesPerDaemon: 1 },
-  ...{
-    settleHandoverBytesPerDaemon: 1,
-    exceptionsShare: null,
-    flowTableBytesPerFlow: null,
-    probesPerSecond: 0,
-  },
+  dimensions: [],
+  members: 12,
+  regions: 1,
+  backends: 150,
+  services: 100,
+  flowsPerDaemon: 0,
+  openingsPerSecond: 0,
+  changesPerSecond: 0,
+  seconds: 15,
+  bytesOutPerSecond: 0,
+  bytesOutPerSecondMax: 0,
+  bytesInPerSecond: 0,
+  bytesOutByKind: {},
+  cpuFraction: 0,
+  residentMegabytes: 0,
+  secondsToEverywhereMax: null,
+  secondsToEverywhereMedian: null,
+  storeReaders: 2,
+  storeRequestsPerSecond: 1,
+  falseSuspicions: 0,
+  falseRemovals: 0,
+  settleSeconds: 1,
+  settleBytesPerDaemon: 1,
+  settleHandoverBytesPerDaemon: 1,
+  exceptionsShare: null,
+  flowTableBytesPerFlow: null,
+  probesPerSecond: 0,
 };
 
 /** A fleet whose bytes a second follow a known formula. */
@@ -75,8 +80,11 @@
     },
   ];
   const probes = [10, 100].map((rate) => ({
-    ...{ backends: 1, seconds: 1, httpProbesPerSecond: rate },
-    ...{ httpCpuFraction: 0.002 + 0.0005 * rate, stubCpuFraction: 0.0001 * rate },
+    backends: 1,
+    seconds: 1,
+    httpProbesPerSecond: rate,
+    httpCpuFraction: 0.002 + 0.0005 * rate,
+    stubCpuFraction: 0.0001 * rate,
   }));
   const parts = cpuContributions(steps, probes);
   const value = (name: string): number =>
--- a/src/gue-edge/control/simulated-network.test.ts
+++ b/src/gue-edge/control/simulated-network.test.ts
@@ -20,7 +20,11 @@
 } {
   const clock = new VirtualClock();
   const network = new SimulatedNetwork({
-    ...{ clock, random: seededRandom(1), delayMs: [1, 5], budgetBytesPerSecond: 1_000_000, ...faults },
+    clock,
+    random: seededRandom(1),
+    delayMs: [1, 5],
+    budgetBytesPerSecond: 1_000_000,
+    ...faults,
   });
   const left = network.channel({ host: '10.0.0.1', port: 1 }, 'left', 1);
   const right = network.channel({ host: '10.0.0.2', port: 1 }, 'right', 1);
--- a/src/gue-edge/control/udp-channel.test.ts
+++ b/src/gue-edge/control/udp-channel.test.ts
@@ -91,8 +91,14 @@
   const recipient = formatEndpoint(channel.endpoint);
   const wallSeconds = Math.floor(clock.wall() / 1_000);
   const envelope = (change: Partial<ControlEnvelope> = {}): ControlEnvelope => ({
-    ...{ versionMin: 1, versionMax: 2, senderId: 'sender', senderIncarnation: 5, sequence: 1, wallSeconds },
-    ...{ kind: 'status', payload: Buffer.from('x') },
+    versionMin: 1,
+    versionMax: 2,
+    senderId: 'sender',
+    senderIncarnation: 5,
+    sequence: 1,
+    wallSeconds,
+    kind: 'status',
+    payload: Buffer.from('x'),
     ...change,
   });
   const first = sealEnvelope(envelope(), recipient, good);
--- a/src/gue-edge/daemon/daemon-start.test.ts
+++ b/src/gue-edge/daemon/daemon-start.test.ts
@@ -68,15 +68,15 @@
 function start(host: string, fields: Fields): Promise<Daemon> {
   const address = `${host}:0`;
   const config = parseDaemonConfig({
-    ...{
-      id: 'balancer-1',
-      region: 'region',
-      zone: 'zone-a',
-      control: address,
-      data: address,
-      admin: address,
-    },
-    ...{ fabricReturn: `${host}:9`, clusterKeyFile: KEYS, ...fields },
+    id: 'balancer-1',
+    region: 'region',
+    zone: 'zone-a',
+    control: address,
+    data: address,
+    admin: address,
+    fabricReturn: `${host}:9`,
+    clusterKeyFile: KEYS,
+    ...fields,
   });
   return Daemon.start(config, {
     clock: new VirtualClock(),
--- a/src/gue-edge/daemon/data-plane.ts
+++ b/src/gue-edge/daemon/data-plane.ts
@@ -118,7 +118,10 @@
   const admission = new LimitedAdmission(options.memoryExceeded, limiter);
   const budget = new ExceptionBudget({ clock, bytesPerSecond: config.exceptionBytesPerSecond });
   const policy = createPlacementPolicy(config.placement, {
-    ...{ clock, random, events, capacityShare: share },
+    clock,
+    random,
+    events,
+    capacityShare: share,
     targetExceptionShare: budget.countOpening,
   });
   const forwarder = createForwarder(config.placement, {
--- a/src/gue-edge/daemon/wiring.ts
+++ b/src/gue-edge/daemon/wiring.ts
@@ -44,20 +44,18 @@
   const { membership, settings, health } = controlPlane;
   const dataPlane = startDataPlane(
     {
-      ...{
-        config,
-        clock,
-        random,
-        events,
-        control,
-        edge,
-        gate,
-        sources,
-        membership,
-        settings,
-        health,
-        limits,
-      },
+      config,
+      clock,
+      random,
+      events,
+      control,
+      edge,
+      gate,
+      sources,
+      membership,
+      settings,
+      health,
+      limits,
       memoryExceeded: () => memory.exceeded(),
     },
     signal,
@@ -115,7 +113,10 @@
   const { id, region, zone } = config;
   const { control, edge, admin } = sockets;
   return {
-    ...{ id, region, zone, incarnation },
+    id,
+    region,
+    zone,
+    incarnation,
     control: control.endpoint,
     data: edge.endpoint,
     admin: admin.endpoint,
--- a/src/gue-edge/flow/refusals.test.ts
+++ b/src/gue-edge/flow/refusals.test.ts
@@ -13,8 +13,15 @@
 
 const ENDPOINT = { host: '127.0.0.1', port: 1 };
 const SELF: Member = {
-  ...{ id: 'node-1', region: 'region', zone: 'zone-a', incarnation: 1, state: 'active', settingsVersion: 1 },
-  ...{ control: ENDPOINT, data: ENDPOINT, admin: ENDPOINT },
+  id: 'node-1',
+  region: 'region',
+  zone: 'zone-a',
+  incarnation: 1,
+  state: 'active',
+  settingsVersion: 1,
+  control: ENDPOINT,
+  data: ENDPOINT,
+  admin: ENDPOINT,
 };
 
 interface Options {
@@ -33,7 +40,11 @@
   const resets: number[] = [];
   const settings = new SettingsScript(4).snapshot();
   const keeper = new FlowKeeper({
-    ...{ selfId: SELF.id, zone: SELF.zone, clock, random, events: SILENT_EVENT_LOG },
+    selfId: SELF.id,
+    zone: SELF.zone,
+    clock,
+    random,
+    events: SILENT_EVENT_LOG,
     membership: {
       selfId: SELF.id,
       view: () => ({ sequence: 1, members: [SELF], digest: 1, quorate: true }),
@@ -49,7 +60,12 @@
     },
     health: {
       health: (backendId) => ({
-        ...{ backendId, condition: 'healthy', eligible, warmup: 1, reportedLoad: undefined, evidence: [] },
+        backendId,
+        condition: 'healthy',
+        eligible,
+        warmup: 1,
+        reportedLoad: undefined,
+        evidence: [],
       }),
       recordPassive: () => undefined,
     },
@@ -66,8 +82,16 @@
 function syn(caller: number, destinationAddress: number): PacketView {
   return {
     bytes: Buffer.alloc(0),
-    ...{ sourceAddress: caller, sourcePort: 1_024, destinationAddress, destinationPort: 80 },
-    ...{ syn: true, ack: false, fin: false, rst: false, hops: 0, relayedFrom: undefined },
+    sourceAddress: caller,
+    sourcePort: 1_024,
+    destinationAddress,
+    destinationPort: 80,
+    syn: true,
+    ack: false,
+    fin: false,
+    rst: false,
+    hops: 0,
+    relayedFrom: undefined,
   };
 }
 
--- a/src/gue-edge/health/gossip.test.ts
+++ b/src/gue-edge/health/gossip.test.ts
@@ -19,8 +19,15 @@
 function member(id: string): Member {
   const endpoint = { host: '127.0.0.1', port: 1 };
   return {
-    ...{ id, region: 'r', zone: 'z', control: endpoint, admin: endpoint, data: endpoint },
-    ...{ incarnation: 1, state: 'active', settingsVersion: 0 },
+    id,
+    region: 'r',
+    zone: 'z',
+    control: endpoint,
+    admin: endpoint,
+    data: endpoint,
+    incarnation: 1,
+    state: 'active',
+    settingsVersion: 0,
   };
 }
 
@@ -30,7 +37,10 @@
   const sent: Uint8Array[] = [];
   let attempts = 0;
   const gossip = new HealthGossip({
-    ...{ clock, random: seededRandom(3), events: SILENT_EVENT_LOG, table: new VoteTable() },
+    clock,
+    random: seededRandom(3),
+    events: SILENT_EVENT_LOG,
+    table: new VoteTable(),
     membership: {
       selfId: 'self',
       view: () => ({ sequence: 1, members, digest: 0, quorate: true }),
--- a/src/gue-edge/membership/quorum.ts
+++ b/src/gue-edge/membership/quorum.ts
@@ -46,7 +46,9 @@
   constructor(private readonly context: QuorumContext) {
     const { clock, platform, region, table, timing, timers, messenger, onChange } = context;
     this.exchange = new QuorumExchange({
-      ...{ timers, messenger, base: this.base },
+      timers,
+      messenger,
+      base: this.base,
       isQuorate: () => this.decision,
       onAdopted: onChange,
     });
--- a/src/gue-edge/membership/simulated-cluster.ts
+++ b/src/gue-edge/membership/simulated-cluster.ts
@@ -54,7 +54,11 @@
     const { seed = 1, delayMs = DEFAULT_DELAY_MS, lossRate, duplicateRate } = options;
     this.zones = options.zones ?? DEFAULT_ZONES;
     this.network = new SimulatedNetwork({
-      ...{ clock: this.clock, random: seededRandom(seed), delayMs, lossRate, duplicateRate },
+      clock: this.clock,
+      random: seededRandom(seed),
+      delayMs,
+      lossRate,
+      duplicateRate,
     });
   }
 
@@ -99,7 +103,11 @@
     const incarnation = this.clock.wall() + this.boots;
     const channel = this.network.channel(endpoint, id, incarnation);
     const membership = new SwimMembership({
-      ...{ region: REGION, incarnation, channel, clock, timing },
+      region: REGION,
+      incarnation,
+      channel,
+      clock,
+      timing,
       identity: identityOf(id, zone, endpoint),
       random: seededRandom(combine32(seed, this.boots)),
       seeds: this.seedsFor(index),
--- a/src/gue-edge/membership/swim-membership.ts
+++ b/src/gue-edge/membership/swim-membership.ts
@@ -87,40 +87,55 @@
     });
     const { messenger } = this;
     this.gossiper = new Gossiper({
-      ...{ table, queue, timers, random, timing, messenger },
+      table,
+      queue,
+      timers,
+      random,
+      timing,
+      messenger,
       availableBytesPerSecond: () => channel.availableBytesPerSecond(),
     });
     this.sync = new StateSync({ table, timers, random, timing, messenger });
     this.prober = new Prober({
-      ...{ table, timers, random, timing, messenger, health: this.health },
+      table,
+      timers,
+      random,
+      timing,
+      messenger,
+      health: this.health,
       wallMs: () => clock.wall(),
       onUnanswered: (target) => this.onUnanswered(target),
       onRound: () => this.onRound(),
     });
     this.zones = new ZoneSilence((zone, members) => this.onZoneSilent(zone, members));
     this.quorum = new Quorum({
-      ...{
-        clock,
-        timers,
-        messenger,
-        table,
-        timing,
-        region,
-        platform: options.platform,
-        suspicions: this.suspicions,
-      },
+      clock,
+      timers,
+      messenger,
+      table,
+      timing,
+      region,
+      platform: options.platform,
+      suspicions: this.suspicions,
       isCutOff: () => this.prober.isCutOff,
       isZoneSilent: (zone) => this.zones.isSilent(zone),
       onChange: () => this.updateQuorum(),
     });
     this.publisher = new ViewPublisher({
-      ...{ table, clock, region },
+      table,
+      clock,
+      region,
       isQuorate: () => this.quorum.isQuorate,
       beforePublish: () => this.updateQuorum(),
       batchMs: () => (this.zones.anySilent ? ZONE_VIEW_BATCH_MS : timing.viewBatchMs),
     });
     this.joiner = new Joiner({
-      ...{ table, timers, random, timing, seeds: options.seeds, platform: options.platform },
+      table,
+      timers,
+      random,
+      timing,
+      seeds: options.seeds,
+      platform: options.platform,
       events: this.events,
       contact: (endpoint) => this.sync.request(endpoint),
       isListReader: () => this.quorum.isLowestReachable(),
--- a/tools/write-code-cache.mjs
+++ b/tools/write-code-cache.mjs
@@ -21,7 +21,11 @@
 
 await build({
   entryPoints: [fileURLToPath(new URL('../platform/tools/warm-up/warm-up.ts', import.meta.url))],
-  ...{ bundle: true, platform: 'node', target: 'node20', format: 'esm', logLevel: 'warning' },
+  bundle: true,
+  platform: 'node',
+  target: 'node20',
+  format: 'esm',
+  logLevel: 'warning',
   outfile: warmUpPath,
 });
 setTimeout(() => {
