--- a/src/cli/backend-command.ts
+++ b/src/cli/backend-command.ts
@@ -21,7 +21,7 @@
 }
 
 /** The edit was accepted, but some balancer does not have it in force yet. */
-export class NotInForceError extends SailquayError {
+class NotInForceError extends SailquayError {
   readonly kind = 'cli.not-in-force';
 
   constructor(version: number, waitSeconds: number, behind: readonly string[]) {
--- a/src/cli/fleet-options.ts
+++ b/src/cli/fleet-options.ts
@@ -9,7 +9,7 @@
 
 /** Environment variables for when the flags are not given. */
 export const PLATFORM_VARIABLE = 'SAILQUAY_PLATFORM';
-export const ADMIN_VARIABLE = 'SAILQUAY_ADMIN';
+const ADMIN_VARIABLE = 'SAILQUAY_ADMIN';
 
 const MAX_PORT = 65_535;
 
@@ -20,7 +20,7 @@
 }
 
 /** Neither a daemon nor a platform is named. */
-export class NoFleetError extends SailquayError {
+class NoFleetError extends SailquayError {
   readonly kind = 'cli.no-fleet';
 }
 
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -69,7 +69,7 @@
 `;
 
 /** Where help and errors go; tests pass their own. */
-export interface ProgramOutput {
+interface ProgramOutput {
   writeOut(text: string): void;
   writeErr(text: string): void;
 }
--- a/src/cli/tree-command.ts
+++ b/src/cli/tree-command.ts
@@ -44,7 +44,7 @@
 const MAX_SEED = 0x7fff_ffff;
 
 /** What the commands use of their surroundings; tests pass their own. */
-export interface TreeCommandEnvironment {
+interface TreeCommandEnvironment {
   readonly output: CommandOutput;
   connect(baseUrl: string): StoreClient & { close?(): Promise<void> };
 }
--- a/src/common/drain.ts
+++ b/src/common/drain.ts
@@ -5,7 +5,7 @@
 const DRAIN_POLL_INTERVAL_MS = 100;
 
 /** What the wait looks at. */
-export interface DrainOptions {
+interface DrainOptions {
   readonly clock: Clock;
   /** Data packets received since start. */
   readonly packetsReceived: () => number;
--- a/src/common/event-stream.ts
+++ b/src/common/event-stream.ts
@@ -9,7 +9,7 @@
 const EVENT = 'event';
 
 /** Starts a subscription and returns the function that ends it. */
-export type Subscribe<T> = (listener: (event: T) => void) => () => void;
+type Subscribe<T> = (listener: (event: T) => void) => () => void;
 
 /** A source of a stream over a subscription; each observer has its own. */
 class SubscriptionSource<T> {
--- a/src/common/pause-detector.ts
+++ b/src/common/pause-detector.ts
@@ -13,10 +13,10 @@
 export const READS_A_TURN = 32;
 
 /** Sockets whose datagrams wait through a pause. */
-export type PausedSocket = 'edge' | 'peers';
+type PausedSocket = 'edge' | 'peers';
 
 /** Calls back at the end of the turn of the event loop, after what could be read was read. */
-export type AfterReads = (callback: () => void) => void;
+type AfterReads = (callback: () => void) => void;
 
 /** See the module. Times are monotonic ms. */
 export class PauseDetector {
--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -30,10 +30,10 @@
 type DeathFinding = Exclude<ProbeOutcome, 'answered'>;
 
 /** Why a back end is held dead. */
-export type DeathProof = DeathFinding | 'superseded';
+type DeathProof = DeathFinding | 'superseded';
 
 /** What the decision needs, beside the shared parts. */
-export interface DeadBackendsOptions extends BackendProberOptions {
+interface DeadBackendsOptions extends BackendProberOptions {
   /** Called with each back end that is found dead, or that may be, to tell other balancers: those with flows there probe it too. */
   readonly onSuspect: (backendId: string, nowMs: number) => void;
 }
--- a/src/cookie-edge/daemon/edge-gate.ts
+++ b/src/cookie-edge/daemon/edge-gate.ts
@@ -23,10 +23,10 @@
 }
 
 /** What a gate asks of its edge. */
-export type GatedEdge = Pick<BoundCookieEdge, 'keepPacket' | 'boundAtMs'>;
+type GatedEdge = Pick<BoundCookieEdge, 'keepPacket' | 'boundAtMs'>;
 
 /** What a gate needs. */
-export interface EdgeGateOptions {
+interface EdgeGateOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   /** Mechanisms that are on; all unless given. */
--- a/src/cookie-edge/daemon/errors.ts
+++ b/src/cookie-edge/daemon/errors.ts
@@ -1,7 +1,7 @@
 /** Errors of a daemon on a cookie edge. */
 import { SailquayError } from '../../common/types.js';
 
-export type CookieDaemonErrorKind = 'cookie-daemon.config-unreadable' | 'cookie-daemon.config-invalid';
+type CookieDaemonErrorKind = 'cookie-daemon.config-unreadable' | 'cookie-daemon.config-invalid';
 
 /** The daemon cannot start, or keeps its old configuration. */
 export class CookieDaemonError extends SailquayError {
--- a/src/cookie-edge/daemon/held-syn.ts
+++ b/src/cookie-edge/daemon/held-syn.ts
@@ -11,7 +11,7 @@
 const NEXT_SENT_MS = [200, 600, 1_400] as const;
 
 /** What is known of a held SYN; times in ms. */
-export interface HeldSyn {
+interface HeldSyn {
   /** How many times its caller had sent the SYN before. */
   readonly copy: number;
   /** Time since the socket was bound: nothing in it is older. */
--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -36,7 +36,7 @@
 import { TrafficSplitter } from '../placement/traffic-splitter.js';
 
 /** What a cookie forwarder needs. */
-export interface CookieForwarderOptions {
+interface CookieForwarderOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly events: EventLog;
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -8,7 +8,7 @@
 import type { BackendState } from '../backend-health/backend-state.js';
 
 /** opening: nothing but SYNs yet. open: the caller went on. closing: the caller closed or reset it. */
-export type FlowPhase = 'opening' | 'open' | 'closing';
+type FlowPhase = 'opening' | 'open' | 'closing';
 
 /** One flow from a caller to a service address. */
 export interface Flow {
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -17,7 +17,7 @@
 import type { TrafficSplitter } from '../placement/traffic-splitter.js';
 
 /** What decides about openings, beside the shared parts. */
-export interface OpeningHandlerOptions {
+interface OpeningHandlerOptions {
   readonly splitter: TrafficSplitter;
   readonly placement: OpeningPlacement;
   readonly eligibility: BackendEligibility;
--- a/src/cookie-edge/load/index.ts
+++ b/src/cookie-edge/load/index.ts
@@ -5,5 +5,5 @@
 export type * from './types.js';
 export { LOAD_MIN_DAEMONS } from './constants.js';
 export { LOAD_EVENTS } from './events.js';
-export { LoadReader, type LoadReaderOptions } from './load-reader.js';
+export { LoadReader } from './load-reader.js';
 export { LoadView, type LoadLevels } from './load-view.js';
--- a/src/cookie-edge/load/load-reader.ts
+++ b/src/cookie-edge/load/load-reader.ts
@@ -11,7 +11,7 @@
 import type { CallCountSource, LoadReport } from './types.js';
 
 /** What a reader needs. */
-export interface LoadReaderOptions {
+interface LoadReaderOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   readonly source: CallCountSource;
--- a/src/cookie-edge/outliers/answer-tracker.ts
+++ b/src/cookie-edge/outliers/answer-tracker.ts
@@ -10,7 +10,7 @@
 import { UsualAnswers } from './usual-answers.js';
 
 /** Counters since start. */
-export interface AnswerStatistics {
+interface AnswerStatistics {
   answered: number;
   /** Requests that took unusually long, answered later or not. */
   slow: number;
@@ -23,7 +23,7 @@
 }
 
 /** What a tracker needs. */
-export interface AnswerTrackerOptions {
+interface AnswerTrackerOptions {
   /** See `OutlierOptions`. */
   readonly slowFactor: number;
   /** Called with each bad answer, once. */
--- a/src/cookie-edge/outliers/index.ts
+++ b/src/cookie-edge/outliers/index.ts
@@ -8,7 +8,7 @@
  * ```
  */
 export type * from './types.js';
-export { AnswerTracker, type AnswerStatistics, type AnswerTrackerOptions } from './answer-tracker.js';
+export { AnswerTracker } from './answer-tracker.js';
 export { DEFAULT_OUTLIER_OPTIONS } from './constants.js';
 export { OUTLIER_EVENTS } from './events.js';
-export { OutlierDetector, type OutlierDetectorOptions } from './outlier-detector.js';
+export { OutlierDetector } from './outlier-detector.js';
--- a/src/cookie-edge/outliers/outlier-detector.ts
+++ b/src/cookie-edge/outliers/outlier-detector.ts
@@ -17,7 +17,7 @@
 import type { OutlierOptions, OutlierPhase, BadAnswer, BadAnswerReport } from './types.js';
 
 /** What a detector needs. */
-export interface OutlierDetectorOptions extends OutlierOptions {
+interface OutlierDetectorOptions extends OutlierOptions {
   /** Names this daemon in reports. */
   readonly self: number;
   readonly events: EventLog;
--- a/src/cookie-edge/placement/backend-eligibility.ts
+++ b/src/cookie-edge/placement/backend-eligibility.ts
@@ -6,10 +6,10 @@
 export type Exclusion = 'departed' | 'draining' | 'cordoned' | 'region' | 'cold';
 
 /** How many back ends were excluded, by reason. */
-export type ExclusionCounts = Readonly<Partial<Record<Exclusion, number>>>;
+type ExclusionCounts = Readonly<Partial<Record<Exclusion, number>>>;
 
 /** What the rules look at. */
-export interface BackendEligibilityOptions {
+interface BackendEligibilityOptions {
   readonly knowledge: RoutingKnowledge;
   readonly coldAdmission: ColdAdmission;
   /** Region of a zone; undefined when nothing says so. */
--- a/src/cookie-edge/placement/opening-placement.ts
+++ b/src/cookie-edge/placement/opening-placement.ts
@@ -35,8 +35,7 @@
 }
 
 /** Why a back end was chosen, from the best class to the last resort. */
-export type PlacementRule =
-  'least-flows' | 'trial' | 'outlier' | 'suspect' | 'ejected-majority' | 'lapsed-record';
+type PlacementRule = 'least-flows' | 'trial' | 'outlier' | 'suspect' | 'ejected-majority' | 'lapsed-record';
 
 /** A choice with what led to it. */
 export interface Placement {
@@ -55,7 +54,7 @@
 }
 
 /** What a placement needs. */
-export interface OpeningPlacementOptions {
+interface OpeningPlacementOptions {
   /** Zone of this balancer. */
   readonly zone: string;
   /** Flows that a back end of another zone must have less, for each unit of capacity. */
--- a/src/cookie-edge/routing/knowledge.ts
+++ b/src/cookie-edge/routing/knowledge.ts
@@ -34,7 +34,7 @@
 }
 
 /** What the knowledge needs. */
-export interface RoutingKnowledgeOptions {
+interface RoutingKnowledgeOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   /** See `BackendRegistryOptions.retentionMs`. */
--- a/src/cookie-edge/spreading/catch-up.ts
+++ b/src/cookie-edge/spreading/catch-up.ts
@@ -20,7 +20,7 @@
 import type { KnownRevisions, PeerMessage, PeerTransport } from './types.js';
 
 /** What catching up needs. */
-export interface CatchUpOptions {
+interface CatchUpOptions {
   readonly zone: string;
   readonly clock: Clock;
   readonly random: RandomSource;
--- a/src/cookie-edge/spreading/errors.ts
+++ b/src/cookie-edge/spreading/errors.ts
@@ -1,7 +1,7 @@
 /** Errors of spreading knowledge between daemons. */
 import { formatEndpoint, SailquayError, type Endpoint } from '../../common/types.js';
 
-export type SpreadingErrorKind = 'spreading.bind' | 'spreading.fetch';
+type SpreadingErrorKind = 'spreading.bind' | 'spreading.fetch';
 
 /** A socket could not be bound, or a peer could not be read. */
 export class SpreadingError extends SailquayError {
--- a/src/cookie-edge/spreading/fleet-size.ts
+++ b/src/cookie-edge/spreading/fleet-size.ts
@@ -15,7 +15,7 @@
 const HASHES = 2 ** 32;
 
 /** A daemon of the sketch. */
-export interface SampledPeer extends Peer {
+interface SampledPeer extends Peer {
   readonly hash: number;
 }
 
--- a/src/cookie-edge/spreading/index.ts
+++ b/src/cookie-edge/spreading/index.ts
@@ -8,8 +8,8 @@
  * ```
  */
 export type * from './types.js';
-export { SpreadingError, type SpreadingErrorKind } from './errors.js';
+export { SpreadingError } from './errors.js';
 export { SPREADING_EVENTS } from './events.js';
 export { NetworkTransport } from './network-transport.js';
 export { ReaderRole, type RoleReason } from './reader-role.js';
-export { Spreader, type SpreaderOptions, type SpreadingStatistics } from './spreader.js';
+export { Spreader } from './spreader.js';
--- a/src/cookie-edge/spreading/message-composer.ts
+++ b/src/cookie-edge/spreading/message-composer.ts
@@ -11,7 +11,7 @@
 import { completeUpdate, type UpdateLog } from './update-log.js';
 
 /** What a composer looks at. */
-export interface MessageComposerOptions {
+interface MessageComposerOptions {
   readonly selfId: string;
   readonly zone: string;
   readonly clock: Clock;
--- a/src/cookie-edge/spreading/peer-view.ts
+++ b/src/cookie-edge/spreading/peer-view.ts
@@ -9,7 +9,7 @@
 import type { Peer } from './types.js';
 
 /** What a view needs. */
-export interface PeerViewOptions {
+interface PeerViewOptions {
   readonly self: Endpoint;
   readonly zone: string;
   readonly random: RandomSource;
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -33,7 +33,7 @@
 import { UpdateLog } from './update-log.js';
 
 /** What a spreader needs. */
-export interface SpreaderOptions {
+interface SpreaderOptions {
   readonly selfId: string;
   readonly zone: string;
   /** Asked at each greeting, since a reread of the configuration may change them. */
@@ -63,7 +63,7 @@
 }
 
 /** Counters since start. */
-export interface SpreadingStatistics {
+interface SpreadingStatistics {
   messagesSent: number;
   messagesReceived: number;
   bytesSent: number;
--- a/src/cookie-edge/spreading/update-sender.ts
+++ b/src/cookie-edge/spreading/update-sender.ts
@@ -19,7 +19,7 @@
 import type { UpdateLog } from './update-log.js';
 
 /** What a sender needs. */
-export interface UpdateSenderOptions {
+interface UpdateSenderOptions {
   readonly clock: Clock;
   readonly knowledge: RoutingKnowledge;
   readonly peers: PeerView;
--- a/src/experiment/action-runner.ts
+++ b/src/experiment/action-runner.ts
@@ -37,7 +37,7 @@
   readonly cause: 'drain' | 'fault';
 }
 
-export interface ActionTargets {
+interface ActionTargets {
   readonly balancers: BalancerFleet;
   readonly backends: BackendProcesses;
   readonly platform: PlatformControl;
--- a/src/experiment/backend-processes.ts
+++ b/src/experiment/backend-processes.ts
@@ -10,7 +10,7 @@
 
 const ANY_PORT: Endpoint = { host: '127.0.0.1', port: 0 };
 
-export interface BackendProcessesOptions {
+interface BackendProcessesOptions {
   readonly launcher: ProcessLauncher;
   readonly client: ControlClient;
   readonly site: SiteTemplate;
--- a/src/experiment/backend-sampler.ts
+++ b/src/experiment/backend-sampler.ts
@@ -13,13 +13,13 @@
 export type SampledBackend = Pick<BackendReport, 'name' | 'service' | 'openFlows' | 'busySlots' | 'opened'>;
 
 /** What the runner adds to each plotted point. */
-export interface SeriesExtras {
+interface SeriesExtras {
   readonly broken: number;
   readonly controlBytesPerSecond: number | null;
 }
 
 /** One plotted point. */
-export interface SeriesPoint extends SeriesExtras {
+interface SeriesPoint extends SeriesExtras {
   readonly atMs: number;
   readonly flowsByBackend: Readonly<Record<string, number>>;
 }
--- a/src/experiment/balancer-fleet.ts
+++ b/src/experiment/balancer-fleet.ts
@@ -29,7 +29,7 @@
   untilMs: number | undefined;
 }
 
-export interface BalancerFleetOptions {
+interface BalancerFleetOptions {
   readonly launcher: ProcessLauncher;
   readonly client: ControlClient;
   readonly directory: RunDirectory;
--- a/src/experiment/build-document.ts
+++ b/src/experiment/build-document.ts
@@ -16,7 +16,7 @@
 import type { Scenario } from './scenario.js';
 
 /** Everything a run recorded. */
-export interface RunRecord {
+interface RunRecord {
   readonly scenario: Scenario;
   readonly seed: number;
   readonly mode: PlacementMode;
--- a/src/experiment/capacity/capacity-model.ts
+++ b/src/experiment/capacity/capacity-model.ts
@@ -135,7 +135,7 @@
 }
 
 /** Processor time of one probe a second, as a share of a core, with the stub's taken from the same rates. */
-export function probeFits(
+function probeFits(
   probes: readonly ProbeCost[],
 ): { readonly http: LinearFit; readonly stub: LinearFit } | undefined {
   if (probes.length < 2) return undefined;
@@ -148,7 +148,7 @@
 }
 
 /** The step that every slope starts from: the smallest of the back-end steps. */
-export function baseStep(steps: readonly RecordedStep[]): RecordedStep | undefined {
+function baseStep(steps: readonly RecordedStep[]): RecordedStep | undefined {
   const idle = steps.filter((step) => step.dimensions.includes('backends'));
   return idle.sort((left, right) => left.backends - right.backends)[0];
 }
--- a/src/experiment/capacity/design-size.ts
+++ b/src/experiment/capacity/design-size.ts
@@ -9,7 +9,7 @@
 import { fieldNamed } from '../../settings/index.js';
 
 /** The whole fleet. */
-export const DESIGN_SIZE = {
+const DESIGN_SIZE = {
   daemons: 1_100,
   regions: 3,
   zones: 11,
--- a/src/experiment/compare.ts
+++ b/src/experiment/compare.ts
@@ -11,7 +11,7 @@
 }
 
 /** A figure over the runs of one side; null where no run measured it. */
-export interface FigureSpread {
+interface FigureSpread {
   readonly median: number | null;
   readonly min: number | null;
   readonly max: number | null;
@@ -19,13 +19,13 @@
 }
 
 /** One figure of both sides. */
-export interface ComparisonRow {
+interface ComparisonRow {
   readonly figure: string;
   readonly left: FigureSpread;
   readonly right: FigureSpread;
 }
 
-export interface Comparison {
+interface Comparison {
   readonly scenario: string;
   readonly left: string;
   readonly right: string;
--- a/src/experiment/errors.ts
+++ b/src/experiment/errors.ts
@@ -1,7 +1,7 @@
 /** Error kinds of the experiment tool. */
 import { SailquayError } from '../common/types.js';
 
-export type ExperimentErrorKind =
+type ExperimentErrorKind =
   | 'experiment.unknown-scenario'
   | 'experiment.invalid-scenario'
   | 'experiment.process-failed'
--- a/src/experiment/experiment-run.ts
+++ b/src/experiment/experiment-run.ts
@@ -30,7 +30,7 @@
 /** Share of samples that may be late before the imbalance counts as partly measured. */
 const MAX_MISSED_SHARE = 0.1;
 
-export interface RunOptions {
+interface RunOptions {
   readonly scenario: Scenario;
   readonly seed: number;
   readonly mode: PlacementMode;
--- a/src/experiment/fleet-monitor.ts
+++ b/src/experiment/fleet-monitor.ts
@@ -6,13 +6,13 @@
 import type { ControlClient } from './http-control.js';
 
 /** A daemon to poll. */
-export interface MonitoredDaemon {
+interface MonitoredDaemon {
   readonly name: string;
   readonly admin: Endpoint;
 }
 
 /** One version coming into force at one daemon. */
-export interface VersionInForce {
+interface VersionInForce {
   readonly version: number;
   /** Wall ms, as the daemon says. */
   readonly sinceMs: number;
--- a/src/experiment/forwarding/bare-relay.ts
+++ b/src/experiment/forwarding/bare-relay.ts
@@ -24,7 +24,7 @@
 }
 
 /** A running relay. */
-export interface BareRelay {
+interface BareRelay {
   /** Where it receives. */
   readonly data: Endpoint;
   close(): void;
--- a/src/experiment/forwarding/daemon-group.ts
+++ b/src/experiment/forwarding/daemon-group.ts
@@ -15,7 +15,7 @@
 const READY_ATTEMPTS = 300;
 
 /** A running daemon. */
-export interface ForwardingDaemon {
+interface ForwardingDaemon {
   readonly process: ManagedProcess;
   readonly control: Endpoint;
   readonly data: Endpoint;
--- a/src/experiment/goals.ts
+++ b/src/experiment/goals.ts
@@ -3,7 +3,7 @@
 import type { GoalSettings } from './scenario.js';
 
 /** Goals of every scenario: what must never happen. */
-export const STANDING_GOALS: readonly GoalSettings[] = [
+const STANDING_GOALS: readonly GoalSettings[] = [
   { figure: 'flows.brokenByPlannedChange', max: 0 },
   { figure: 'flows.misdelivered', max: 0 },
   { figure: 'requests.foreignOrPartialAnswers', max: 0 },
--- a/src/experiment/index.ts
+++ b/src/experiment/index.ts
@@ -10,5 +10,5 @@
 export * from './errors.js';
 export { checkScenario, scenarioSchema, type Scenario } from './scenario.js';
 export { loadScenario, parseScenario, scenarioNames } from './scenario-files.js';
-export { runScenario, type RunOptions } from './experiment-run.js';
+export { runScenario } from './experiment-run.js';
 export { textReport } from './text-report.js';
--- a/src/experiment/join-reports.ts
+++ b/src/experiment/join-reports.ts
@@ -6,14 +6,14 @@
 import type { FlowFigures, RequestFigures } from './document.js';
 
 /** What may explain a break. */
-export interface BreakCauses {
+interface BreakCauses {
   readonly faults: readonly FaultPeriod[];
   /** Back ends that crashed or went silent, by full path. */
   readonly crashed: ReadonlySet<string>;
 }
 
 /** Broken flows of all callers by cause. */
-export interface BreakCounts {
+interface BreakCounts {
   readonly total: number;
   readonly byBackendCrash: number;
   /** Explained by neither a crashed back end nor an unplanned fault shortly before. */
@@ -24,7 +24,7 @@
  * Counts breaks by cause. Callers name only their first broken flows: those not named count as unexplained, unless an
  * unplanned fault happened at all.
  */
-export function countBreaks(reports: readonly CallerReport[], causes: BreakCauses): BreakCounts {
+function countBreaks(reports: readonly CallerReport[], causes: BreakCauses): BreakCounts {
   const named = reports.flatMap((report) => report.brokenFlows);
   const total = sum(reports.map((report) => report.flows.broken));
   const byBackendCrash = named.filter((flow) => causes.crashed.has(flow.backend ?? '')).length;
--- a/src/experiment/load-processes.ts
+++ b/src/experiment/load-processes.ts
@@ -19,7 +19,7 @@
   stopped: boolean;
 }
 
-export interface LoadProcessesOptions {
+interface LoadProcessesOptions {
   readonly launcher: ProcessLauncher;
   readonly client: ControlClient;
   readonly fabric: Endpoint;
--- a/src/experiment/plots.ts
+++ b/src/experiment/plots.ts
@@ -29,7 +29,7 @@
 }
 
 /** A named plot. */
-export interface Plot {
+interface Plot {
   readonly title: string;
   readonly svg: string;
 }
--- a/src/experiment/process-launcher.ts
+++ b/src/experiment/process-launcher.ts
@@ -20,7 +20,7 @@
 export type ReadyLine = Readonly<Record<string, unknown>>;
 
 /** How a process ended. */
-export interface ProcessEnd {
+interface ProcessEnd {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
 }
--- a/src/experiment/scenario-actions.ts
+++ b/src/experiment/scenario-actions.ts
@@ -9,7 +9,7 @@
 const backend = z.string().min(1);
 
 /** One operation of a tree edit; `node` is relative to the site, e.g. `pickguide/pick-01`. */
-export const treeOperationSchema = z.strictObject({
+const treeOperationSchema = z.strictObject({
   node: z.string(),
   field: z.string().min(1),
   /** Absent: the override is removed and the inherited value holds. */
@@ -17,7 +17,7 @@
 });
 
 /** Faults of one back-end stand-in; what is left out stays as it was. */
-export const backendFaultsSchema = z.strictObject({
+const backendFaultsSchema = z.strictObject({
   /** Health says the opposite of the truth. */
   healthLies: z.boolean().optional(),
   /** Load says that nothing is open. */
@@ -33,7 +33,7 @@
 });
 
 /** Faults of the platform stand-in; what is left out stays as it was. */
-export const platformFaultsSchema = z.strictObject({
+const platformFaultsSchema = z.strictObject({
   down: z.boolean().optional(),
   /** Each request waits this long. */
   slowMs: z.number().nonnegative().optional(),
@@ -104,7 +104,7 @@
 ]);
 
 export type Action = z.infer<typeof actionSchema>;
-export type ActionName = Action['do'];
+type ActionName = Action['do'];
 export type TreeOperation = z.infer<typeof treeOperationSchema>;
 export type BackendFaults = z.infer<typeof backendFaultsSchema>;
 export type PlatformFaults = z.infer<typeof platformFaultsSchema>;
--- a/src/experiment/scenario.ts
+++ b/src/experiment/scenario.ts
@@ -9,7 +9,7 @@
 const positiveInteger = z.number().int().positive();
 
 /** Load on one service by one group of caller processes. */
-export const loadSchema = z
+const loadSchema = z
   .strictObject({
     /** Service node below the site, or `main` (most back ends) or `second`. */
     service: z.string().min(1),
@@ -36,7 +36,7 @@
   .refine((load) => load.longFlows > 0 || load.openingsPerSecond > 0, 'give longFlows or openingsPerSecond');
 
 /** What a back end can do; what is left out is the stand-in's default (2 slots, 2,000 connections). */
-export const backendCapacitySchema = z.strictObject({
+const backendCapacitySchema = z.strictObject({
   slots: positiveInteger.optional(),
   maxConnections: positiveInteger.optional(),
   /** Requests that wait for a slot; one more is shed. */
@@ -49,7 +49,7 @@
 });
 
 /** What the network between fabric and balancers does to packets. */
-export const fabricSchema = z.strictObject({
+const fabricSchema = z.strictObject({
   loss: share.default(0),
   reorder: share.default(0),
   duplicate: share.default(0),
@@ -60,7 +60,7 @@
 });
 
 /** Which processes are started. */
-export const topologySchema = z.strictObject({
+const topologySchema = z.strictObject({
   /** Balancers in each zone of the tree. */
   balancersPerZone: positiveInteger.max(16).default(1),
   /** Back ends left out at the start; `backend-add` adds them later. */
@@ -71,7 +71,7 @@
 });
 
 /** A bound on one figure of the report; `max` and `min` are inclusive. */
-export const goalSchema = z
+const goalSchema = z
   .strictObject({
     /** Path in the JSON document, e.g. `flows.broken`; a per-service figure is judged by its worst service. */
     figure: z.string().min(1),
@@ -112,14 +112,14 @@
 export type GoalSettings = z.infer<typeof goalSchema>;
 
 /** One fault of a scenario document. */
-export interface ScenarioFault {
+interface ScenarioFault {
   /** Path of the field, e.g. `actions.0.at`. */
   readonly path: string;
   readonly message: string;
 }
 
 /** Outcome of checking a document. */
-export type ScenarioCheck =
+type ScenarioCheck =
   | { readonly valid: true; readonly scenario: Scenario }
   | { readonly valid: false; readonly faults: readonly ScenarioFault[] };
 
--- a/src/fabric/data-sockets.ts
+++ b/src/fabric/data-sockets.ts
@@ -14,7 +14,7 @@
 import { SocketErrorReporter } from './socket-error-reporter.js';
 
 /** Receives every datagram of every socket. */
-export type DatagramListener = (datagram: Buffer, source: RemoteInfo) => void;
+type DatagramListener = (datagram: Buffer, source: RemoteInfo) => void;
 
 function openSocket(): Socket {
   return createSocket({ type: 'udp4', reuseAddr: true, lookup: numericLookup as never });
--- a/src/fabric/gue-edge-port.ts
+++ b/src/fabric/gue-edge-port.ts
@@ -14,7 +14,7 @@
 import type { EdgeHandler, EdgePort, PacketView } from './types.js';
 
 /** What an edge needs. `isPeer` and `isBackend` are asked about a source at most once in `SOURCE_CACHE_MS`. */
-export interface EdgePortOptions extends SourceRules {
+interface EdgePortOptions extends SourceRules {
   /** Local address of the data socket; port 0 lets the kernel choose. */
   readonly data: Endpoint;
   /** Where packets towards callers go. */
--- a/src/fabric/index.ts
+++ b/src/fabric/index.ts
@@ -7,7 +7,7 @@
  * edge.sendToBackend(packet, backend.endpoint);
  * ```
  */
-export { createEdgePort, type BoundEdgePort, type EdgePortOptions } from './gue-edge-port.js';
+export { createEdgePort, type BoundEdgePort } from './gue-edge-port.js';
 export { MAX_PACKET_BYTES, RELAY_HOP_LIMIT } from './constants.js';
 export { EdgeBindError } from './errors.js';
 export { FABRIC_EVENTS } from './events.js';
--- a/src/fabric/source-cache.ts
+++ b/src/fabric/source-cache.ts
@@ -3,7 +3,7 @@
 import { SOURCE_CACHE_ENTRIES } from './constants.js';
 
 /** Who sends from an endpoint. */
-export type SourceKind = 'balancer' | 'backend' | 'fabric';
+type SourceKind = 'balancer' | 'backend' | 'fabric';
 
 /** A known source; one object for each endpoint while it is remembered. */
 export interface Source {
--- a/src/gue-edge/control/budget.ts
+++ b/src/gue-edge/control/budget.ts
@@ -10,7 +10,7 @@
 import { CONTROL_KINDS, type ControlKind } from './types.js';
 
 /** Share of the shared bucket that must remain after a message of the kind was sent from it. */
-export const SHARED_FLOOR: Readonly<Record<ControlKind, number>> = {
+const SHARED_FLOOR: Readonly<Record<ControlKind, number>> = {
   membership: 0,
   replication: 0,
   handover: 0.15,
--- a/src/gue-edge/control/envelope.ts
+++ b/src/gue-edge/control/envelope.ts
@@ -22,10 +22,10 @@
 }
 
 /** Why a datagram could not be opened. */
-export type EnvelopeFault = 'malformed' | 'forged' | 'unknown-key';
+type EnvelopeFault = 'malformed' | 'forged' | 'unknown-key';
 
 /** Result of opening a datagram. */
-export type OpenedEnvelope =
+type OpenedEnvelope =
   | { readonly outcome: 'opened'; readonly envelope: ControlEnvelope }
   | { readonly outcome: 'rejected'; readonly fault: EnvelopeFault };
 
--- a/src/gue-edge/control/errors.ts
+++ b/src/gue-edge/control/errors.ts
@@ -1,7 +1,7 @@
 /** Error kinds of the control channel. */
 import { SailquayError } from '../../common/types.js';
 
-export type ControlErrorKind = 'control.key-file' | 'control.bind' | 'control.duplicate-handler';
+type ControlErrorKind = 'control.key-file' | 'control.bind' | 'control.duplicate-handler';
 
 /** The channel could not be opened or its keys could not be read. */
 export class ControlError extends SailquayError {
--- a/src/gue-edge/control/index.ts
+++ b/src/gue-edge/control/index.ts
@@ -9,18 +9,13 @@
  * if (opened.isOk) opened.value.handle('membership', (message) => console.log(message.senderId));
  */
 export * from './types.js';
-export { ControlBudget, MINIMUM_SHARE, SHARED_FLOOR } from './budget.js';
+export { ControlBudget, MINIMUM_SHARE } from './budget.js';
 export { messageWireBytes } from './envelope.js';
-export { ControlError, type ControlErrorKind } from './errors.js';
+export { ControlError } from './errors.js';
 export { CONTROL_EVENTS } from './events.js';
 export { KeyRing } from './key-ring.js';
-export type { KindMeter, MeterSnapshot } from './meter.js';
+export type { MeterSnapshot } from './meter.js';
 export { PausableClock } from './pausable-clock.js';
 export { SimulatedChannel, SimulatedNetwork, type SimulatedNetworkOptions } from './simulated-network.js';
-export {
-  UdpControlChannel,
-  type ControlDropReason,
-  type IncompatiblePeer,
-  type UdpControlChannelOptions,
-} from './udp-channel.js';
+export { UdpControlChannel, type ControlDropReason, type UdpControlChannelOptions } from './udp-channel.js';
 export type { VersionRange } from './version.js';
--- a/src/gue-edge/control/key-ring.ts
+++ b/src/gue-edge/control/key-ring.ts
@@ -20,7 +20,7 @@
 });
 
 /** Outcome of checking a code: `unknown-key` when no key has the id. */
-export type Verification = 'valid' | 'forged' | 'unknown-key';
+type Verification = 'valid' | 'forged' | 'unknown-key';
 
 /** An immutable set of cluster keys. */
 export class KeyRing {
--- a/src/gue-edge/control/meter.ts
+++ b/src/gue-edge/control/meter.ts
@@ -6,7 +6,7 @@
 const SLOT_MS = RATE_WINDOW_MS / RATE_WINDOW_SLOTS;
 
 /** Totals since start and rates, of one kind. Bytes include envelope, IP and UDP headers. */
-export interface KindMeter {
+interface KindMeter {
   readonly messagesOut: number;
   readonly messagesIn: number;
   readonly bytesOut: number;
--- a/src/gue-edge/control/replay-guard.ts
+++ b/src/gue-edge/control/replay-guard.ts
@@ -3,7 +3,7 @@
 import { MAX_CLOCK_SKEW_MS, REPLAY_FORGET_MS, REPLAY_WINDOW } from './constants.js';
 
 /** Verdict on a datagram: `stale` is from an earlier incarnation, or from a new sender whose clock is far off. */
-export type ReplayVerdict = 'fresh' | 'replayed' | 'stale';
+type ReplayVerdict = 'fresh' | 'replayed' | 'stale';
 
 interface SenderWindow {
   incarnation: number;
--- a/src/gue-edge/control/udp-channel.ts
+++ b/src/gue-edge/control/udp-channel.ts
@@ -31,7 +31,7 @@
   'malformed' | 'forged' | 'unknown-key' | 'replayed' | 'stale' | 'version' | 'self' | 'unhandled';
 
 /** A peer with which no protocol version is shared. */
-export interface IncompatiblePeer {
+interface IncompatiblePeer {
   readonly memberId: string;
   readonly from: Endpoint;
   readonly versions: VersionRange;
--- a/src/gue-edge/daemon/control-plane.ts
+++ b/src/gue-edge/daemon/control-plane.ts
@@ -26,7 +26,7 @@
 }
 
 /** What a control plane is made with. */
-export interface ControlPlaneOptions {
+interface ControlPlaneOptions {
   readonly identity: BalancerIdentity;
   readonly clock: Clock;
   readonly random: RandomSource;
--- a/src/gue-edge/daemon/data-plane.ts
+++ b/src/gue-edge/daemon/data-plane.ts
@@ -74,7 +74,7 @@
 }
 
 /** What the data path is made with. */
-export interface DataPlaneOptions {
+interface DataPlaneOptions {
   readonly config: DaemonConfig;
   readonly clock: Clock;
   readonly random: RandomSource;
--- a/src/gue-edge/daemon/errors.ts
+++ b/src/gue-edge/daemon/errors.ts
@@ -1,7 +1,7 @@
 /** Errors of the daemon's configuration and life. */
 import { SailquayError } from '../../common/types.js';
 
-export type DaemonErrorKind = 'daemon.config-unreadable' | 'daemon.config-invalid' | 'daemon.bind';
+type DaemonErrorKind = 'daemon.config-unreadable' | 'daemon.config-invalid' | 'daemon.bind';
 
 /** One fault of a daemon configuration. */
 export interface ConfigFault {
--- a/src/gue-edge/daemon/index.ts
+++ b/src/gue-edge/daemon/index.ts
@@ -21,13 +21,8 @@
   type DaemonConfigInput,
 } from './config.js';
 export type { Components, DaemonEnvironment } from './components.js';
-export {
-  createControlPlane,
-  type BalancerIdentity,
-  type ControlPlane,
-  type ControlPlaneOptions,
-} from './control-plane.js';
-export { DaemonError, type ConfigFault, type DaemonErrorKind } from './errors.js';
+export { createControlPlane, type BalancerIdentity, type ControlPlane } from './control-plane.js';
+export { DaemonError, type ConfigFault } from './errors.js';
 export { DAEMON_EVENTS } from './events.js';
 export { FaultInjection } from './fault-injection.js';
 export type * from './status.js';
--- a/src/gue-edge/daemon/limit-guard.ts
+++ b/src/gue-edge/daemon/limit-guard.ts
@@ -4,7 +4,7 @@
 import { LIMIT_CHECK_INTERVAL_MS, LIMIT_RECOVERY_SHARE } from './constants.js';
 
 /** What a guard watches. `measure` and `limit` have the same unit. */
-export interface LimitGuardOptions {
+interface LimitGuardOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   readonly measure: () => number;
--- a/src/gue-edge/daemon/status.ts
+++ b/src/gue-edge/daemon/status.ts
@@ -43,7 +43,7 @@
 }
 
 /** One piece of evidence with its age. */
-export interface EvidenceStatus {
+interface EvidenceStatus {
   readonly source: HealthEvidence['source'];
   readonly text: string;
   readonly ageMs: number;
@@ -88,13 +88,13 @@
 }
 
 /** Settings in force. */
-export interface SettingsStatus extends DisseminationStatus {
+interface SettingsStatus extends DisseminationStatus {
   /** Milliseconds since the epoch when the version came into force here; undefined before the first. */
   readonly inForceSince: number | undefined;
 }
 
 /** Membership as this daemon believes it. */
-export interface MembershipStatus {
+interface MembershipStatus {
   readonly sequence: number;
   readonly digest: number;
   readonly quorate: boolean;
--- a/src/gue-edge/daemon/wiring.ts
+++ b/src/gue-edge/daemon/wiring.ts
@@ -14,7 +14,7 @@
 const BYTES_PER_MEGABYTE = 1_048_576;
 
 /** What the wiring needs besides the configuration. */
-export interface WiringOptions {
+interface WiringOptions {
   readonly environment: DaemonEnvironment;
   /** What the admin address shows; asked only once the components exist. */
   readonly adminSource: AdminSource;
--- a/src/gue-edge/dissemination/distributor.ts
+++ b/src/gue-edge/dissemination/distributor.ts
@@ -31,7 +31,7 @@
 import type { SettingsFeed } from './types.js';
 
 /** What a distributor needs. */
-export interface SettingsDistributorOptions {
+interface SettingsDistributorOptions {
   readonly region: string;
   readonly clock: Clock;
   readonly random: RandomSource;
--- a/src/gue-edge/dissemination/errors.ts
+++ b/src/gue-edge/dissemination/errors.ts
@@ -1,7 +1,7 @@
 /** Error kinds of the spreading of settings. */
 import { SailquayError } from '../../common/types.js';
 
-export type DisseminationErrorKind =
+type DisseminationErrorKind =
   'dissemination.bad-message' | 'dissemination.digest-mismatch' | 'dissemination.invalid-tree';
 
 /** A message or tree that is not used. */
--- a/src/gue-edge/dissemination/index.ts
+++ b/src/gue-edge/dissemination/index.ts
@@ -8,13 +8,9 @@
  * settings.start();
  * ```
  */
-export {
-  SettingsDistributor,
-  type DisseminationStatus,
-  type SettingsDistributorOptions,
-} from './distributor.js';
+export { SettingsDistributor, type DisseminationStatus } from './distributor.js';
 export { READERS_PER_REGION } from './constants.js';
-export { DisseminationError, type DisseminationErrorKind } from './errors.js';
+export { DisseminationError } from './errors.js';
 export { DISSEMINATION_EVENTS } from './events.js';
 export type { DisseminationCounters } from './statistics.js';
 export type { TreeCodec } from './distributed-tree.js';
--- a/src/gue-edge/dissemination/messenger.ts
+++ b/src/gue-edge/dissemination/messenger.ts
@@ -21,7 +21,7 @@
 }
 
 /** Handles the message bodies; may throw `DisseminationError`. */
-export type BodyHandler = (body: sailquay.dissemination.Message, sender: Sender) => void;
+type BodyHandler = (body: sailquay.dissemination.Message, sender: Sender) => void;
 
 export class Messenger {
   constructor(
--- a/src/gue-edge/dissemination/stamp.ts
+++ b/src/gue-edge/dissemination/stamp.ts
@@ -16,7 +16,7 @@
 }
 
 /** Bytes of a digest. */
-export const DIGEST_BYTES = 8;
+const DIGEST_BYTES = 8;
 
 /** Stamp of a member that has no tree. */
 export const NO_TREE: TreeStamp = {
--- a/src/gue-edge/dissemination/store-reader.ts
+++ b/src/gue-edge/dissemination/store-reader.ts
@@ -23,7 +23,7 @@
 const HOLDER_SUFFIX_RANGE = 2 ** 32;
 
 /** What a reader needs. */
-export interface StoreReaderOptions {
+interface StoreReaderOptions {
   readonly platform: StoreClient;
   readonly membership: MembershipFeed;
   readonly region: string;
--- a/src/gue-edge/flow/backend-catalogue.ts
+++ b/src/gue-edge/flow/backend-catalogue.ts
@@ -11,7 +11,7 @@
 const MAX_ENTRIES = 65_535;
 
 /** Open flows, shared by all entries of one back end or one service. */
-export interface FlowCount {
+interface FlowCount {
   open: number;
 }
 
@@ -31,7 +31,7 @@
 }
 
 /** What is needed to add an entry. */
-export interface BackendDescription {
+interface BackendDescription {
   readonly id: number;
   readonly serviceId: number;
   readonly endpoint: Endpoint;
--- a/src/gue-edge/flow/backup-sync.ts
+++ b/src/gue-edge/flow/backup-sync.ts
@@ -13,7 +13,7 @@
 const { ShardPurpose } = sailquay.flow;
 
 /** The parts that replication works with. */
-export interface BackupSyncParts {
+interface BackupSyncParts {
   readonly peers: ReplicaPeers;
   readonly sender: ShardSender;
   readonly receiver: ShardReceiver;
--- a/src/gue-edge/flow/ownership.ts
+++ b/src/gue-edge/flow/ownership.ts
@@ -25,7 +25,7 @@
 const { ShardPurpose } = sailquay.flow;
 
 /** The parts that ownership works with. */
-export interface OwnershipParts {
+interface OwnershipParts {
   readonly relay: PacketRelay;
   readonly holder: ReplicaHolder;
   readonly peers: ReplicaPeers;
--- a/src/gue-edge/flow/record-codec.ts
+++ b/src/gue-edge/flow/record-codec.ts
@@ -44,7 +44,7 @@
 } as const;
 
 /** Records as they travel. */
-export interface PackedRecords {
+interface PackedRecords {
   readonly backendKeys: number[];
   readonly records: Uint8Array;
 }
--- a/src/gue-edge/flow/replica-peers.ts
+++ b/src/gue-edge/flow/replica-peers.ts
@@ -7,7 +7,7 @@
 import { fromBitmap, unpackShards } from './shard-set.js';
 
 /** What the links tell their owner. */
-export interface ReplicaPeersListener extends ReplicaPeerListener {
+interface ReplicaPeersListener extends ReplicaPeerListener {
   onClosed(peer: ReplicaPeer): void;
   /** A member without a link treats this keeper as failed. */
   onLapsedUnseen(memberId: string): void;
--- a/src/gue-edge/flow/replica-recovery.ts
+++ b/src/gue-edge/flow/replica-recovery.ts
@@ -14,7 +14,7 @@
 const RECOVERY_RETRY_MS = 300;
 
 /** Takes replicas whose next keeper is this balancer. */
-export interface PromotionTarget {
+interface PromotionTarget {
   promote(replica: ReplicaShard): void;
 }
 
--- a/src/gue-edge/flow/shard-holding.ts
+++ b/src/gue-edge/flow/shard-holding.ts
@@ -7,10 +7,10 @@
  * acquiring: the view names this balancer as keeper, nothing has been handed over yet. serving: holds the shard.
  * transferring: is handing it to the next keeper; forwards known flows and opens none.
  */
-export type KeptRole = 'acquiring' | 'serving' | 'transferring';
+type KeptRole = 'acquiring' | 'serving' | 'transferring';
 
 /** A transfer whose sender waits until the shard is replicated here. */
-export interface OwedAcknowledgement {
+interface OwedAcknowledgement {
   readonly senderId: string;
   readonly transferId: number;
 }
@@ -28,7 +28,7 @@
 }
 
 /** What a keeper that stepped down still knows of the shard. */
-export type RetainedShard = Pick<KeptShard, 'epoch' | 'oldestBaseVersion' | 'table'>;
+type RetainedShard = Pick<KeptShard, 'epoch' | 'oldestBaseVersion' | 'table'>;
 
 /** A shard that this balancer keeps or is about to keep. */
 export class KeptShard {
--- a/src/gue-edge/flow/shard-installer.ts
+++ b/src/gue-edge/flow/shard-installer.ts
@@ -9,10 +9,10 @@
 const MS_PER_SECOND = 1_000;
 
 /** `superseded`: the shard here already descends from the one received. */
-export type KeptInstallOutcome = 'installed' | 'superseded';
+type KeptInstallOutcome = 'installed' | 'superseded';
 
 /** What is known of a received shard besides its flows. */
-export type ShardHeader = Pick<
+type ShardHeader = Pick<
   sailquay.flow.ShardPart.$Properties,
   'epoch' | 'purpose' | 'baseVersion' | 'oldestBaseVersion' | 'complete' | 'learningMs'
 >;
--- a/src/gue-edge/flow/shard-parts.ts
+++ b/src/gue-edge/flow/shard-parts.ts
@@ -8,7 +8,7 @@
 type Part = sailquay.flow.ShardPart.$Properties;
 
 /** Sends a datagram; false when the byte budget is used up. */
-export type SendParts = (message: sailquay.flow.ShardParts.$Properties) => boolean;
+type SendParts = (message: sailquay.flow.ShardParts.$Properties) => boolean;
 
 /** Collects parts for one datagram. */
 export class PartBatch {
--- a/src/gue-edge/health/backend-belief.ts
+++ b/src/gue-edge/health/backend-belief.ts
@@ -22,7 +22,7 @@
 import type { Vote } from './votes.js';
 
 /** What an evaluation takes in. */
-export interface BeliefInput {
+interface BeliefInput {
   /** Votes that count, see `countingVotes`. */
   readonly votes: readonly Vote[];
   /** Openings without an answer that other members saw. */
--- a/src/gue-edge/health/evidence.ts
+++ b/src/gue-edge/health/evidence.ts
@@ -8,7 +8,7 @@
 const MS_PER_SECOND = 1_000;
 
 /** What the evidence is drawn from. */
-export interface EvidenceInput {
+interface EvidenceInput {
   readonly belief: BackendBelief;
   readonly votes: readonly Vote[];
   readonly memberName: (memberHash: number) => string;
--- a/src/gue-edge/health/gossip.ts
+++ b/src/gue-edge/health/gossip.ts
@@ -31,7 +31,7 @@
 const MAX_PICKS = 40;
 
 /** What the gossip is made with. */
-export interface HealthGossipOptions {
+interface HealthGossipOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly events: EventLog;
--- a/src/gue-edge/health/health-monitor.ts
+++ b/src/gue-edge/health/health-monitor.ts
@@ -29,7 +29,7 @@
 import { VoteTable, type Vote } from './votes.js';
 
 /** What the monitor is made with. */
-export interface HealthMonitorOptions {
+interface HealthMonitorOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly events: EventLog;
--- a/src/gue-edge/health/index.ts
+++ b/src/gue-edge/health/index.ts
@@ -9,8 +9,8 @@
  * ```
  */
 export * from './types.js';
-export { HealthMonitor, type HealthMonitorOptions, type HealthStatistics } from './health-monitor.js';
-export { httpProbe, type LoadSample, type Probe, type ProbeResponse } from './probe.js';
+export { HealthMonitor, type HealthStatistics } from './health-monitor.js';
+export { httpProbe, type Probe, type ProbeResponse } from './probe.js';
 export type { ProberStatistics } from './prober.js';
 export type { GossipStatistics } from './gossip.js';
 export { proberCandidates, ProberRanking, type ProberCandidate } from './prober-assignment.js';
--- a/src/gue-edge/health/probe.ts
+++ b/src/gue-edge/health/probe.ts
@@ -23,7 +23,7 @@
 export type Probe = (endpoint: Endpoint, path: string, timeoutMs: number) => Promise<ProbeResponse>;
 
 /** What a back end reports of its load; counts of now. */
-export interface LoadSample {
+interface LoadSample {
   readonly openFlows: number;
   readonly busySlots: number;
   /** Connections it takes. */
--- a/src/gue-edge/health/prober-assignment.ts
+++ b/src/gue-edge/health/prober-assignment.ts
@@ -89,7 +89,7 @@
 }
 
 /** Members that came and went between two rankings. */
-export class RankingChanges {
+class RankingChanges {
   private readonly removedHashes: ReadonlySet<number>;
   private readonly addedSalts: readonly number[];
 
--- a/src/gue-edge/health/prober.ts
+++ b/src/gue-edge/health/prober.ts
@@ -32,7 +32,7 @@
 const LOAD_REFRESH_SHARE = 0.25;
 
 /** What the prober is made with. */
-export interface ProberOptions {
+interface ProberOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly probe: Probe;
@@ -206,7 +206,7 @@
 }
 
 /** Least time in ms between two load reports of one back end, so that all of them stay within the byte budget. */
-export function loadInterval(backendCount: number): number {
+function loadInterval(backendCount: number): number {
   const bytesPerRound = backendCount * LOAD_REPORT_BYTES * LOAD_SENDS;
   return Math.max(MIN_LOAD_INTERVAL_MS, (bytesPerRound / LOAD_BYTES_PER_SECOND) * MS_PER_SECOND);
 }
--- a/src/gue-edge/health/service-health.ts
+++ b/src/gue-edge/health/service-health.ts
@@ -14,7 +14,7 @@
 import type { ReportedLoad, VoteTable } from './votes.js';
 
 /** What a service's health is made with. */
-export interface ServiceHealthOptions {
+interface ServiceHealthOptions {
   readonly random: RandomSource;
   readonly events: EventLog;
   readonly load: LoadView;
--- a/src/gue-edge/membership/cost-model.ts
+++ b/src/gue-edge/membership/cost-model.ts
@@ -2,7 +2,7 @@
 import { SimulatedCluster, type SimulatedMember } from './simulated-cluster.js';
 
 /** Figures of one run. Bytes include envelope, IP and UDP headers. */
-export interface MembershipCost {
+interface MembershipCost {
   readonly members: number;
   /** Bytes a second sent by a member while nothing changes: mean and highest of all members. */
   readonly meanBytesPerSecond: number;
--- a/src/gue-edge/membership/errors.ts
+++ b/src/gue-edge/membership/errors.ts
@@ -1,7 +1,7 @@
 /** Error kinds of membership. */
 import { SailquayError } from '../../common/types.js';
 
-export type MembershipErrorKind = 'membership.state' | 'membership.hash-collision';
+type MembershipErrorKind = 'membership.state' | 'membership.hash-collision';
 
 /** A call that does not fit the member's state, or a member that cannot be admitted. */
 export class MembershipError extends SailquayError {
--- a/src/gue-edge/membership/gossiper.ts
+++ b/src/gue-edge/membership/gossiper.ts
@@ -15,7 +15,7 @@
 import { MessageType } from './wire.js';
 
 /** What the gossiper works with. */
-export interface GossiperContext {
+interface GossiperContext {
   readonly table: MemberTable;
   readonly queue: GossipQueue;
   readonly timers: GuardedTimers;
--- a/src/gue-edge/membership/guarded-timers.ts
+++ b/src/gue-edge/membership/guarded-timers.ts
@@ -2,7 +2,7 @@
 import type { Clock, TimerHandle } from '../../common/clock.js';
 
 /** Called with the time the process lost, in ms, before the late timer's own callback. */
-export type PauseListener = (lostMs: number) => void;
+type PauseListener = (lostMs: number) => void;
 
 /** A clock whose timers report lateness above a threshold; one report for each pause. */
 export class GuardedTimers {
--- a/src/gue-edge/membership/index.ts
+++ b/src/gue-edge/membership/index.ts
@@ -9,7 +9,7 @@
  */
 export * from './types.js';
 export { DEFAULT_MEMBERSHIP_TIMING, type MembershipTiming } from './constants.js';
-export { MembershipError, type MembershipErrorKind } from './errors.js';
+export { MembershipError } from './errors.js';
 export { MEMBERSHIP_EVENTS } from './events.js';
 export type { MemberIdentity } from './member-record.js';
 export type {
--- a/src/gue-edge/membership/joiner.ts
+++ b/src/gue-edge/membership/joiner.ts
@@ -11,7 +11,7 @@
 import { shuffle } from './sampling.js';
 
 /** What the joiner works with. */
-export interface JoinerContext {
+interface JoinerContext {
   readonly table: MemberTable;
   readonly timers: GuardedTimers;
   readonly random: RandomSource;
--- a/src/gue-edge/membership/member-record.ts
+++ b/src/gue-edge/membership/member-record.ts
@@ -58,7 +58,7 @@
 }
 
 /** The state as other slices see it. */
-export function memberState(record: MemberRecord): MemberState {
+function memberState(record: MemberRecord): MemberState {
   if (isRemoved(record)) return 'gone';
   return record.lifecycle === 'active' && record.suspected ? 'suspect' : (record.lifecycle as MemberState);
 }
--- a/src/gue-edge/membership/messenger.ts
+++ b/src/gue-edge/membership/messenger.ts
@@ -5,7 +5,7 @@
 import { encodeMessage, type WireMessageFields } from './wire.js';
 
 /** What every message tells about its sender. */
-export interface SenderFacts {
+interface SenderFacts {
   /** Tree version in force here; 0 when none. */
   readonly settingsVersion: () => number;
   /** Epoch of the quorum base; 0 when there is none. */
--- a/src/gue-edge/membership/prober.ts
+++ b/src/gue-edge/membership/prober.ts
@@ -19,7 +19,7 @@
 import { encodeEntry, MessageType, type WireMessage } from './wire.js';
 
 /** What the prober works with. */
-export interface ProberContext {
+interface ProberContext {
   readonly table: MemberTable;
   readonly timers: GuardedTimers;
   /** Wall clock, ms since the epoch. */
--- a/src/gue-edge/membership/quorum-exchange.ts
+++ b/src/gue-edge/membership/quorum-exchange.ts
@@ -6,7 +6,7 @@
 import { MessageType, type WireMessage } from './wire.js';
 
 /** What the exchange works with. */
-export interface QuorumExchangeContext {
+interface QuorumExchangeContext {
   readonly timers: GuardedTimers;
   readonly messenger: Messenger;
   readonly base: QuorumBase;
--- a/src/gue-edge/membership/quorum.ts
+++ b/src/gue-edge/membership/quorum.ts
@@ -11,7 +11,7 @@
 import type { Suspicions } from './suspicion.js';
 
 /** What the decision rests on. */
-export interface QuorumContext {
+interface QuorumContext {
   readonly clock: Clock;
   readonly timers: GuardedTimers;
   readonly messenger: Messenger;
--- a/src/gue-edge/membership/state-sync.ts
+++ b/src/gue-edge/membership/state-sync.ts
@@ -17,7 +17,7 @@
 import { encodeEntry, MessageType, type WireMessage, type WireMessageFields } from './wire.js';
 
 /** What the exchange works with. */
-export interface StateSyncContext {
+interface StateSyncContext {
   readonly table: MemberTable;
   readonly timers: GuardedTimers;
   readonly random: RandomSource;
--- a/src/gue-edge/membership/suspicion.ts
+++ b/src/gue-edge/membership/suspicion.ts
@@ -13,7 +13,7 @@
 const NO_TIMER: TimerHandle = { cancel: () => undefined };
 
 /** Shortest and longest time between suspicion and removal in a region of `members`. */
-export function suspicionBounds(members: number, timing: MembershipTiming): { minMs: number; maxMs: number } {
+function suspicionBounds(members: number, timing: MembershipTiming): { minMs: number; maxMs: number } {
   const scaledMs = timing.suspicionPerDecadeMs * Math.log10(Math.max(1, members));
   const minMs = Math.max(timing.suspicionMinMs, scaledMs);
   return { minMs, maxMs: minMs * SUSPICION_MAX_FACTOR };
--- a/src/gue-edge/membership/view-publisher.ts
+++ b/src/gue-edge/membership/view-publisher.ts
@@ -7,7 +7,7 @@
 import type { Member, MembershipView } from './types.js';
 
 /** What the publisher reads. */
-export interface ViewSources {
+interface ViewSources {
   readonly table: MemberTable;
   readonly clock: Clock;
   readonly region: string;
--- a/src/gue-edge/placement/balance-table.ts
+++ b/src/gue-edge/placement/balance-table.ts
@@ -4,13 +4,13 @@
 import type { PlacementMode } from './types.js';
 
 /** Size of one column. */
-export interface BalanceTableSize {
+interface BalanceTableSize {
   readonly keepers: number;
   readonly flowsPerBackend: number;
 }
 
 /** What the table covers; everything left out has a default. */
-export interface BalanceTableOptions {
+interface BalanceTableOptions {
   readonly seeds?: readonly number[];
   readonly modes?: readonly PlacementMode[];
   readonly sizes?: readonly BalanceTableSize[];
@@ -34,7 +34,7 @@
 }
 
 /** The sizes of the goals: 3 and 12 keepers, 100 and 1,000 flows a back end. */
-export const BALANCE_TABLE_SIZES: readonly BalanceTableSize[] = [
+const BALANCE_TABLE_SIZES: readonly BalanceTableSize[] = [
   { keepers: 3, flowsPerBackend: 100 },
   { keepers: 12, flowsPerBackend: 100 },
   { keepers: 3, flowsPerBackend: 1_000 },
--- a/src/gue-edge/placement/exception-budget.ts
+++ b/src/gue-edge/placement/exception-budget.ts
@@ -7,7 +7,7 @@
 const MS_PER_SECOND = 1_000;
 
 /** What an exception budget is made with. */
-export interface ExceptionBudgetOptions {
+interface ExceptionBudgetOptions {
   readonly clock: Clock;
   /** Bytes a second that the records of exceptions may cost this balancer. */
   readonly bytesPerSecond: number;
--- a/src/gue-edge/placement/index.ts
+++ b/src/gue-edge/placement/index.ts
@@ -14,17 +14,12 @@
   type CountingPolicy,
   type PlacementStatistics,
 } from './create-policy.js';
-export { ExceptionBudget, type ExceptionBudgetOptions } from './exception-budget.js';
+export { ExceptionBudget } from './exception-budget.js';
 export { DEFAULT_EXCEPTION_BYTES_PER_SECOND } from './constants.js';
 export { exceptionShareForBudget, type PlacementOptions } from './policy-options.js';
-export {
-  firstChoice,
-  rendezvousScore,
-  weightedRendezvous,
-  type RankedBackend,
-} from './weighted-rendezvous.js';
-export { OpeningLimiter, type OpeningLimiterOptions } from './opening-limiter.js';
-export { RetryBudget, type RetryBudgetOptions } from './retry-budget.js';
+export { firstChoice, rendezvousScore, weightedRendezvous } from './weighted-rendezvous.js';
+export { OpeningLimiter } from './opening-limiter.js';
+export { RetryBudget } from './retry-budget.js';
 export { UnknownPlacementModeError } from './errors.js';
 export { PLACEMENT_EVENTS } from './events.js';
 export {
@@ -32,4 +27,4 @@
   type BalanceSimulationOptions,
   type BalanceSimulationResult,
 } from './balance-simulation.js';
-export { runBalanceTable, type BalanceTableOptions, type BalanceTableRow } from './balance-table.js';
+export { runBalanceTable, type BalanceTableRow } from './balance-table.js';
--- a/src/gue-edge/placement/opening-limiter.ts
+++ b/src/gue-edge/placement/opening-limiter.ts
@@ -16,7 +16,7 @@
 const MS_PER_SECOND = 1_000;
 
 /** Options of `OpeningLimiter`. */
-export interface OpeningLimiterOptions {
+interface OpeningLimiterOptions {
   readonly clock: Clock;
   /** This balancer's part (0–1] of fleet-wide limits: 1 / number of balancers that own shards. */
   readonly share: () => number;
--- a/src/gue-edge/placement/retry-budget.ts
+++ b/src/gue-edge/placement/retry-budget.ts
@@ -8,7 +8,7 @@
 import { TokenBucket } from './token-bucket.js';
 
 /** Options of `RetryBudget`. */
-export interface RetryBudgetOptions {
+interface RetryBudgetOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   /** Share (0–1) of openings that may be retried. */
--- a/src/gue-edge/placement/weighted-rendezvous.ts
+++ b/src/gue-edge/placement/weighted-rendezvous.ts
@@ -8,7 +8,7 @@
 const TWO_POW_32 = 0x1_0000_0000;
 
 /** What the ranking needs of a back end: 32-bit id and weight > 0. */
-export interface RankedBackend {
+interface RankedBackend {
   readonly id: number;
   readonly weight: number;
 }
--- a/src/observability/errors.ts
+++ b/src/observability/errors.ts
@@ -1,7 +1,7 @@
 /** Errors of the admin server and the event catalogue. */
 import { SailquayError } from '../common/types.js';
 
-export type ObservabilityErrorKind = 'observability.admin-bind' | 'observability.event-catalogue';
+type ObservabilityErrorKind = 'observability.admin-bind' | 'observability.event-catalogue';
 
 /** The admin address could not be bound, or the declared events contradict each other. */
 export class ObservabilityError extends SailquayError {
--- a/src/observability/event.ts
+++ b/src/observability/event.ts
@@ -7,7 +7,7 @@
 export type EventLevel = 'debug' | 'info' | 'warn' | 'error';
 
 /** Event numbers of one slice. */
-export interface EventRange {
+interface EventRange {
   readonly first: number;
   readonly last: number;
 }
--- a/src/observability/explain-flow.ts
+++ b/src/observability/explain-flow.ts
@@ -14,10 +14,10 @@
 }
 
 /** Why a line belongs to the explanation. */
-export type LineRelation = 'flow' | 'backend' | 'balancer';
+type LineRelation = 'flow' | 'backend' | 'balancer';
 
 /** A line with its relation to the flow. */
-export interface RelatedLine {
+interface RelatedLine {
   readonly relation: LineRelation;
   readonly line: LogLine;
 }
--- a/src/observability/index.ts
+++ b/src/observability/index.ts
@@ -7,7 +7,7 @@
  * ```
  */
 export { AdminServer, type AdminSource, type Readiness, type StatusView } from './admin-server.js';
-export { ObservabilityError, type ObservabilityErrorKind } from './errors.js';
+export { ObservabilityError } from './errors.js';
 export {
   defineEvents,
   EVENT_RANGES,
@@ -16,7 +16,6 @@
   type EventFields,
   type EventLevel,
   type EventLog,
-  type EventRange,
 } from './event.js';
 export { ConsolaEventLog, type EventLogOptions, type LogFormat } from './event-log.js';
 export type { CountsByLabel } from './metrics-page.js';
--- a/src/observability/line-writer.ts
+++ b/src/observability/line-writer.ts
@@ -19,7 +19,7 @@
 const MAX_WAITING = 262_144;
 
 /** The part of a stream that is used. Node writes to pipes at once and keeps what they do not take. */
-export type LineStream = Pick<Writable, 'write' | 'writableLength'>;
+type LineStream = Pick<Writable, 'write' | 'writableLength'>;
 
 /** See the module. */
 export class LineWriter {
--- a/src/settings/conflicts.ts
+++ b/src/settings/conflicts.ts
@@ -4,7 +4,7 @@
 import { isWithin, NODE_KIND_FIELD, type EditRecord, type TreeChange, type TreeDocument } from './tree.js';
 
 /** One side of a race. */
-export interface RacingEdit {
+interface RacingEdit {
   readonly author: string;
   /** Changes against the common base. */
   readonly changes: readonly TreeChange[];
--- a/src/settings/field-types.ts
+++ b/src/settings/field-types.ts
@@ -7,7 +7,7 @@
  * Where a field may be set. `backend`: at any level, in force on back ends. `service`: down to services, in force on
  * services. `own-service` and `own-backend`: only on that kind of node and never inherited.
  */
-export type FieldScope = 'backend' | 'service' | 'own-service' | 'own-backend';
+type FieldScope = 'backend' | 'service' | 'own-service' | 'own-backend';
 
 /** Definition of one field. */
 export interface FieldDefinition {
@@ -51,7 +51,7 @@
 const ENDPOINT_WORDS = 'a.b.c.d:port with a numeric IPv4 address and a port of 1 to 65535';
 
 /** Bounds of a number, both included; whole unless `integer` is false. */
-export interface NumberRange {
+interface NumberRange {
   readonly from: number;
   readonly to: number;
   readonly integer?: boolean;
@@ -59,10 +59,7 @@
 }
 
 /** Parts of a definition that every builder takes as they are. */
-export type FieldTexts = Pick<
-  FieldDefinition,
-  'name' | 'number' | 'scope' | 'unit' | 'fallback' | 'description'
->;
+type FieldTexts = Pick<FieldDefinition, 'name' | 'number' | 'scope' | 'unit' | 'fallback' | 'description'>;
 
 /** A number within a range. */
 export function numberField(texts: FieldTexts, range: NumberRange): FieldDefinition {
--- a/src/settings/file-schema.ts
+++ b/src/settings/file-schema.ts
@@ -39,7 +39,7 @@
 }
 
 /** Schema of a settings file. It judges single nodes; `validateDocument` judges the tree as a whole. */
-export function fileSchema(): z.ZodType {
+function fileSchema(): z.ZodType {
   const backend = nodeSchema('backend');
   const service = nodeSchema('service', { backends: childMap(backend, 'Back ends by name.') });
   const site = nodeSchema('site', { services: childMap(service, 'Services by name.') });
--- a/src/settings/inherit.ts
+++ b/src/settings/inherit.ts
@@ -6,7 +6,7 @@
 export const BUILT_IN_ORIGIN = 'built-in';
 
 /** Value in force and the path of the node that set it, or `BUILT_IN_ORIGIN`. */
-export interface InheritedValue {
+interface InheritedValue {
   readonly value: FieldValue | undefined;
   readonly origin: string;
 }
--- a/src/settings/resolve.ts
+++ b/src/settings/resolve.ts
@@ -265,7 +265,7 @@
 }
 
 /** One field in force at a node. */
-export interface EffectiveField {
+interface EffectiveField {
   readonly field: string;
   readonly value: FieldValue | undefined;
   readonly unit: string;
@@ -274,7 +274,7 @@
 }
 
 /** A node with every field that may be set on it. */
-export interface EffectiveNode {
+interface EffectiveNode {
   readonly path: string;
   readonly kind: NodeKind;
   readonly fields: readonly EffectiveField[];
--- a/src/settings/tree-editor.ts
+++ b/src/settings/tree-editor.ts
@@ -19,7 +19,7 @@
 import { validateDocument } from './validate.js';
 
 /** What a `TreeEditor` needs. */
-export interface TreeEditorOptions {
+interface TreeEditorOptions {
   readonly platform: StoreClient;
   readonly clock: Clock;
   readonly random: RandomSource;
--- a/src/settings/types.ts
+++ b/src/settings/types.ts
@@ -5,7 +5,7 @@
 import type { Endpoint } from '../common/types.js';
 
 /** How a mid-flow packet whose back end cannot be established is answered. */
-export type UnknownFlowAction = 'drop' | 'reset';
+type UnknownFlowAction = 'drop' | 'reset';
 
 /** Probe, ejection and warm-up settings of a service's back ends; times in ms. */
 export interface HealthPolicy {
--- a/src/standin/backend/backend-standin.ts
+++ b/src/standin/backend/backend-standin.ts
@@ -10,7 +10,7 @@
 import type { BackendFaults, BackendStandinOptions, BackendStandinReport } from './types.js';
 
 /** Addresses of a running back end. */
-export interface RunningBackend {
+interface RunningBackend {
   readonly name: string;
   readonly endpoint: Endpoint;
   readonly health: Endpoint;
--- a/src/standin/backend/index.ts
+++ b/src/standin/backend/index.ts
@@ -6,6 +6,6 @@
  * standin.setFaults('isartal/pickguide/pick-01', { blackhole: true });
  * ```
  */
-export { startBackendStandin, type BackendStandin, type RunningBackend } from './backend-standin.js';
+export { startBackendStandin, type BackendStandin } from './backend-standin.js';
 export { registerBackendStandin } from './command.js';
 export * from './types.js';
--- a/src/standin/backend/request-runner.ts
+++ b/src/standin/backend/request-runner.ts
@@ -3,7 +3,7 @@
 import type { NotRunReason, RequestMessage } from '../common/messages.js';
 
 /** A request and where its outcome goes. */
-export interface Job {
+interface Job {
   readonly request: RequestMessage;
   /** The connection it came by: who may cancel it. */
   readonly owner: object;
@@ -11,7 +11,7 @@
   onNotRun(reason: NotRunReason): void;
 }
 
-export interface RunnerLimits {
+interface RunnerLimits {
   readonly slots: number;
   readonly maxQueued: number;
 }
--- a/src/standin/caller/caller-flow.ts
+++ b/src/standin/caller/caller-flow.ts
@@ -27,7 +27,7 @@
 }
 
 /** Where a flow goes and how long it lives. */
-export interface CallerFlowPlan {
+interface CallerFlowPlan {
   /** Unique over all caller processes. */
   readonly name: string;
   readonly service: string;
--- a/src/standin/caller/caller-standin.ts
+++ b/src/standin/caller/caller-standin.ts
@@ -22,7 +22,7 @@
 const STOP_POLL_MS = 20;
 
 /** A running process of callers. */
-export interface CallerStandin {
+interface CallerStandin {
   readonly local: Endpoint;
   readonly control: Endpoint;
   report(): CallerReport;
--- a/src/standin/caller/index.ts
+++ b/src/standin/caller/index.ts
@@ -6,6 +6,6 @@
  * const report = await callers.stop();
  * ```
  */
-export { startCallerStandin, type CallerStandin } from './caller-standin.js';
+export { startCallerStandin } from './caller-standin.js';
 export { registerCallerStandin } from './command.js';
 export * from './types.js';
--- a/src/standin/common/messages.ts
+++ b/src/standin/common/messages.ts
@@ -17,7 +17,7 @@
 }
 
 /** Takes back a request that has not started. */
-export interface CancelMessage {
+interface CancelMessage {
   readonly kind: 'cancel';
   readonly id: string;
 }
--- a/src/standin/platform/index.ts
+++ b/src/standin/platform/index.ts
@@ -6,7 +6,7 @@
  * standin.setFaults({ down: true });
  * ```
  */
-export { startPlatformStandin, type PlatformStandin, type PlatformStandinOptions } from './server.js';
+export { startPlatformStandin, type PlatformStandin } from './server.js';
 export { registerPlatformStandin } from './command.js';
 export { InMemoryPlatform } from './in-memory-platform.js';
 export type { CounterReport } from './request-counters.js';
--- a/src/standin/platform/lease-table.ts
+++ b/src/standin/platform/lease-table.ts
@@ -8,7 +8,7 @@
   readonly expiresAtMs: number;
 }
 
-export type LeaseOutcome =
+type LeaseOutcome =
   | { readonly granted: true; readonly fencingToken: number }
   | { readonly granted: false; readonly holder: string; readonly remainingMs: number };
 
--- a/src/standin/platform/object-store.ts
+++ b/src/standin/platform/object-store.ts
@@ -7,7 +7,7 @@
   readonly value: unknown;
 }
 
-export type PutOutcome =
+type PutOutcome =
   | { readonly accepted: true; readonly entry: StoreEntry }
   | { readonly accepted: false; readonly version: number };
 
--- a/src/standin/platform/server.ts
+++ b/src/standin/platform/server.ts
@@ -15,7 +15,7 @@
 const BODY_LIMIT_BYTES = 32 * 1024 * 1024;
 const DEFAULT_MACHINE_LAG_MS = 2_000;
 
-export interface PlatformStandinOptions {
+interface PlatformStandinOptions {
   /** 0: chosen by the kernel. */
   readonly port: number;
   readonly host?: string;
--- a/src/standin/segment-connection/index.ts
+++ b/src/standin/segment-connection/index.ts
@@ -12,7 +12,5 @@
   SegmentConnection,
   type ConnectionFailure,
   type ConnectionListener,
-  type ConnectionOptions,
-  type ConnectionState,
   type SegmentAddress,
 } from './segment-connection.js';
--- a/src/standin/segment-connection/segment-connection.ts
+++ b/src/standin/segment-connection/segment-connection.ts
@@ -21,7 +21,7 @@
 }
 
 /** opening: SYN sent or answered. open: both ends agreed. closing: a FIN was sent. closed: over, well or not. */
-export type ConnectionState = 'opening' | 'open' | 'closing' | 'closed';
+type ConnectionState = 'opening' | 'open' | 'closing' | 'closed';
 
 /** How a connection ended other than by both FINs. */
 export type ConnectionFailure = 'refused' | 'open-timeout' | 'reset' | 'give-up';
@@ -36,7 +36,7 @@
   onFailed?(failure: ConnectionFailure): void;
 }
 
-export interface ConnectionOptions {
+interface ConnectionOptions {
   readonly local: SegmentAddress;
   readonly remote: SegmentAddress;
   readonly clock: Clock;
--- a/src/store/transport.ts
+++ b/src/store/transport.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '../common/clock.js';
 import { CALLER_HEADER, MAX_ANSWER_BYTES, MAX_CONNECTIONS } from './constants.js';
 
-export type HttpMethod = 'GET' | 'PUT' | 'POST' | 'DELETE';
+type HttpMethod = 'GET' | 'PUT' | 'POST' | 'DELETE';
 
 /** A request to the object API; `path` starts with a slash. */
 export interface Exchange {
@@ -37,7 +37,7 @@
 }
 
 /** Abort signal that fires at a deadline or with another signal; `dispose` must be called. */
-export function deadlineSignal(
+function deadlineSignal(
   clock: Clock,
   deadlineMs: number,
 ): { signal: AbortSignal; timedOut: () => boolean; dispose: () => void } {
--- a/src/store/watch.ts
+++ b/src/store/watch.ts
@@ -13,7 +13,7 @@
 import { resourcePath, STORED_OBJECT } from './wire.js';
 
 /** What a watch needs of its client. */
-export interface WatchContext {
+interface WatchContext {
   readonly transport: PlatformTransport;
   readonly circuit: CircuitBreaker;
   readonly clock: Clock;
