--- a/src/cookie-edge/backend-health/dead-backends.test.ts
+++ b/src/cookie-edge/backend-health/dead-backends.test.ts
@@ -178,7 +178,7 @@
 
 test('a doubt that another balancer told of is not told again', async (t) => {
   const { harness, flows } = setUpSilent();
-  harness.forwarder.noteSuspicion('a', harness.clock.now());
+  harness.forwarder.applyEjectionReport('a', harness.clock.now());
   harness.goOn(flows.get('b')!.port, flows.get('b')!.cookie, { acknowledgement: 9_000 });
   await pass(harness.clock, PROBE_SPACING_MS + 100);
   t.deepEqual(harness.told, []);
--- a/src/cookie-edge/daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -14,7 +14,7 @@
 import type { BoundCookieEdge, DeploymentAdapters } from './adapters.js';
 import type { CookieDaemonConfig } from './config.js';
 import { probeConnect } from './connect-probe.js';
-import { EdgeGate } from './edge-gate.js';
+import { StartupBuffer } from './startup-buffer.js';
 import { SourceReading } from './source-reading.js';
 
 /** What a daemon needs from its surroundings. */
@@ -49,7 +49,7 @@
   const { id, data, source: address, control, zone, zoneMargin, zoneLoadFactor, maxFlowAgeMs } = config();
   const { changeBoundsMs, cordonBoundMs, zoneRegions, coldOverage: overage, coldSlack: slack } = config();
   const isOn = allBut(config().switchedOff);
-  const gate = new EdgeGate({ clock, events, isOn });
+  const gate = new StartupBuffer({ clock, events, isOn });
   const pauses = new PauseDetector(clock.now(), TICK_MS);
   const edge = await adapters.openEdge({ data, handler: gate, events, clock });
   gate.attach(edge);
@@ -65,7 +65,7 @@
     events,
     source,
     isWanted: () => isOn('reported-load') && !circuit.isLost && spreader.fleetSize >= LOAD_MIN_DAEMONS,
-    onReport: (report) => spreader.tellLoad(report),
+    onReport: (report) => spreader.gossipLoad(report),
   });
   const problems = new ProblemLog(events);
   const following = {
@@ -96,11 +96,11 @@
     noteArrival: () => pauses.noteRead('peers'),
     mayBeOld: () => pauses.mayBeOld(clock.now()),
     recordsMayLapse: () => circuit.recordsMayLapse(),
-    noteLoad: (report) => isOn('reported-load') && loads.accept(report),
-    noteBadAnswer: (report) => forwarder.noteBadAnswer(report),
-    noteSuspicion: ({ backendId, atMs }) => forwarder.noteSuspicion(backendId, atMs),
+    applyLoadReport: (report) => isOn('reported-load') && loads.accept(report),
+    applyBadAnswerReport: (report) => forwarder.applyBadAnswerReport(report),
+    applyEjectionReport: ({ backendId, atMs }) => forwarder.applyEjectionReport(backendId, atMs),
   });
-  circuit.retryNoSoonerThan(() => spreader.leastRetryMs());
+  circuit.retryNoSoonerThan(() => spreader.minimumRetryDelayMs());
   const forwarder: CookieForwarder = new CookieForwarder({
     clock,
     random,
@@ -120,15 +120,19 @@
     maxFlows: () => config().limits.maxFlows,
     observer: hashString(id),
     outliers: config().outliers,
-    onBadAnswer: (report) => spreader.tellBadAnswer(report),
-    onEject: (backendId, atMs) => spreader.tellSuspicion({ backendId, atMs }),
+    onBadAnswer: (report) => spreader.gossipBadAnswer(report),
+    onEject: (backendId, atMs) => spreader.gossipEjection({ backendId, atMs }),
   });
   openWhenComplete(gate, knowledge, forwarder);
   return { ...environment, edge, transport, knowledge, circuit, problems, reading, spreader, forwarder };
 }
 
 /** Lets packets through as soon as everything is known that forwarding needs. */
-function openWhenComplete(gate: EdgeGate, knowledge: RoutingKnowledge, forwarder: CookieForwarder): void {
+function openWhenComplete(
+  gate: StartupBuffer,
+  knowledge: RoutingKnowledge,
+  forwarder: CookieForwarder,
+): void {
   const openIfComplete = (): void => {
     if (gate.isClosed && knowledge.isComplete()) gate.open(forwarder);
   };
--- a/src/cookie-edge/daemon/edge-gate.test.ts
+++ b/src/cookie-edge/daemon/startup-buffer.test.ts
@@ -3,7 +3,7 @@
 import type { CookieEdgeHandler, CookiePacket } from '../../fabric/cookie-edge.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { MAX_HELD_PACKETS, MAX_HELD_SYN_AFTER_READ_MS, MAX_HELD_SYN_MS } from './constants.js';
-import { EdgeGate } from './edge-gate.js';
+import { StartupBuffer } from './startup-buffer.js';
 
 const EMPTY: CookiePacket = {
   sourceAddress: 1,
@@ -23,7 +23,7 @@
 /** A gate on a virtual clock whose edge delivers what it kept, as the real one does. */
 function gateAt() {
   const clock = new VirtualClock();
-  const gate = new EdgeGate({ clock, events: SILENT_EVENT_LOG });
+  const gate = new StartupBuffer({ clock, events: SILENT_EVENT_LOG });
   const passed: string[] = [];
   let current: CookiePacket = EMPTY;
   const handler: CookieEdgeHandler = {
--- a/src/cookie-edge/daemon/edge-gate.ts
+++ b/src/cookie-edge/daemon/startup-buffer.ts
@@ -14,7 +14,7 @@
 import { mayPlaceHeldSyn } from './held-syn.js';
 
 /** A packet that waits for the gate to open. */
-interface HeldPacket {
+interface BufferedPacket {
   /** How many times its caller had sent this SYN before; undefined for a packet that is no SYN. */
   readonly synCopy: number | undefined;
   /** Monotonic ms at which it was read; it may have waited in the socket since the binding. */
@@ -26,7 +26,7 @@
 type GatedEdge = Pick<BoundCookieEdge, 'keepPacket' | 'boundAtMs'>;
 
 /** What a gate needs. */
-interface EdgeGateOptions {
+interface StartupBufferOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   /** Mechanisms that are on; all unless given. */
@@ -34,14 +34,14 @@
 }
 
 /** See the module. Call `attach` as soon as the edge is bound, and `open` once. */
-export class EdgeGate implements CookieEdgeHandler {
+export class StartupBuffer implements CookieEdgeHandler {
   private handler: CookieEdgeHandler | undefined;
   private edge: GatedEdge | undefined;
   private boundAtMs = 0;
-  private held: HeldPacket[] = [];
+  private held: BufferedPacket[] = [];
   private tooMany = 0;
 
-  constructor(private readonly options: EdgeGateOptions) {}
+  constructor(private readonly options: StartupBufferOptions) {}
 
   /** True until the gate is opened. */
   get isClosed(): boolean {
@@ -91,7 +91,7 @@
   }
 
   /** No packet is older than the binding of the socket; one that was read later may have waited there for a moment. */
-  private isYoung({ synCopy, readAtMs }: HeldPacket, nowMs: number): boolean {
+  private isYoung({ synCopy, readAtMs }: BufferedPacket, nowMs: number): boolean {
     if (synCopy === undefined) return true;
     return mayPlaceHeldSyn({
       copy: synCopy,
--- a/src/cookie-edge/forwarding/cookie-forwarder.test.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.test.ts
@@ -270,23 +270,23 @@
   const [opened] = ['a', 'b', 'c'].map((_id, index) => harness.establish(index + 1));
   harness.clock.advance(10);
   const suspected = opened!.backend!;
-  t.true(harness.forwarder.noteSuspicion(suspected, harness.clock.now()));
-  t.false(harness.forwarder.noteSuspicion(suspected, harness.clock.now()), 'it is known now');
+  t.true(harness.forwarder.applyEjectionReport(suspected, harness.clock.now()));
+  t.false(harness.forwarder.applyEjectionReport(suspected, harness.clock.now()), 'it is known now');
   for (let port = 10; port < 18; port += 1) t.not(harness.establish(port).backend, suspected);
   harness.clock.advance(5);
   harness.goOn(1, opened!.cookie, { acknowledgement: 500 });
   t.is(harness.establish(20).backend, suspected);
   t.false(
-    harness.forwarder.noteSuspicion(suspected, harness.clock.now() - 10),
+    harness.forwarder.applyEjectionReport(suspected, harness.clock.now() - 10),
     'older than the sign of life',
   );
-  t.false(harness.forwarder.noteSuspicion('nobody', harness.clock.now()));
+  t.false(harness.forwarder.applyEjectionReport('nobody', harness.clock.now()));
 });
 
 test('a service whose only back end is suspected elsewhere is served by it', (t) => {
   const harness = new ForwarderHarness().know(backends(1));
   harness.clock.advance(10);
-  harness.forwarder.noteSuspicion('a', harness.clock.now());
+  harness.forwarder.applyEjectionReport('a', harness.clock.now());
   t.is(harness.open(1)?.backend, 'a');
 });
 
--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -155,7 +155,7 @@
   }
 
   /** Notes that another balancer ejected a back end at `atMs`; true when that was not known. */
-  noteSuspicion(backendId: string, atMs: number): boolean {
+  applyEjectionReport(backendId: string, atMs: number): boolean {
     if (!this.parts.isOn('shared-ejections')) return false;
     const backend = this.options.knowledge.backends.get(backendId);
     if (!backend) return false;
@@ -166,7 +166,7 @@
   }
 
   /** Takes in a bad answer that another balancer noticed; true when that was not known. */
-  noteBadAnswer(report: BadAnswerReport): boolean {
+  applyBadAnswerReport(report: BadAnswerReport): boolean {
     if (!this.parts.isOn('outlier-detection')) return false;
     return this.outliers.noteReport(report, this.options.clock.now());
   }
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -25,7 +25,7 @@
 import { TICK_MS } from './constants.js';
 import { CookieForwarder } from './cookie-forwarder.js';
 import type { ConnectProbe } from '../backend-health/backend-prober.js';
-import type { PlacementQuestion } from '../placement/opening-placement.js';
+import type { PlacementRequest } from '../placement/opening-placement.js';
 
 /** What the edge was asked to send. */
 export interface SentPacket {
@@ -194,7 +194,7 @@
 export function placementQuestion(
   states: ReadonlyMap<KnownBackend, BackendState>,
   flow: number,
-): PlacementQuestion {
+): PlacementRequest {
   return {
     backends: states.keys(),
     stateOf: (backend) => states.get(backend)!,
--- a/src/cookie-edge/forwarding/switched-off.test.ts
+++ b/src/cookie-edge/forwarding/switched-off.test.ts
@@ -32,7 +32,7 @@
 
 test('without shared ejections the word of others counts for nothing', (t) => {
   const harness = harnessWithout('shared-ejections').know(backends(2));
-  t.false(harness.forwarder.noteSuspicion('a', harness.clock.now()));
+  t.false(harness.forwarder.applyEjectionReport('a', harness.clock.now()));
 });
 
 test('without the guard a SYN that waited through a pause is placed', (t) => {
--- a/src/cookie-edge/placement/opening-placement.ts
+++ b/src/cookie-edge/placement/opening-placement.ts
@@ -18,7 +18,7 @@
 } from '../forwarding/constants.js';
 
 /** What a choice looks at. */
-export interface PlacementQuestion {
+export interface PlacementRequest {
   readonly backends: Iterable<KnownBackend>;
   readonly stateOf: (backend: KnownBackend) => BackendState;
   /** Why a back end may not be chosen at all; undefined when it may. */
@@ -85,7 +85,7 @@
   }
 
   /** The back end for a flow; undefined when none may take it. */
-  choose(question: PlacementQuestion): Placement | undefined {
+  choose(question: PlacementRequest): Placement | undefined {
     const classes = this.classify(question);
     const { alive, outlier, suspect, ejected, lapsed, trial } = classes;
     if (trial && alive.length > 0) {
@@ -107,7 +107,7 @@
   private least(
     states: readonly BackendState[],
     rule: PlacementRule,
-    question: PlacementQuestion,
+    question: PlacementRequest,
   ): Placement | undefined {
     const { nowMs, flowHash } = question;
     const count = this.usesReports(states, nowMs) ? LOAD_CHOICES : 1;
@@ -157,7 +157,7 @@
     return record.zone === zone ? load : load * zoneLoadFactor + zoneMargin;
   }
 
-  private classify(question: PlacementQuestion): CandidateClasses {
+  private classify(question: PlacementRequest): CandidateClasses {
     const classes: CandidateClasses = {
       alive: [],
       outlier: [],
@@ -181,7 +181,7 @@
     return classes;
   }
 
-  private livenessOf(state: BackendState, { nowMs, usualAnswerMs }: PlacementQuestion): Liveness {
+  private livenessOf(state: BackendState, { nowMs, usualAnswerMs }: PlacementRequest): Liveness {
     const liveness = state.liveness(nowMs);
     if (liveness === 'trial' && !this.isOn('trial-openings')) return 'alive';
     if (liveness !== 'alive' || !this.isOn('slow-answer-avoidance')) return liveness;
--- a/src/cookie-edge/placement/replayed-load.ts
+++ b/src/cookie-edge/placement/replayed-load.ts
@@ -62,10 +62,12 @@
     this.freeAtMs = Array.from({ length: day.backends }, () => new Array<number>(SLOTS).fill(0));
     const records = this.freeAtMs.map((_slots, index) => backendAt(`b-${index}`, index + 1));
     this.balancers = Array.from({ length: day.balancers }, (_unused, index) => {
-      const onBadAnswer = (report: Parameters<ForwarderHarness['forwarder']['noteBadAnswer']>[0]): void => {
+      const onBadAnswer = (
+        report: Parameters<ForwarderHarness['forwarder']['applyBadAnswerReport']>[0],
+      ): void => {
         if (day.gossipLostAt?.(this.clock.now())) return;
         this.clock.schedule(GOSSIP_MS, () => {
-          for (const other of this.balancers) other.forwarder.noteBadAnswer(report);
+          for (const other of this.balancers) other.forwarder.applyBadAnswerReport(report);
         });
       };
       const surroundings = { observer: index + 1, onBadAnswer };
--- a/src/cookie-edge/routing/source-circuit.ts
+++ b/src/cookie-edge/routing/source-circuit.ts
@@ -29,7 +29,7 @@
     this.lastAnswerMs = clock.now();
   }
 
-  /** From now on the wait after a failed call is not shorter than `leastRetryMs` says at that moment, jitter apart. */
+  /** From now on the wait after a failed call is not shorter than `minimumRetryDelayMs` says at that moment, jitter apart. */
   retryNoSoonerThan(leastRetryMs: () => number): void {
     this.leastRetryMs = leastRetryMs;
   }
--- a/src/cookie-edge/spreading/bad-answers.test.ts
+++ b/src/cookie-edge/spreading/bad-answers.test.ts
@@ -15,7 +15,7 @@
 const SPREAD_MS = 1_000;
 
 function tell(cluster: SpreadingCluster, daemon: number, backendId: string, observer = daemon): void {
-  cluster.daemons[daemon]!.spreader.tellBadAnswer({ backendId, observer, atMs: cluster.clock.now() });
+  cluster.daemons[daemon]!.spreader.gossipBadAnswer({ backendId, observer, atMs: cluster.clock.now() });
 }
 
 function heardShare(cluster: SpreadingCluster, key: string): number {
--- a/src/cookie-edge/spreading/recent-suspicions.test.ts
+++ b/src/cookie-edge/spreading/recent-suspicions.test.ts
@@ -29,7 +29,7 @@
   test(`a daemon that starts after an ejection hears of it, and so does everybody else, seed ${seed}`, async (t) => {
     const cluster = new SpreadingCluster(20, seed);
     await cluster.clock.advanceAsync(4_000, 10);
-    cluster.daemons[0]!.spreader.tellSuspicion({ backendId: 'a', atMs: cluster.clock.now() });
+    cluster.daemons[0]!.spreader.gossipEjection({ backendId: 'a', atMs: cluster.clock.now() });
     await cluster.clock.advanceAsync(500, 5);
     const newcomer = cluster.add();
     await cluster.clock.advanceAsync(300, 5);
--- a/src/cookie-edge/spreading/recent-suspicions.ts
+++ b/src/cookie-edge/spreading/recent-suspicions.ts
@@ -3,20 +3,20 @@
  * that daemons hear of them that missed the first round or have just started.
  */
 import { TELL_SUSPICION_MS, SUSPICIONS_A_MESSAGE } from './constants.js';
-import type { BackendSuspicion } from './types.js';
+import type { EjectionReport } from './types.js';
 
 /** See the module. Times are monotonic ms. */
 export class RecentSuspicions {
   /** The newest of each back end. */
-  private readonly byBackend = new Map<string, BackendSuspicion>();
+  private readonly byBackend = new Map<string, EjectionReport>();
 
-  note(suspicion: BackendSuspicion): void {
+  note(suspicion: EjectionReport): void {
     const known = this.byBackend.get(suspicion.backendId);
     if (!known || known.atMs < suspicion.atMs) this.byBackend.set(suspicion.backendId, suspicion);
   }
 
   /** Those that still count, the newest first, as many as fit into a message. */
-  recent(nowMs: number): BackendSuspicion[] {
+  recent(nowMs: number): EjectionReport[] {
     for (const { backendId, atMs } of this.byBackend.values()) {
       if (nowMs - atMs >= TELL_SUSPICION_MS) this.byBackend.delete(backendId);
     }
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -29,7 +29,7 @@
 import { PeerView } from './peer-view.js';
 import { ReaderRole, type RoleReason } from './reader-role.js';
 import { RecentSuspicions } from './recent-suspicions.js';
-import type { BackendSuspicion, PeerMessage, PeerTransport } from './types.js';
+import type { EjectionReport, PeerMessage, PeerTransport } from './types.js';
 import { UpdateLog } from './update-log.js';
 
 /** What a spreader needs. */
@@ -55,11 +55,11 @@
   /** Mechanisms that are on; all unless given. */
   readonly isOn?: MechanismCheck;
   /** Stores a report of the back ends' load; true when it was new here, so that it is passed on. */
-  readonly noteLoad?: (report: LoadReport) => boolean;
+  readonly applyLoadReport?: (report: LoadReport) => boolean;
   /** Takes in a bad answer that another daemon noticed; true when it was new here, so that it is passed on. */
-  readonly noteBadAnswer?: (report: BadAnswerReport) => boolean;
+  readonly applyBadAnswerReport?: (report: BadAnswerReport) => boolean;
   /** Takes in what another daemon found; true when it was new here, so that it is passed on. */
-  readonly noteSuspicion?: (suspicion: BackendSuspicion) => boolean;
+  readonly applyEjectionReport?: (suspicion: EjectionReport) => boolean;
 }
 
 /** Counters since start. */
@@ -152,7 +152,7 @@
    * Shortest backoff before the next call to a source that does not answer, in ms. When the whole fleet lacks a confirmation, the
    * backoff grows with the fleet's size. A daemon that lacks routes or back ends cannot serve and does not wait for others.
    */
-  leastRetryMs(): number {
+  minimumRetryDelayMs(): number {
     const { clock, knowledge, timings } = this.options;
     if (!this.isOn('asking-turns') || !knowledge.isComplete()) return 0;
     if (knowledge.age() < timings.pullAfterMs) return 0;
@@ -186,20 +186,20 @@
    * Tells other daemons of a back end that was ejected or found dead here. A zone that is lost brings many at once, so those of a
    * moment share a message.
    */
-  tellSuspicion(suspicion: BackendSuspicion): void {
+  gossipEjection(suspicion: EjectionReport): void {
     this.suspicions.note(suspicion);
     this.sender.pushSuspicions();
   }
 
   /** Tells other daemons of a bad answer. Those of a moment share a message. */
-  tellBadAnswer(report: BadAnswerReport): void {
+  gossipBadAnswer(report: BadAnswerReport): void {
     this.composer.badAnswers.note(report);
     this.sender.pushBadAnswers();
   }
 
   /** Takes in a report of the back ends' load; if it is new here, the next push without changes carries it. */
-  tellLoad(report: LoadReport): void {
-    if (this.options.noteLoad?.(report)) this.composer.noteLoad(report);
+  gossipLoad(report: LoadReport): void {
+    if (this.options.applyLoadReport?.(report)) this.composer.noteLoad(report);
   }
 
   /** To be called after each answer of the source: the confirmation is gossiped. */
@@ -266,7 +266,7 @@
     }
     if (mayBeOld) return;
     message.readers.forEach((reader) => this.role.note(reader));
-    message.loads.forEach((report) => this.tellLoad(report));
+    message.loads.forEach((report) => this.gossipLoad(report));
     message.suspicions.forEach((suspicion) => this.takeSuspicion(suspicion));
     message.badAnswers.forEach((report) => this.takeBadAnswer(report));
     const missing = knowledge.topics.filter((topic) => {
@@ -280,12 +280,12 @@
   }
 
   /** Passes a new suspicion on at once. */
-  private takeSuspicion(suspicion: BackendSuspicion): void {
-    if (this.options.noteSuspicion?.(suspicion)) this.tellSuspicion(suspicion);
+  private takeSuspicion(suspicion: EjectionReport): void {
+    if (this.options.applyEjectionReport?.(suspicion)) this.gossipEjection(suspicion);
   }
 
   private takeBadAnswer(report: BadAnswerReport): void {
-    if (this.options.noteBadAnswer?.(report)) this.tellBadAnswer(report);
+    if (this.options.applyBadAnswerReport?.(report)) this.gossipBadAnswer(report);
   }
 
   private ask(peer: Endpoint): void {
--- a/src/cookie-edge/spreading/spreading-test-support.ts
+++ b/src/cookie-edge/spreading/spreading-test-support.ts
@@ -50,7 +50,7 @@
       followsCordons: cluster.options.followsCordons,
     });
     const circuit = new SourceCircuit(clock, random, events);
-    circuit.retryNoSoonerThan(() => this.spreader.leastRetryMs());
+    circuit.retryNoSoonerThan(() => this.spreader.minimumRetryDelayMs());
     const following = {
       clock,
       source: source.for(id),
@@ -82,14 +82,14 @@
       noteArrival: () => undefined,
       mayBeOld: () => false,
       recordsMayLapse: () => circuit.recordsMayLapse(),
-      noteLoad: (report) => this.loads.accept(report),
-      noteBadAnswer: ({ backendId, observer }) => {
+      applyLoadReport: (report) => this.loads.accept(report),
+      applyBadAnswerReport: ({ backendId, observer }) => {
         const key = `${backendId} ${observer}`;
         if (this.badAnswers.has(key)) return false;
         this.badAnswers.set(key, clock.now());
         return true;
       },
-      noteSuspicion: ({ backendId }) => {
+      applyEjectionReport: ({ backendId }) => {
         if (this.suspicions.includes(backendId)) return false;
         this.suspicions.push(backendId);
         return true;
--- a/src/cookie-edge/spreading/spreading.test.ts
+++ b/src/cookie-edge/spreading/spreading.test.ts
@@ -262,7 +262,7 @@
 
 test('a suspicion reaches nearly everybody once, and does not go round', async (t) => {
   const cluster = await settled(20);
-  cluster.daemons[0]!.spreader.tellSuspicion({ backendId: 'a', atMs: cluster.clock.now() });
+  cluster.daemons[0]!.spreader.gossipEjection({ backendId: 'a', atMs: cluster.clock.now() });
   await cluster.clock.advanceAsync(500, 5);
   const heard = cluster.daemons.filter(({ suspicions }) => suspicions.length > 0);
   t.true(heard.length >= 17, `${heard.length} of 20`);
@@ -276,7 +276,7 @@
   await cluster.clock.advanceAsync(2_000, 5);
   const calm = spreader.statistics.messagesSent - calmBefore;
   for (let index = 0; index < 100; index += 1) {
-    spreader.tellSuspicion({ backendId: `b-${index}`, atMs: cluster.clock.now() });
+    spreader.gossipEjection({ backendId: `b-${index}`, atMs: cluster.clock.now() });
     await cluster.clock.advanceAsync(20, 5);
   }
   const busy = spreader.statistics.messagesSent - calmBefore - calm;
@@ -347,7 +347,7 @@
   const without = bytes() - before;
   for (let round = 0; round < 2; round += 1) {
     const measuredAtMs = cluster.clock.now();
-    reader!.spreader.tellLoad({ page: 0, measuredAtMs, validMs: 6_000, busy });
+    reader!.spreader.gossipLoad({ page: 0, measuredAtMs, validMs: 6_000, busy });
     await cluster.clock.advanceAsync(2_000, 10);
   }
   const nowMs = cluster.clock.now();
@@ -363,7 +363,7 @@
   const atMs = cluster.clock.now();
   for (const daemon of cluster.daemons) {
     for (let index = 0; index < 40; index += 1) {
-      daemon.spreader.tellSuspicion({ backendId: `b-${index}`, atMs });
+      daemon.spreader.gossipEjection({ backendId: `b-${index}`, atMs });
     }
   }
   await cluster.clock.advanceAsync(1_000, 10);
--- a/src/cookie-edge/spreading/types.ts
+++ b/src/cookie-edge/spreading/types.ts
@@ -29,7 +29,7 @@
 }
 
 /** A back end that gave some daemon no sign of life while others did. */
-export interface BackendSuspicion {
+export interface EjectionReport {
   readonly backendId: string;
   /** Monotonic ms at which it was ejected there. */
   readonly atMs: number;
@@ -46,7 +46,7 @@
   readonly readers: readonly ReaderSighting[];
   readonly peers: readonly Peer[];
   readonly updates: readonly SpreadUpdate[];
-  readonly suspicions: readonly BackendSuspicion[];
+  readonly suspicions: readonly EjectionReport[];
   readonly loads: readonly LoadReport[];
   readonly badAnswers: readonly BadAnswerReport[];
   /** Back ends that left and that the sender remembers. */
