--- a/src/gue-edge/dissemination/distributed-tree.ts
+++ b/src/gue-edge/dissemination/distributed-tree.ts
@@ -83,14 +83,15 @@
   source: StampSource,
   previous: DistributedTree | undefined,
 ): Result<BuiltTree, DisseminationError> {
-  const builder = new TreeBuilder(previous?.entries ?? new Map());
+  const before = previous?.entries ?? new Map<string, TreeEntry>();
+  const builder = new TreeBuilder(before);
   const kept = new Set<string>();
   for (const node of document.nodes) {
     kept.add(node.path);
-    const known = previous?.entries.get(node.path);
+    const known = before.get(node.path);
     if (!known || !encodesAlike(known.node, node)) builder.set(node, codec.encodeNode(node));
   }
-  for (const path of previous?.entries.keys() ?? []) {
+  for (const path of before.keys()) {
     if (!kept.has(path)) builder.delete(path);
   }
   const stamp = { ...source, digest: builder.digestText(), nodeCount: builder.entries.size };
@@ -108,13 +109,20 @@
   });
 }
 
+/** Trees that this balancer has when it builds another one. */
+interface KnownTrees {
+  /** The tree that changes are applied to; undefined for a snapshot. */
+  readonly base: DistributedTree | undefined;
+  /** The tree in force, whose resolved settings are reused where nothing changed. */
+  readonly previous: DistributedTree | undefined;
+}
+
 /** Builds the tree `stamp` from a peer's nodes: changes of `base`, or a snapshot when there is no base. */
 export function buildFromNodeSet(
   codec: TreeCodec,
   received: ReceivedNodeSet,
   stamp: TreeStamp,
-  base: DistributedTree | undefined,
-  previous: DistributedTree | undefined,
+  { base, previous }: KnownTrees,
 ): Result<BuiltTree, DisseminationError> {
   const builder = new TreeBuilder(base?.entries ?? new Map());
   for (const path of received.removedPaths) builder.delete(path);
--- a/src/gue-edge/dissemination/distributor.ts
+++ b/src/gue-edge/dissemination/distributor.ts
@@ -20,7 +20,7 @@
 import { decodeNodeSet } from './node-set.js';
 import type { sailquay } from './pb/dissemination.js';
 import { livePeers, sample } from './peers.js';
-import { Puller, type Pulled } from './puller.js';
+import { Puller, type Transfer } from './puller.js';
 import { Pusher } from './pusher.js';
 import { decodeStamp, encodeStamp, NO_TREE, sameTree, supersedes, type TreeStamp } from './stamp.js';
 import { newCounters, type DisseminationCounters } from './statistics.js';
@@ -79,17 +79,18 @@
     this.codec = options.codec ?? settingsTreeCodec;
     this.holder = new TreeHolder(clock, events, this.counters);
     this.messenger = new Messenger(channel, events, this.counters);
-    this.pusher = new Pusher(this.holder, this.messenger, membership, clock, random);
+    const { holder, messenger, counters } = this;
+    this.pusher = new Pusher({ holder, messenger, membership, clock, random });
     this.server = new TransferServer(this.holder, this.messenger, clock, this.counters);
-    this.puller = new Puller(
-      this.holder,
-      this.messenger,
+    this.puller = new Puller({
+      holder,
+      messenger,
       clock,
       random,
-      this.counters,
-      (pulled) => this.onPulled(pulled),
-      this.closing.signal,
-    );
+      counters,
+      deliver: (pulled) => this.applyNodeSet(pulled, 'pull'),
+      signal: this.closing.signal,
+    });
     this.reader = platform && this.createReader(platform);
   }
 
@@ -196,7 +197,7 @@
     const base = decodeStamp(announcement.base);
     const delta = announcement.delta ?? new Uint8Array();
     const applies = base.version > 0 && delta.length > 0 && sameTree(base, this.holder.stamp());
-    if (applies && this.applyNodeSet(delta, base, stamp, 'push', sender)) return;
+    if (applies && this.applyNodeSet({ bytes: delta, base, target: stamp, from: sender }, 'push')) return;
     this.puller.consider(stamp, sender);
   }
 
@@ -208,28 +209,19 @@
     else if (own.version > 0 && supersedes(own, stamp)) this.pusher.announceTo(sender.endpoint, stamp);
   }
 
-  private onPulled(pulled: Pulled): void {
-    this.applyNodeSet(pulled.bytes, pulled.base, pulled.target, 'pull', pulled.from);
-  }
-
   /** Builds and installs a peer's tree; false when it was not put in force. */
-  private applyNodeSet(
-    bytes: Uint8Array,
-    base: TreeStamp,
-    target: TreeStamp,
-    origin: TreeOrigin,
-    sender: Sender,
-  ): boolean {
+  private applyNodeSet({ bytes, base, target, from }: Transfer, origin: TreeOrigin): boolean {
     const isDelta = base.version > 0;
     if (isDelta && !sameTree(base, this.holder.stamp())) return false;
     try {
       const baseTree = isDelta ? this.holder.current() : undefined;
       const received = decodeNodeSet(bytes);
-      const built = buildFromNodeSet(this.codec, received, target, baseTree, this.holder.current());
+      const trees = { base: baseTree, previous: this.holder.current() };
+      const built = buildFromNodeSet(this.codec, received, target, trees);
       if (built.isOk) return this.holder.install(built.value, origin);
-      this.holder.reject(target, built.error, sender.id);
+      this.holder.reject(target, built.error, from.id);
     } catch (error) {
-      this.dropUndecodable(error, sender);
+      this.dropUndecodable(error, from);
     }
     return false;
   }
--- a/src/gue-edge/dissemination/puller.ts
+++ b/src/gue-edge/dissemination/puller.ts
@@ -23,8 +23,8 @@
   readonly stamp: TreeStamp;
 }
 
-/** A complete transfer. */
-export interface Pulled {
+/** A complete transfer of nodes from a peer. */
+export interface Transfer {
   /** Version 0: a snapshot. */
   readonly base: TreeStamp;
   readonly target: TreeStamp;
@@ -40,6 +40,20 @@
   received: number;
 }
 
+/** What a puller works with. */
+interface PullerOptions {
+  readonly holder: TreeHolder;
+  readonly messenger: Messenger;
+  readonly clock: Clock;
+  readonly random: RandomSource;
+  readonly counters: DisseminationCounters;
+  /** Called with each complete transfer. */
+  readonly deliver: (pulled: Transfer) => void;
+  /** Ends the transfers under way. */
+  readonly signal: AbortSignal;
+}
+
+/** Knows which peers have a newer tree and runs one transfer at a time. */
 export class Puller {
   private readonly sources = new Map<string, Source>();
   private running = false;
@@ -47,16 +61,8 @@
   private awaited:
     { readonly requestId: number; readonly resolve: (chunk: Chunk | undefined) => void } | undefined;
 
-  constructor(
-    private readonly holder: TreeHolder,
-    private readonly messenger: Messenger,
-    private readonly clock: Clock,
-    private readonly random: RandomSource,
-    private readonly counters: DisseminationCounters,
-    private readonly deliver: (pulled: Pulled) => void,
-    private readonly signal: AbortSignal,
-  ) {
-    this.nextRequestId = Math.floor(random() * 0xffff_ffff);
+  constructor(private readonly options: PullerOptions) {
+    this.nextRequestId = Math.floor(options.random() * 0xffff_ffff);
   }
 
   /** True while a newer tree is known of that is not in force yet. */
@@ -71,7 +77,7 @@
 
   /** Notes that a peer has `stamp`, and starts fetching when that wins over the tree in force. */
   consider(stamp: TreeStamp, sender: Sender): void {
-    if (!this.holder.wants(stamp)) return;
+    if (!this.options.holder.wants(stamp)) return;
     this.sources.delete(sender.id);
     this.sources.set(sender.id, { ...sender, stamp });
     const oldest = this.sources.keys().next().value;
@@ -87,7 +93,7 @@
 
   private usableSources(): Source[] {
     for (const [id, source] of this.sources) {
-      if (!this.holder.wants(source.stamp)) this.sources.delete(id);
+      if (!this.options.holder.wants(source.stamp)) this.sources.delete(id);
     }
     return [...this.sources.values()];
   }
@@ -102,29 +108,33 @@
     );
     return pick(
       [first, ...others].filter((source) => source.stamp.version === newest.stamp.version),
-      this.random,
+      this.options.random,
     );
   }
 
   private async run(): Promise<void> {
     this.running = true;
     try {
-      for (let source = this.chooseSource(); source && !this.signal.aborted; source = this.chooseSource()) {
-        this.counters.pullsStarted += 1;
+      for (
+        let source = this.chooseSource();
+        source && !this.options.signal.aborted;
+        source = this.chooseSource()
+      ) {
+        this.options.counters.pullsStarted += 1;
         const pulled = await this.fetchFrom(source);
         this.sources.delete(source.id);
-        if (pulled) this.deliver(pulled);
-        else this.counters.pullsFailed += 1;
+        if (pulled) this.options.deliver(pulled);
+        else this.options.counters.pullsFailed += 1;
       }
     } finally {
       this.running = false;
     }
   }
 
-  private async fetchFrom(source: Source): Promise<Pulled | undefined> {
-    const have = this.holder.stamp();
+  private async fetchFrom(source: Source): Promise<Transfer | undefined> {
+    const have = this.options.holder.stamp();
     let progress: Progress | undefined;
-    while (!this.signal.aborted) {
+    while (!this.options.signal.aborted) {
       const chunk = await this.requestChunk(source.endpoint, have, progress);
       if (!chunk) return undefined;
       progress = advance(progress, chunk, have);
@@ -134,7 +144,7 @@
         return { base, target, bytes: Buffer.concat(progress.parts), from: source };
       }
       // An announcement may have brought this member further than the transfer would.
-      if (!this.holder.wants(progress.target)) return undefined;
+      if (!this.options.holder.wants(progress.target)) return undefined;
       await this.pace(chunk.data.length);
     }
     return undefined;
@@ -146,7 +156,7 @@
     progress: Progress | undefined,
   ): Promise<Chunk | undefined> {
     for (let attempt = 0; attempt < limits.CHUNK_ATTEMPTS; attempt += 1) {
-      if (this.signal.aborted) return undefined;
+      if (this.options.signal.aborted) return undefined;
       this.nextRequestId = (this.nextRequestId + 1) >>> 0;
       const requestId = this.nextRequestId;
       const answer = this.awaitChunk(requestId);
@@ -156,7 +166,7 @@
         target: encodeStamp(progress?.target ?? NO_TREE),
         offset: progress?.received ?? 0,
       };
-      this.messenger.send(endpoint, { pullRequest });
+      this.options.messenger.send(endpoint, { pullRequest });
       const chunk = await answer;
       if (chunk) return chunk;
     }
@@ -165,7 +175,7 @@
 
   private awaitChunk(requestId: number): Promise<Chunk | undefined> {
     return new Promise((resolve) => {
-      const timer = this.clock.schedule(limits.CHUNK_TIMEOUT_MS, () => settle(undefined));
+      const timer = this.options.clock.schedule(limits.CHUNK_TIMEOUT_MS, () => settle(undefined));
       const settle = (chunk: Chunk | undefined): void => {
         timer.cancel();
         this.awaited = undefined;
@@ -176,9 +186,9 @@
   }
 
   private pace(bytes: number): Promise<void> {
-    const share = this.messenger.availableBytesPerSecond() * limits.TRANSFER_BUDGET_SHARE;
+    const share = this.options.messenger.availableBytesPerSecond() * limits.TRANSFER_BUDGET_SHARE;
     const bytesPerSecond = Math.max(limits.TRANSFER_MIN_BYTES_PER_SECOND, share);
-    return new Promise((resolve) => this.clock.schedule((bytes / bytesPerSecond) * 1_000, resolve));
+    return new Promise((resolve) => this.options.clock.schedule((bytes / bytesPerSecond) * 1_000, resolve));
   }
 }
 
--- a/src/gue-edge/membership/guarded-timers.ts
+++ b/src/gue-edge/membership/guarded-timers.ts
@@ -1,17 +1,16 @@
 /** Timers that notice when the process did not run: a pause is reported before any late timer does its work. */
 import type { Clock, TimerHandle } from '../../common/clock.js';
-
-/** Called with the time the process lost, in ms, before the late timer's own callback. */
-type PauseListener = (lostMs: number) => void;
+import { Subject } from '../../common/event-stream.js';
 
 /** A clock whose timers report lateness above a threshold; one report for each pause. */
 export class GuardedTimers {
+  /** The time that the process lost, in ms; pushed before the late timer's own callback runs. */
+  readonly pauses = new Subject<number>();
   private lastPauseMs = -Infinity;
 
   constructor(
     private readonly clock: Clock,
     private readonly thresholdMs: number,
-    private readonly onPause: PauseListener,
   ) {}
 
   now(): number {
@@ -39,6 +38,6 @@
     const lateMs = nowMs - dueMs;
     if (lateMs < this.thresholdMs || dueMs <= this.lastPauseMs) return;
     this.lastPauseMs = nowMs;
-    this.onPause(lateMs);
+    this.pauses.push(lateMs);
   }
 }
--- a/src/gue-edge/membership/member-table.test.ts
+++ b/src/gue-edge/membership/member-table.test.ts
@@ -83,7 +83,7 @@
       ['never from the dead', news('b', [5, 0], 'left'), news('b', [5, 0], 'active'), 'changed', 'active'],
     ];
   for (const [name, known, heard, outcome, state] of cases) {
-    const table = new MemberTable(new VirtualClock(), identity('a'), 1, () => undefined);
+    const table = new MemberTable(new VirtualClock(), identity('a'), 1);
     table.merge(known);
     t.is(table.merge(heard), outcome, name);
     const record = table.get(hashString('b'))!;
@@ -93,7 +93,7 @@
 
 test('a member that left stays so until it is forgotten, one that failed can refute', (t) => {
   const clock = new VirtualClock();
-  const table = new MemberTable(clock, identity('a'), 1, () => undefined);
+  const table = new MemberTable(clock, identity('a'), 1);
   const [left, failed] = [hashString('left'), hashString('failed')];
   table.merge(news('left', [5, 0], 'active'));
   table.merge(news('left', [5, 0], 'left'));
@@ -114,8 +114,8 @@
 });
 
 test('equal knowledge has equal digests, whatever the order it came in', (t) => {
-  const first = new MemberTable(new VirtualClock(), identity('a'), 1, () => undefined);
-  const second = new MemberTable(new VirtualClock(), identity('b'), 2, () => undefined);
+  const first = new MemberTable(new VirtualClock(), identity('a'), 1);
+  const second = new MemberTable(new VirtualClock(), identity('b'), 2);
   first.merge(news('b', [2, 0], 'joining'));
   second.merge(news('a', [1, 0], 'joining'));
   t.deepEqual(first.bucketDigests(), second.bucketDigests());
@@ -130,7 +130,7 @@
 });
 
 test('news about this member: refuted, believed, or from a process elsewhere', (t) => {
-  const table = new MemberTable(new VirtualClock(), identity('a'), 5, () => undefined);
+  const table = new MemberTable(new VirtualClock(), identity('a'), 5);
   table.advanceSelf('active');
   t.is(table.merge(news('a', [5, 0], 'joining')), 'known');
   t.is(table.merge(news('a', [4, 3], 'failed')), 'outdated-accusation');
@@ -147,7 +147,8 @@
 test('each piece of news is sent a limited number of times, the least sent first', (t) => {
   const clock = new VirtualClock();
   const queue = new GossipQueue(() => 9);
-  const table = new MemberTable(clock, identity('a'), 1, ({ record }) => queue.add(record, false, 0));
+  const table = new MemberTable(clock, identity('a'), 1);
+  table.changes.subscribe(({ record }) => queue.add(record, false, 0));
   table.merge(news('b', [5, 0], 'active'));
   table.merge(news('c', [5, 0], 'active'));
   const entryBytes = 16 + 2;
--- a/src/gue-edge/membership/member-table.ts
+++ b/src/gue-edge/membership/member-table.ts
@@ -1,5 +1,6 @@
 /** All known members and the rules by which news about them is merged. */
 import type { Clock } from '../../common/clock.js';
+import { Subject } from '../../common/event-stream.js';
 import { hashString } from '../../common/hash.js';
 import { DIGEST_BUCKETS, FAILED_RETENTION_MS, LEFT_RETENTION_MS } from './constants.js';
 import {
@@ -35,8 +36,10 @@
 export type MergeOutcome =
   'changed' | 'known' | 'unknown' | 'accused' | 'outdated-accusation' | 'collision' | 'reported-failed';
 
-/** Mutable table; every change is reported to `onChange` after it took effect. */
+/** Mutable table of the members that this one knows. */
 export class MemberTable {
+  /** Every change, after it took effect. */
+  readonly changes = new Subject<RecordChange>();
   private readonly records = new Map<number, MemberRecord>();
   private readonly versions = new Map<number, number>();
   private readonly digests = new Uint32Array(DIGEST_BUCKETS);
@@ -50,7 +53,6 @@
     private readonly clock: Clock,
     identity: MemberIdentity,
     incarnation: number,
-    private readonly onChange: (change: RecordChange) => void,
   ) {
     this.selfRecord = newRecord(identity, { incarnation, refutation: 0 }, 'joining', clock.now());
     this.records.set(this.selfRecord.idHash, this.selfRecord);
@@ -240,7 +242,7 @@
     this.liveRecords = undefined;
     this.livePeers = undefined;
     this.ringRecords = undefined;
-    this.onChange({ record, previous, heard, accuserHash: record.suspected ? accuserHash : 0 });
+    this.changes.push({ record, previous, heard, accuserHash: record.suspected ? accuserHash : 0 });
   }
 
   private toggleDigest(record: MemberRecord): void {
@@ -249,6 +251,11 @@
   }
 }
 
+/** True when a member that was live is now held for failed. */
+export function isFailure({ record, previous }: RecordChange): boolean {
+  return record.lifecycle === 'failed' && previous !== undefined && !isRemoved(previous);
+}
+
 /** Bucket of the state digest that a member belongs to: the top bits of its id hash. */
 export function bucketOf(idHash: number): number {
   return idHash >>> (32 - Math.log2(DIGEST_BUCKETS));
--- a/src/gue-edge/membership/prober.ts
+++ b/src/gue-edge/membership/prober.ts
@@ -1,5 +1,6 @@
 /** Failure detector: probes one member an interval, in turn, directly and then through other members. */
 import type { TimerHandle } from '../../common/clock.js';
+import { Subject } from '../../common/event-stream.js';
 import type { RandomSource } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
 import {
@@ -28,10 +29,6 @@
   readonly timing: MembershipTiming;
   readonly messenger: Messenger;
   readonly health: LocalHealth;
-  /** Called when a member answered neither directly nor through others. */
-  readonly onUnanswered: (target: MemberRecord) => void;
-  /** Called after each probe; the place for periodic work. */
-  readonly onRound: () => void;
 }
 
 interface OpenProbe {
@@ -53,6 +50,10 @@
 
 /** One prober for each process. */
 export class Prober {
+  /** Members that answered neither directly nor through others. */
+  readonly unanswered = new Subject<MemberRecord>();
+  /** Pushed after each probe; the place for periodic work. */
+  readonly rounds = new Subject<void>();
   private urgent: number[] = [];
   private ownOrder: number[] = [];
   private phaseMs = 0;
@@ -163,7 +164,7 @@
       if (timers.now() - dueMs >= LATE_ROUND_MS) health.worsen();
       this.scheduleRound(this.nextDelayMs());
       this.judgeOpenProbe();
-      this.context.onRound();
+      this.rounds.push();
       this.probeNext();
     });
   }
@@ -188,7 +189,7 @@
     }
     const current = context.table.get(open.target.idHash);
     if (current && !isRemoved(current) && current.incarnation === open.target.incarnation) {
-      context.onUnanswered(current);
+      this.unanswered.push(current);
     }
   }
 
--- a/src/gue-edge/membership/quorum-lease.ts
+++ b/src/gue-edge/membership/quorum-lease.ts
@@ -16,6 +16,21 @@
 /** Renewals in the duration of a lease. */
 const RENEWALS_PER_LEASE = 3;
 
+/** What the lease is kept with. */
+interface QuorumLeaseOptions {
+  readonly clock: Clock;
+  /** Undefined: there is no platform, and the lease is unavailable for good. */
+  readonly platform: LeasePlatform | undefined;
+  readonly leaseName: string;
+  /** Id of this member. */
+  readonly holder: string;
+  readonly durationMs: number;
+  /** Asked before each acquisition and renewal, and after each answer. */
+  readonly wanted: () => boolean;
+  /** Called when an answer of the platform changed the standing. */
+  readonly onChange: () => void;
+}
+
 /** Keeps, or keeps trying for, the lease while `wanted` says so. */
 export class QuorumLease {
   private lease: Lease | undefined;
@@ -24,28 +39,20 @@
   private asking = false;
   private stopped = false;
 
-  constructor(
-    private readonly clock: Clock,
-    private readonly platform: LeasePlatform | undefined,
-    private readonly leaseName: string,
-    private readonly holder: string,
-    private readonly durationMs: number,
-    private readonly wanted: () => boolean,
-    private readonly onChange: () => void,
-  ) {
-    if (!platform) this.lastAnswer = 'unavailable';
+  constructor(private readonly options: QuorumLeaseOptions) {
+    if (!options.platform) this.lastAnswer = 'unavailable';
   }
 
   /** What is known about the lease now. */
   standing(): LeaseStanding {
     if (this.lastAnswer !== 'held') return this.lastAnswer;
-    const trusted = this.lease !== undefined && this.clock.now() < this.lease.trustedUntilMs;
+    const trusted = this.lease !== undefined && this.options.clock.now() < this.lease.trustedUntilMs;
     return trusted ? 'held' : 'unknown';
   }
 
   start(): void {
-    if (!this.platform || this.stopped) return;
-    this.timer = this.clock.schedule(this.durationMs / RENEWALS_PER_LEASE, () => {
+    if (!this.options.platform || this.stopped) return;
+    this.timer = this.options.clock.schedule(this.options.durationMs / RENEWALS_PER_LEASE, () => {
       void this.refresh();
       this.start();
     });
@@ -55,9 +62,9 @@
   drop(): void {
     const { lease } = this;
     this.lease = undefined;
-    this.lastAnswer = this.platform ? 'unknown' : 'unavailable';
+    this.lastAnswer = this.options.platform ? 'unknown' : 'unavailable';
     // A lease that could not be released runs out by itself.
-    if (lease) void this.platform?.releaseLease(lease).catch(() => undefined);
+    if (lease) void this.options.platform?.releaseLease(lease).catch(() => undefined);
   }
 
   stop(): void {
@@ -68,27 +75,31 @@
 
   /** Acquires or renews when wanted, gives up when not. One request at a time. */
   async refresh(): Promise<void> {
-    if (!this.platform || this.asking || this.stopped) return;
-    if (!this.wanted()) {
+    if (!this.options.platform || this.asking || this.stopped) return;
+    if (!this.options.wanted()) {
       if (this.lastAnswer !== 'unknown') this.drop();
       return;
     }
     this.asking = true;
-    const standing = await this.ask(this.platform);
+    const standing = await this.ask(this.options.platform);
     this.asking = false;
     const changed = standing !== this.lastAnswer;
     this.lastAnswer = standing;
-    if (this.stopped || !this.wanted()) this.drop();
-    if (changed) this.onChange();
+    if (this.stopped || !this.options.wanted()) this.drop();
+    if (changed) this.options.onChange();
   }
 
   private async ask(platform: LeasePlatform): Promise<LeaseStanding> {
-    const acquired = await platform.acquireLease(this.leaseName, this.holder, this.durationMs);
+    const acquired = await platform.acquireLease(
+      this.options.leaseName,
+      this.options.holder,
+      this.options.durationMs,
+    );
     if (acquired.isOk) {
       this.lease = acquired.value;
       return 'held';
     }
     if (acquired.error.kind === 'platform.lease-held') return 'held-by-other';
-    return this.lease && this.clock.now() < this.lease.trustedUntilMs ? 'held' : 'unavailable';
+    return this.lease && this.options.clock.now() < this.lease.trustedUntilMs ? 'held' : 'unavailable';
   }
 }
--- a/src/gue-edge/membership/quorum.ts
+++ b/src/gue-edge/membership/quorum.ts
@@ -1,13 +1,14 @@
 /** Decides whether this member may open flows: see docs/DESIGN.md, "Quorum". */
 import type { MembershipTiming } from './constants.js';
 import type { GuardedTimers } from './guarded-timers.js';
-import { isRemoved, type MemberRecord } from './member-record.js';
+import type { MemberRecord } from './member-record.js';
 import type { Messenger } from './messenger.js';
 import { QuorumExchange } from './quorum-exchange.js';
-import type { MemberTable, RecordChange } from './member-table.js';
-import { QuorumBase, type QuorumStanding } from './quorum-base.js';
+import { isFailure, type MemberTable, type RecordChange } from './member-table.js';
+import type { QuorumBase, QuorumStanding } from './quorum-base.js';
 import { QuorumLease, type LeasePlatform } from './quorum-lease.js';
 import type { Clock } from '../../common/clock.js';
+import { Subject } from '../../common/event-stream.js';
 import type { Suspicions } from './suspicion.js';
 
 /** What the decision rests on. */
@@ -24,13 +25,14 @@
   readonly isZoneSilent: (zone: string) => boolean;
   /** True while probes get no sign of life from anyone. */
   readonly isCutOff: () => boolean;
-  /** Called when the decision may have changed outside `update`. */
-  readonly onChange: () => void;
+  /** The members that count; the messenger names its epoch. */
+  readonly base: QuorumBase;
 }
 
 /** Quorum of one member. */
 export class Quorum {
-  readonly base = new QuorumBase();
+  /** Pushed when the decision may have changed outside `update`. */
+  readonly changes = new Subject<void>();
   readonly exchange: QuorumExchange;
   private readonly lease: QuorumLease;
   /** Another member was met. */
@@ -44,23 +46,24 @@
   private withdrawn = false;
 
   constructor(private readonly context: QuorumContext) {
-    const { clock, platform, region, table, timing, timers, messenger, onChange } = context;
+    const { clock, platform, region, table, timing, timers, messenger, base } = context;
+    const onChange = (): void => this.changes.push();
     this.exchange = new QuorumExchange({
       timers,
       messenger,
-      base: this.base,
+      base,
       isQuorate: () => this.decision,
       onAdopted: onChange,
     });
-    this.lease = new QuorumLease(
+    this.lease = new QuorumLease({
       clock,
       platform,
-      `quorum/${region}`,
-      table.self.identity.id,
-      timing.quorumLeaseMs,
-      () => this.wantsLease(),
+      leaseName: `quorum/${region}`,
+      holder: table.self.identity.id,
+      durationMs: timing.quorumLeaseMs,
+      wanted: () => this.wantsLease(),
       onChange,
-    );
+    });
   }
 
   get isQuorate(): boolean {
@@ -86,11 +89,11 @@
   }
 
   /** Takes in one change of the member table. */
-  note({ record, previous }: RecordChange): void {
-    const failed = record.lifecycle === 'failed' && previous !== undefined && !isRemoved(previous);
-    if (failed) this.base.noteFailure(this.context.clock.now());
-    if (record.suspected) this.base.noteSuspicion(this.context.clock.now());
-    if (record.lifecycle === 'left' && this.decision) this.base.remove(record.idHash);
+  note(change: RecordChange): void {
+    const { record } = change;
+    if (isFailure(change)) this.context.base.noteFailure(this.context.clock.now());
+    if (record.suspected) this.context.base.noteSuspicion(this.context.clock.now());
+    if (record.lifecycle === 'left' && this.decision) this.context.base.remove(record.idHash);
   }
 
   /** Another member was heard. */
@@ -126,7 +129,7 @@
     if (alone && this.standing() === 'minority' && !this.waitedLongEnough()) this.lease.drop();
     this.decision = this.decide(alone);
     if (this.decision && this.isBootstrapped) {
-      this.base.evolve(this.context.table.live(), nowMs, this.context.timing.settleMs, !alone);
+      this.context.base.evolve(this.context.table.live(), nowMs, this.context.timing.settleMs, !alone);
     }
     if (before && !this.decision) void this.lease.refresh();
     return before !== this.decision;
@@ -139,11 +142,11 @@
   private bootstrap(): void {
     if (this.isBootstrapped || this.exchange.seenEpoch > 0) return;
     const mayCreate = this.context.platform ? this.lease.standing() === 'held' : this.met;
-    if (mayCreate || this.sole) this.base.create(this.context.table.live());
+    if (mayCreate || this.sole) this.context.base.create(this.context.table.live());
   }
 
   private get isBootstrapped(): boolean {
-    return this.base.epoch > 0;
+    return this.context.base.epoch > 0;
   }
 
   private decide(alone: boolean): boolean {
@@ -163,7 +166,7 @@
   }
 
   private standing(): QuorumStanding {
-    return this.base.standing(
+    return this.context.base.standing(
       (idHash) => this.context.table.get(idHash),
       (record) => this.isReachable(record),
     );
--- a/src/gue-edge/membership/sampling.ts
+++ b/src/gue-edge/membership/sampling.ts
@@ -2,6 +2,7 @@
 import type { RandomSource } from '../../common/random.js';
 import type { MemberRecord } from './member-record.js';
 
+/** Draws for each wanted member before the list is searched from a random place. Not measured; four suffice where most members pass. */
 const TRIES_PER_MEMBER = 4;
 
 /** Up to `count` different members that pass `accept`, at random; fewer when there are fewer. */
@@ -17,7 +18,11 @@
     const member = members[Math.floor(random() * members.length)];
     if (member && accept(member)) chosen.add(member);
   }
-  if (chosen.size < count) addFromStart(members, count, random, accept, chosen);
+  if (chosen.size >= count) return [...chosen];
+  for (const member of fromRandomStart(members, random)) {
+    if (chosen.size >= count) break;
+    if (accept(member)) chosen.add(member);
+  }
   return [...chosen];
 }
 
@@ -31,16 +36,8 @@
   return shuffled;
 }
 
-function addFromStart(
-  members: readonly MemberRecord[],
-  count: number,
-  random: RandomSource,
-  accept: (member: MemberRecord) => boolean,
-  chosen: Set<MemberRecord>,
-): void {
+/** Members from a random place of the list on, for when drawing at random met too few that pass. */
+function* fromRandomStart(members: readonly MemberRecord[], random: RandomSource): Generator<MemberRecord> {
   const offset = Math.floor(random() * members.length);
-  for (let step = 0; step < members.length && chosen.size < count; step += 1) {
-    const member = members[(offset + step) % members.length]!;
-    if (accept(member)) chosen.add(member);
-  }
+  for (let step = 0; step < members.length; step += 1) yield members[(offset + step) % members.length]!;
 }
--- a/src/gue-edge/membership/view-publisher.ts
+++ b/src/gue-edge/membership/view-publisher.ts
@@ -12,14 +12,14 @@
   readonly clock: Clock;
   readonly region: string;
   readonly isQuorate: () => boolean;
-  /** Brings the quorum up to date; may publish by itself. */
-  readonly beforePublish: () => void;
   /** Time that changes are gathered, ms. */
   readonly batchMs: () => number;
 }
 
 /** Holds the current view; a change of the quorum is published at once, other changes after the batch time. */
 export class ViewPublisher {
+  /** Pushed when the batch time has passed, before the view is built; an observer may publish by itself. */
+  readonly due = new Subject<void>();
   private readonly views = new Subject<MembershipView>();
   private readonly built = new WeakMap<MemberRecord, Member>();
   private currentView: MembershipView;
@@ -56,7 +56,7 @@
   publishSoon(): void {
     if (this.timer) return;
     this.timer = this.sources.clock.schedule(this.sources.batchMs(), () => {
-      this.sources.beforePublish();
+      this.due.push();
       if (this.timer) this.publishNow();
     });
   }
--- a/src/gue-edge/membership/zone-silence.ts
+++ b/src/gue-edge/membership/zone-silence.ts
@@ -1,4 +1,5 @@
 /** Notices when most of a zone falls silent at once: one event instead of one for each member. */
+import { Subject } from '../../common/event-stream.js';
 import type { MemberRecord } from './member-record.js';
 import { ZONE_MIN_MEMBERS, ZONE_SILENT_SHARE, ZONE_WINDOW_MS } from './constants.js';
 
@@ -8,13 +9,19 @@
   silent: boolean;
 }
 
+/** A zone most of which fell silent. */
+interface SilentZone {
+  readonly zone: string;
+  readonly silentMembers: number;
+}
+
 /** Silence by zone, from the changes of the member table. */
 export class ZoneSilence {
   private readonly zones = new Map<string, ZoneState>();
+  /** Each zone at the moment it falls silent. */
+  readonly silences = new Subject<SilentZone>();
   private count = 0;
 
-  constructor(private readonly onSilent: (zone: string, silentMembers: number) => void) {}
-
   /** Zone events since start. */
   get events(): number {
     return this.count;
@@ -57,7 +64,7 @@
     if (silentMembers <= population * ZONE_SILENT_SHARE) return;
     state.silent = true;
     this.count += 1;
-    this.onSilent(zone, silentMembers);
+    this.silences.push({ zone, silentMembers });
   }
 
   private forgetOld(state: ZoneState, nowMs: number): void {
