--- a/src/gue-edge/daemon/config.ts
+++ b/src/gue-edge/daemon/config.ts
@@ -111,7 +111,7 @@
     'daemon.config-invalid',
     `the daemon configuration (${source}) has ${faults.length} fault(s): ${list}`,
     'Correct the named fields in the file or give them as flags',
-    faults,
+    { faults },
   );
 }
 
@@ -141,7 +141,6 @@
       'daemon.config-unreadable',
       `cannot read the daemon configuration ${path}: ${(cause as Error).message}`,
       'Give the path of a YAML file that this process may read',
-      [],
       { cause },
     );
   }
@@ -150,7 +149,7 @@
     'daemon.config-invalid',
     `the daemon configuration ${path} is not a mapping`,
     'Write one field a line, such as "id: balancer-1"',
-    [{ path: '', message: 'expected a mapping' }],
+    { faults: [{ path: '', message: 'expected a mapping' }] },
   );
 }
 
--- a/src/gue-edge/daemon/control-plane.ts
+++ b/src/gue-edge/daemon/control-plane.ts
@@ -1,6 +1,6 @@
 /**
- * The control plane of one balancer: membership, spreading of settings and health, over a given control channel. A
- * real daemon adds the data path; tests do without.
+ * The control plane of one balancer: membership, spreading of settings and health, over a given control channel. Owns the
+ * order in which they start and stop; relies on the channel and, if there is one, on the store. A daemon adds the data path.
  */
 import type { Clock } from '../../common/clock.js';
 import type { RandomSource } from '../../common/random.js';
@@ -61,58 +61,60 @@
 export function createControlPlane(options: ControlPlaneOptions): ControlPlane {
   const { identity, clock, random, events, control, platform, seeds } = options;
   const { region, incarnation } = identity;
-  let joined = false;
+  const common = { clock, random, events };
+  // Membership tells others the version of the settings in force, and the settings are spread among the members.
+  const inForce: { settings?: SettingsDistributor } = {};
   const membership = new SwimMembership({
+    ...common,
     identity,
     region,
     incarnation,
     channel: control,
-    clock,
-    random,
     seeds,
     platform,
-    settingsVersion: () => settings.current()?.version ?? 0,
-    events,
-  });
-  const settings: SettingsDistributor = new SettingsDistributor({
-    region,
-    clock,
-    random,
-    events,
-    channel: control,
-    membership,
-    platform,
+    settingsVersion: () => inForce.settings?.current()?.version ?? 0,
   });
+  const settings = new SettingsDistributor({ ...common, region, channel: control, membership, platform });
+  inForce.settings = settings;
   const health = new HealthMonitor({
-    clock,
-    random,
-    events,
+    ...common,
     settings,
     membership,
     control,
     load: options.load ?? NO_FLOWS,
     probe: options.probe ?? httpProbe,
   });
-  const stopping = new AbortController();
-  return {
-    membership,
-    settings,
-    health,
-    mayActivate: () => {
-      const meetsRegion = joined || membership.view().quorate || membership.mayFoundRegion();
-      return settings.current() !== undefined && meetsRegion;
-    },
-    start: () => {
-      void membership.join().then(() => {
-        joined = true;
-      });
-      settings.start();
-      health.start(stopping.signal);
-    },
-    stop: async () => {
-      stopping.abort();
-      await settings.close();
-      membership.stop();
-    },
-  };
+  return new WiredControlPlane(membership, settings, health);
+}
+
+/** The parts with the order in which they start and stop. */
+class WiredControlPlane implements ControlPlane {
+  private readonly stopping = new AbortController();
+  /** Another member was met, or there was none to look for. */
+  private joined = false;
+
+  constructor(
+    readonly membership: SwimMembership,
+    readonly settings: SettingsDistributor,
+    readonly health: HealthMonitor,
+  ) {}
+
+  mayActivate(): boolean {
+    const meetsRegion = this.joined || this.membership.view().quorate || this.membership.mayFoundRegion();
+    return this.settings.current() !== undefined && meetsRegion;
+  }
+
+  start(): void {
+    void this.membership.join().then(() => {
+      this.joined = true;
+    });
+    this.settings.start();
+    this.health.start(this.stopping.signal);
+  }
+
+  async stop(): Promise<void> {
+    this.stopping.abort();
+    await this.settings.close();
+    this.membership.stop();
+  }
 }
--- a/src/gue-edge/daemon/data-plane.ts
+++ b/src/gue-edge/daemon/data-plane.ts
@@ -97,14 +97,17 @@
   readonly policy: CountingPolicy;
 }
 
+/** What the data socket is bound with. */
+interface EdgeBinding {
+  readonly config: DaemonConfig;
+  readonly sources: KnownSources;
+  readonly gate: EdgeGate;
+  readonly events: EventLog;
+  readonly clock: Clock;
+}
+
 /** Binds the data socket; packets go to `gate`. */
-export function bindEdge(
-  config: DaemonConfig,
-  sources: KnownSources,
-  gate: EdgeGate,
-  events: EventLog,
-  clock: Clock,
-): Promise<BoundEdgePort> {
+export function bindEdge({ config, sources, gate, events, clock }: EdgeBinding): Promise<BoundEdgePort> {
   const { data, fabricReturn } = config;
   const { isPeer, isBackend } = sources;
   return createEdgePort({ data, fabricReturn, isPeer, isBackend, handler: gate, events, clock });
--- a/src/gue-edge/daemon/errors.ts
+++ b/src/gue-edge/daemon/errors.ts
@@ -10,16 +10,25 @@
   readonly message: string;
 }
 
+/** What an error tells beside its message. */
+interface DaemonErrorDetails {
+  readonly faults?: readonly ConfigFault[];
+  /** The error that led to it. */
+  readonly cause?: unknown;
+}
+
 /** A daemon that cannot start as configured. */
 export class DaemonError extends SailquayError {
+  /** Every fault of the configuration; empty for other kinds. */
+  readonly faults: readonly ConfigFault[];
+
   constructor(
     readonly kind: DaemonErrorKind,
     message: string,
     remedy: string,
-    /** Every fault of the configuration; empty for other kinds. */
-    readonly faults: readonly ConfigFault[] = [],
-    options?: ErrorOptions,
+    { faults = [], cause }: DaemonErrorDetails = {},
   ) {
-    super(message, remedy, options);
+    super(message, remedy, cause === undefined ? undefined : { cause });
+    this.faults = faults;
   }
 }
--- a/src/gue-edge/daemon/status-source.ts
+++ b/src/gue-edge/daemon/status-source.ts
@@ -35,8 +35,6 @@
   readiness: Readiness,
 ): DaemonSummary {
   const { identity, control, controlPlane, dataPlane, gate } = components;
-  const view = controlPlane.membership.view();
-  const settings = controlPlane.settings.status();
   return {
     id: identity.id,
     region: identity.region,
@@ -44,22 +42,10 @@
     phase,
     ready: readiness.ready,
     reasons: readiness.reasons,
-    addresses: {
-      control: formatEndpoint(identity.control),
-      data: formatEndpoint(identity.data),
-      admin: formatEndpoint(identity.admin),
-    },
+    addresses: describeAddresses(components),
     startedAt: identity.incarnation,
-    settings: {
-      ...settings,
-      inForceSince: settings.version > 0 ? settings.appliedAtWallMs : undefined,
-    },
-    membership: {
-      sequence: view.sequence,
-      digest: view.digest,
-      quorate: view.quorate,
-      members: describeMembers(components),
-    },
+    settings: describeSettings(components),
+    membership: describeMembership(components),
     flow: dataPlane.forwarder.statistics(),
     keeper: dataPlane.forwarder.describeFlows(),
     placement: dataPlane.policy.statistics(),
@@ -102,6 +88,24 @@
   };
 }
 
+function describeAddresses({ identity }: Components): DaemonSummary['addresses'] {
+  return {
+    control: formatEndpoint(identity.control),
+    data: formatEndpoint(identity.data),
+    admin: formatEndpoint(identity.admin),
+  };
+}
+
+function describeSettings({ controlPlane }: Components): DaemonSummary['settings'] {
+  const settings = controlPlane.settings.status();
+  return { ...settings, inForceSince: settings.version > 0 ? settings.appliedAtWallMs : undefined };
+}
+
+function describeMembership(components: Components): DaemonSummary['membership'] {
+  const { sequence, digest, quorate } = components.controlPlane.membership.view();
+  return { sequence, digest, quorate, members: describeMembers(components) };
+}
+
 function describeMembers({ controlPlane }: Components): MemberStatus[] {
   return controlPlane.membership.view().members.map((member) => ({
     id: member.id,
@@ -172,9 +176,8 @@
 
 function countBackends({ controlPlane }: Components): CountsByLabel {
   const counts: Record<string, number> = { healthy: 0, unhealthy: 0, ejected: 0, draining: 0, unknown: 0 };
-  for (const backend of (controlPlane.settings.current()?.services ?? []).flatMap(
-    ({ backends }) => backends,
-  )) {
+  const services = controlPlane.settings.current()?.services ?? [];
+  for (const backend of services.flatMap(({ backends }) => backends)) {
     const condition = conditionOf(backend, controlPlane.health.health(backend.id));
     counts[condition] = (counts[condition] ?? 0) + 1;
   }
--- a/src/gue-edge/daemon/wiring.ts
+++ b/src/gue-edge/daemon/wiring.ts
@@ -1,5 +1,4 @@
 /** Binds the sockets of a daemon and wires its components; the order of start stands here. */
-import type { EventLog } from '../../observability/event.js';
 import { UdpControlChannel } from '../control/index.js';
 import { AdminServer, type AdminSource } from '../../observability/index.js';
 import { createStoreClient, type ConnectedStoreClient } from '../../store/index.js';
@@ -37,29 +36,13 @@
   const identity = identify(config, sockets, incarnation);
   const platform = connectPlatform(config, environment);
   const load = { openFlows: (id: number): number => gate.forwarder?.openFlows(id) ?? 0 };
-  const { seeds } = config;
-  const parts = { identity, clock, random, events, control, platform, seeds, load };
-  const controlPlane = createControlPlane(parts);
-  const memory = createMemoryGuard(environment, limits);
+  const common = { clock, random, events, control };
+  const controlPlane = createControlPlane({ ...common, identity, platform, seeds: config.seeds, load });
   const { membership, settings, health } = controlPlane;
-  const dataPlane = startDataPlane(
-    {
-      config,
-      clock,
-      random,
-      events,
-      control,
-      edge,
-      gate,
-      sources,
-      membership,
-      settings,
-      health,
-      limits,
-      memoryExceeded: () => memory.exceeded(),
-    },
-    signal,
-  );
+  const memory = createMemoryGuard(environment, limits);
+  const memoryExceeded = (): boolean => memory.exceeded();
+  const path = { ...common, config, edge, gate, sources, limits, memoryExceeded };
+  const dataPlane = startDataPlane({ ...path, membership, settings, health }, signal);
   const flows = createFlowGuard(environment, limits, () => dataPlane.forwarder.statistics().open);
   const guards = [memory, flows];
   guards.forEach((guard) => guard.start());
@@ -77,9 +60,9 @@
   const gate = new EdgeGate();
   const admin = await AdminServer.listen(config.admin, adminSource);
   try {
-    const control = await openControl(config, environment, events, incarnation);
+    const control = await openControl(config, environment, incarnation);
     try {
-      return { admin, control, edge: await bindEdge(config, sources, gate, events, clock), gate };
+      return { admin, control, edge: await bindEdge({ config, sources, gate, events, clock }), gate };
     } catch (error) {
       await control.close();
       throw error;
@@ -92,8 +75,7 @@
 
 async function openControl(
   config: DaemonConfig,
-  { clock }: DaemonEnvironment,
-  events: EventLog,
+  { clock, events }: DaemonEnvironment,
   incarnation: number,
 ): Promise<UdpControlChannel> {
   const opened = await UdpControlChannel.open({
