--- a/src/gue-edge/control/udp-channel.test.ts
+++ b/src/gue-edge/control/udp-channel.test.ts
@@ -8,6 +8,8 @@
 import { MAX_CLOCK_SKEW_MS } from './constants.js';
 import { sealEnvelope, type ControlEnvelope } from './envelope.js';
 import { KeyRing } from './key-ring.js';
+import type { EventFields, EventLog } from '../../observability/event.js';
+import { CONTROL_EVENTS } from './events.js';
 import { UdpControlChannel, type ControlDropReason, type UdpControlChannelOptions } from './udp-channel.js';
 import { MAX_CONTROL_PAYLOAD_BYTES, type InboundControlMessage } from './types.js';
 
@@ -78,7 +80,11 @@
 
 test('each kind of bad datagram is dropped, counted by its reason, and nothing is handed on', async (t) => {
   const path = keyFile(t, keyText(1, [1]));
-  const channel = await open(t, 'receiver', path, { versions: { min: 2, max: 3 } });
+  const warned: EventFields[] = [];
+  const events: EventLog = {
+    emit: (event, fields = {}) => void (event === CONTROL_EVENTS.incompatiblePeer && warned.push(fields)),
+  };
+  const channel = await open(t, 'receiver', path, { versions: { min: 2, max: 3 }, events });
   const messages = received(channel);
   const keys = (text: string): KeyRing =>
     KeyRing.parse(text).unwrapOrElse((error) => {
@@ -125,8 +131,6 @@
     ['self', sealEnvelope(envelope({ senderId: 'receiver', senderIncarnation: 1 }), recipient, good)],
     ['unhandled', sealEnvelope(envelope({ sequence: 4, kind: 'health' }), recipient, good)],
   ];
-  const incompatible: string[] = [];
-  channel.subscribeIncompatible((peer) => incompatible.push(peer.memberId));
   const socket = createSocket('udp4');
   t.teardown(() => socket.close());
   const sendRaw = (datagram: Buffer): void =>
@@ -142,7 +146,11 @@
   }
   t.deepEqual(new Map(channel.drops()), expected);
   t.is(messages.length, 1);
-  t.deepEqual(incompatible, ['sender', 'sender']);
+  t.deepEqual(
+    warned.map(({ member, versionMin, versionMax }) => [member, versionMin, versionMax]),
+    [['sender', 1, 1]],
+    'both incompatible datagrams are counted above, and one warning a minute is written',
+  );
 });
 
 test('an old and a new peer agree on the highest common version', async (t) => {
--- a/src/gue-edge/control/udp-channel.ts
+++ b/src/gue-edge/control/udp-channel.ts
@@ -1,7 +1,6 @@
 /** The control channel over one UDP socket: authenticated, replay-protected, metered and budgeted. */
 import { createSocket, type RemoteInfo, type Socket } from 'node:dgram';
 import Result from 'true-myth/result';
-import { Subject } from '../../common/event-stream.js';
 import type { Clock } from '../../common/clock.js';
 import { formatEndpoint, sameEndpoint, type Endpoint } from '../../common/types.js';
 import { SILENT_EVENT_LOG, type EventLog } from '../../observability/event.js';
@@ -25,18 +24,12 @@
   type InboundControlMessage,
 } from './types.js';
 import { highestCommonVersion, type VersionRange } from './version.js';
+import { WarningLimiter } from './warning-limiter.js';
 
 /** Why a received datagram was dropped. */
 export type ControlDropReason =
   'malformed' | 'forged' | 'unknown-key' | 'replayed' | 'stale' | 'version' | 'self' | 'unhandled';
 
-/** A peer with which no protocol version is shared. */
-interface IncompatiblePeer {
-  readonly memberId: string;
-  readonly from: Endpoint;
-  readonly versions: VersionRange;
-}
-
 /** What a channel needs. */
 export interface UdpControlChannelOptions {
   /** Address to bind; port 0 lets the kernel choose. */
@@ -55,11 +48,11 @@
   readonly versions?: VersionRange;
 }
 
+/** Senders that are long silent are forgotten this often, in ms. Not measured; chosen well below `REPLAY_FORGET_MS`. */
 const PRUNE_INTERVAL_MS = 60_000;
-const WARNING_INTERVAL_MS = 60_000;
 const OWN_VERSIONS: VersionRange = { min: PROTOCOL_VERSION_MIN, max: PROTOCOL_VERSION_MAX };
 
-/** See `ControlChannel`. Open one with `UdpControlChannel.open`. */
+/** The channel of one process; open it with `UdpControlChannel.open`. */
 export class UdpControlChannel implements ControlChannel {
   /** Where the socket is bound. */
   readonly endpoint: Endpoint;
@@ -71,8 +64,7 @@
   private readonly replayGuard: ReplayGuard;
   private readonly handlers = new Map<ControlKind, (message: InboundControlMessage) => void>();
   private readonly dropCounts = new Map<ControlDropReason, number>();
-  private readonly incompatiblePeers = new Subject<IncompatiblePeer>();
-  private readonly warnedAtMs = new Map<string, number>();
+  private readonly warnings: WarningLimiter;
   private sequence = 0;
   private closed = false;
 
@@ -91,6 +83,7 @@
       options.budgetBytesPerSecond ?? DEFAULT_BUDGET_BYTES_PER_SECOND,
     );
     this.byteMeter = new ControlMeter(options.clock);
+    this.warnings = new WarningLimiter(options.clock, this.events);
     this.replayGuard = new ReplayGuard(options.clock);
     socket.on('message', (datagram, remote) => this.receive(datagram, remote));
     socket.on('error', (error) => this.events.emit(CONTROL_EVENTS.socketFailed, { error: error.message }));
@@ -153,11 +146,6 @@
     return this.dropCounts;
   }
 
-  /** Calls `listener` when a peer shares no version with this one; returns the function that ends it. */
-  subscribeIncompatible(listener: (peer: IncompatiblePeer) => void): () => void {
-    return this.incompatiblePeers.subscribe(listener);
-  }
-
   /** Reads the key file again; on an error the previous keys stay in force. */
   reloadKeys(): Result<void, ControlError> {
     const loaded = KeyRing.load(this.options.keyFile);
@@ -198,11 +186,7 @@
     const opened = openEnvelope(datagram, this.advertisedText, this.keys);
     if (opened.outcome === 'rejected') {
       this.drop(opened.fault);
-      if (opened.fault !== 'malformed')
-        this.warn('authentication', CONTROL_EVENTS.authenticationFailing, {
-          address: remote.address,
-          port: remote.port,
-        });
+      if (opened.fault !== 'malformed') this.warnOfAuthentication(remote);
       return;
     }
     const { envelope } = opened;
@@ -235,7 +219,7 @@
     }
     const versions = { min: envelope.versionMin, max: envelope.versionMax };
     const version = highestCommonVersion(this.versions, versions);
-    if (version === undefined) this.dropIncompatible({ memberId: senderId, from, versions });
+    if (version === undefined) this.dropIncompatible(senderId, from, versions);
     return version;
   }
 
@@ -245,34 +229,23 @@
     return envelope.senderIncarnation === this.options.incarnation || sameEndpoint(from, this.endpoint);
   }
 
-  private dropIncompatible(peer: IncompatiblePeer): void {
+  private dropIncompatible(member: string, from: Endpoint, versions: VersionRange): void {
     this.drop('version');
-    this.incompatiblePeers.push(peer);
-    const { memberId, versions } = peer;
-    this.warn(`version ${memberId}`, CONTROL_EVENTS.incompatiblePeer, {
-      address: peer.from.host,
-      port: peer.from.port,
-      member: memberId,
+    this.warnings.warn(`version ${member}`, CONTROL_EVENTS.incompatiblePeer, {
+      address: from.host,
+      port: from.port,
+      member,
       versionMin: versions.min,
       versionMax: versions.max,
     });
   }
 
-  private drop(reason: ControlDropReason): void {
-    this.dropCounts.set(reason, (this.dropCounts.get(reason) ?? 0) + 1);
+  private warnOfAuthentication({ address, port }: RemoteInfo): void {
+    this.warnings.warn('authentication', CONTROL_EVENTS.authenticationFailing, { address, port });
   }
 
-  /** Writes an event at most once in WARNING_INTERVAL_MS for each topic. */
-  private warn(
-    topic: string,
-    event: (typeof CONTROL_EVENTS)[keyof typeof CONTROL_EVENTS],
-    fields: { readonly address: string; readonly port: number } & Record<string, string | number>,
-  ): void {
-    const nowMs = this.options.clock.now();
-    const lastMs = this.warnedAtMs.get(topic);
-    if (lastMs !== undefined && nowMs - lastMs < WARNING_INTERVAL_MS) return;
-    this.warnedAtMs.set(topic, nowMs);
-    this.events.emit(event, { ...fields });
+  private drop(reason: ControlDropReason): void {
+    this.dropCounts.set(reason, (this.dropCounts.get(reason) ?? 0) + 1);
   }
 
   private onSendResult(error: Error | null): void {
