--- a/src/cookie-edge/forwarding/pending-openings.ts
+++ b/src/cookie-edge/backend-health/pending-openings.ts
@@ -7,8 +7,8 @@
   USUAL_ANSWER_MIN_MS,
   USUAL_ANSWER_SHARE,
   USUAL_ANSWER_START_MS,
-} from './constants.js';
-import type { Flow } from './flow-cache.js';
+} from '../forwarding/constants.js';
+import type { Flow } from '../forwarding/flow-cache.js';
 
 /** Openings in the order in which they were placed. */
 export class PendingOpenings {
--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -32,7 +32,7 @@
 import { MidFlowHandler } from './mid-flow-handler.js';
 import { OpeningHandler } from './opening-handler.js';
 import { OpeningPlacement } from '../placement/opening-placement.js';
-import { PendingOpenings } from './pending-openings.js';
+import { PendingOpenings } from '../backend-health/pending-openings.js';
 import { TrafficSplitter } from '../placement/traffic-splitter.js';
 
 /** What a cookie forwarder needs. */
--- a/src/cookie-edge/forwarding/forwarding-parts.ts
+++ b/src/cookie-edge/forwarding/forwarding-parts.ts
@@ -8,7 +8,7 @@
 import type { CookieRegistry } from './cookie-registry.js';
 import type { CookieStatistics } from './cookie-statistics.js';
 import type { Flow, FlowCache } from './flow-cache.js';
-import type { PendingOpenings } from './pending-openings.js';
+import type { PendingOpenings } from '../backend-health/pending-openings.js';
 
 /** One of each for a balancer. */
 export interface ForwardingParts {
