--- a/src/cookie-edge/backend-health/backend-prober.ts
+++ b/src/cookie-edge/backend-health/backend-prober.ts
@@ -6,7 +6,7 @@
 import { pause } from '../../common/pause.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
 import type { Endpoint } from '../../common/types.js';
-import { PROBE_LATE_MS, PROBE_SPACING_MS, PROBE_TIMEOUT_MS } from '../forwarding/constants.js';
+import { PROBE_LATE_MS, PROBE_SPACING_MS, PROBE_TIMEOUT_MS } from './constants.js';
 
 /** What a connection to a back end's address met. */
 export type ProbeOutcome = 'answered' | 'refused' | 'silent';
--- a/src/cookie-edge/backend-health/backend-state.ts
+++ b/src/cookie-edge/backend-health/backend-state.ts
@@ -9,7 +9,7 @@
   EJECT_MIN_MS,
   SHARED_SUSPECT_MS,
   SUSPECT_MS,
-} from '../forwarding/constants.js';
+} from './constants.js';
 
 /** Whether a back end should get new flows, as far as packets tell. */
 export type Liveness = 'alive' | 'suspect' | 'trial' | 'ejected';
--- a/src/cookie-edge/backend-health/dead-backends.test.ts
+++ b/src/cookie-edge/backend-health/dead-backends.test.ts
@@ -4,9 +4,10 @@
 import { pause } from '../../common/pause.js';
 import type { Endpoint } from '../../common/types.js';
 import { backendAt, updateAt } from '../routing/routing-test-support.js';
-import { PROBE_SPACING_MS, PROBE_TIMEOUT_MS, TICK_MS } from '../forwarding/constants.js';
+import { TICK_MS } from '../forwarding/constants.js';
 import { backends, ForwarderHarness, type HarnessSurroundings } from '../forwarding/cookie-test-support.js';
 import type { ProbeOutcome } from './backend-prober.js';
+import { PROBE_SPACING_MS, PROBE_TIMEOUT_MS } from './constants.js';
 
 const DEAD_EVENT = 1259;
 const RESET_EVENT = 1260;
--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -21,7 +21,7 @@
   MAX_PROBE_PAIRS,
   MAX_PROBES_AT_ONCE,
   PROBE_AGAIN_MS,
-} from '../forwarding/constants.js';
+} from './constants.js';
 import { COOKIE_FLOW_EVENTS } from '../forwarding/events.js';
 import { formatFlowId } from '../forwarding/flow-id.js';
 import { resetTargetOf, type ForwardingParts } from '../forwarding/forwarding-parts.js';
--- a/src/cookie-edge/backend-health/pending-openings.ts
+++ b/src/cookie-edge/backend-health/pending-openings.ts
@@ -3,26 +3,26 @@
  * must not attract the next try of the same caller; so it is avoided while an opening there waits longer than usual.
  */
 import {
-  USUAL_ANSWER_FACTOR,
-  USUAL_ANSWER_MIN_MS,
-  USUAL_ANSWER_SHARE,
-  USUAL_ANSWER_START_MS,
-} from '../forwarding/constants.js';
+  SLOW_HANDSHAKE_FACTOR,
+  SLOW_HANDSHAKE_MARGIN_MS,
+  HANDSHAKE_AVERAGE_WEIGHT,
+  HANDSHAKE_AVERAGE_START_MS,
+} from './constants.js';
 import type { Flow } from '../forwarding/flow-cache.js';
 
 /** Openings in the order in which they were placed. */
 export class PendingOpenings {
   private queue: Flow[] = [];
-  private averageMs = USUAL_ANSWER_START_MS;
+  private averageMs = HANDSHAKE_AVERAGE_START_MS;
 
   /** An opening that waits longer than this waits unusually long, in ms. */
   get usualMs(): number {
-    return USUAL_ANSWER_MIN_MS + this.averageMs * USUAL_ANSWER_FACTOR;
+    return SLOW_HANDSHAKE_MARGIN_MS + this.averageMs * SLOW_HANDSHAKE_FACTOR;
   }
 
   /** Notes how long an answered opening took. */
   noteAnswer(tookMs: number): void {
-    this.averageMs += (tookMs - this.averageMs) * USUAL_ANSWER_SHARE;
+    this.averageMs += (tookMs - this.averageMs) * HANDSHAKE_AVERAGE_WEIGHT;
   }
 
   /** Notes that a flow's SYN was just sent to its back end. */
--- a/src/cookie-edge/forwarding/constants.ts
+++ b/src/cookie-edge/forwarding/constants.ts
@@ -3,22 +3,6 @@
 /** Housekeeping: pending openings, pauses and expiry are looked at this often. */
 export const TICK_MS = 150;
 
-/** An opening that its caller does not go on with after this long, in ms, is unanswered: callers repeat a SYN after 200 ms. */
-export const OPENING_ANSWER_MS = 150;
-
-/** Unanswered openings and repeated data in a row, without any sign of life, after which a back end is ejected: one may be a lost packet. */
-export const EJECT_AFTER_FAILURES = 2;
-
-/** First time in ms for which a back end is ejected, and the longest; it doubles with each failed trial. */
-export const EJECT_MIN_MS = 1_000;
-export const EJECT_MAX_MS = 8_000;
-
-/** A back end with one failure and no sign of life is avoided this long, in ms, where there are others. */
-export const SUSPECT_MS = 1_000;
-
-/** A back end that another balancer ejected is avoided this long, in ms, where there are others, unless it gives signs of life. */
-export const SHARED_SUSPECT_MS = 2_000;
-
 /**
  * A record that may only have lapsed serves as a last resort this long after it was missed, in ms: back ends that live are recorded
  * again about 2 s after the source's return, as the platform promises, and gossip takes a moment.
@@ -37,12 +21,6 @@
 /** Time in ms between two sweeps of the flow cache for expired flows. */
 export const EXPIRY_INTERVAL_MS = 1_000;
 
-/**
- * A flow that was closed counts for this long after it, in ms, less and less. Otherwise a back end that holds no long flows yet
- * would get every short one: each has ended before the next one comes.
- */
-export const CLOSED_FLOW_COUNTS_MS = 2_000;
-
 /**
  * Back ends of equal load among which one that is not busy elsewhere is looked for. By simulation (164 back ends, 726 flows, 195
  * balancers) busiest/mean is 2.4 with one, 2.0 with two, 1.66 with four and 1.65 with eight.
@@ -62,45 +40,6 @@
  */
 export const COLD_CAPACITY_SHARE = 0.5;
 
-/**
- * A probe is unanswered after this long, in ms: longer than packets wait on a link that is not overloaded (half a second, by the
- * platform's own measure), so that a busy link is not taken for a dead back end. A lost packet of a probe costs as much.
- */
-export const PROBE_TIMEOUT_MS = 600;
-
-/**
- * A second probe is sent this long after the first, in ms, without waiting for its time-out: both must stay unanswered to prove a back
- * end dead, since each is lost in 6% of the cases where 3% of the packets are lost in each direction, and both in 0.4%. One after
- * the other would take 1,200 ms in place of 800.
- */
-export const PROBE_SPACING_MS = 200;
-
-/** Pairs of probes of one back end that may follow each other while other back ends give no sign of life. */
-export const MAX_PROBE_PAIRS = 2;
-
-/** Back ends that are probed at once; each takes a file descriptor and a connection of the back end. */
-export const MAX_PROBES_AT_ONCE = 64;
-
-/** A back end that answered a probe is not probed again for this long, in ms. */
-export const PROBE_AGAIN_MS = 1_000;
-
-/** A probe's time-out that fires later than this, in ms, means that this process stood still, and proves nothing. */
-export const PROBE_LATE_MS = 100;
-
-/** A proof by probes holds this long, in ms, unless other probes renew it. */
-export const DEAD_VERDICT_MS = 2_000;
-
-/**
- * A back end that is held dead is probed again this long after the proof, in ms: early enough for both probes to end before the
- * proof does. Without that each balancer would try every dead back end with callers' flows as soon as its proof has ended: on a day of
- * 34 s on which 35 back ends of a zone crashed, callers' tries that ended with a reset fell from 834 to 280, together with taking a
- * refusal for a proof by itself (74 balancers, one run each).
- */
-export const DEAD_RECHECK_MS = 1_000;
-
-/** Two back ends of a zone that are found dead within this time, in ms, put the other ones in doubt. */
-export const DEAD_IN_ZONE_MS = 2_000;
-
 /**
  * Balancers that a cold back end gets its new flows from. The second one covers the loss of the first, which the others notice
  * only after seconds; more would make each one's part of a low rate too small to use.
@@ -109,12 +48,3 @@
 
 /** Differing views of the fleet, and so sets of owners, that must stay within a cold back end's limit at once: two sides of a cut. */
 export const COLD_VIEWS = 2;
-
-/**
- * An opening waits unusually long after the moving average of the answers' times, times the factor, plus the minimum. Each
- * answer moves the average by the share.
- */
-export const USUAL_ANSWER_MIN_MS = 5;
-export const USUAL_ANSWER_FACTOR = 2;
-export const USUAL_ANSWER_SHARE = 0.05;
-export const USUAL_ANSWER_START_MS = 20;
