--- a/src/cookie-edge/backend-health/backend-prober.ts
+++ b/src/cookie-edge/backend-health/backend-prober.ts
@@ -1,12 +1,13 @@
 /**
- * Finds out by connections whether anything listens at a back end's address. Two that overlap are as good as two in a row, and take a
- * third of the time less: a single one may be lost on its way.
+ * Sends probes: connections that tell whether anything listens at a back end's address. `dead-verdict.ts` decides what they mean.
+ * Relies on the pause detector to tell whether this process may have slept through an answer.
  */
 import type { Clock } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
 import type { Endpoint } from '../../common/types.js';
-import { PROBE_LATE_MS, PROBE_SPACING_MS, PROBE_TIMEOUT_MS } from './constants.js';
+import { PROBE_SPACING_MS, PROBE_TIMEOUT_MS } from './constants.js';
+import { findingOf, findingOfPair } from './dead-verdict.js';
 
 /** What a connection to a back end's address met. */
 export type ProbeOutcome = 'answered' | 'refused' | 'silent';
@@ -24,7 +25,7 @@
   readonly probe: ConnectProbe;
 }
 
-/** See the module. */
+/** Probes back ends and counts the probes. */
 export class BackendProber {
   private probeCount = 0;
 
@@ -36,19 +37,17 @@
   }
 
   /**
-   * Sends two probes that overlap; `silent` when neither is answered.
+   * Sends a second probe `PROBE_SPACING_MS` after the first, unless that was answered or refused by then. Never rejects.
    *
-   * @param onUnanswered called when the first one is unanswered as the second is sent
+   * @param onUnanswered called just before the second probe is sent
    */
   async probeTwice(endpoint: Endpoint, onUnanswered: () => void): Promise<ProbeFinding> {
     const first = this.probeOnce(endpoint);
     const early = await Promise.race([first, pause(this.options.clock, PROBE_SPACING_MS)]);
     if (early === 'answered' || early === 'refused') return early;
     onUnanswered();
-    const findings = [await this.probeOnce(endpoint), await first];
-    if (findings.includes('answered')) return 'answered';
-    if (findings.includes('refused')) return 'refused';
-    return findings.includes('inconclusive') ? 'inconclusive' : 'silent';
+    const second = await this.probeOnce(endpoint);
+    return findingOfPair(await first, second);
   }
 
   private async probeOnce(endpoint: Endpoint): Promise<ProbeFinding> {
@@ -57,7 +56,6 @@
     this.probeCount += 1;
     const outcome = await probe(endpoint, PROBE_TIMEOUT_MS);
     const nowMs = clock.now();
-    const isLate = nowMs - startedMs > PROBE_TIMEOUT_MS + PROBE_LATE_MS;
-    return outcome !== 'answered' && (isLate || pauses.mayBeOld(nowMs)) ? 'inconclusive' : outcome;
+    return findingOf(outcome, nowMs - startedMs, pauses.mayBeOld(nowMs));
   }
 }
--- a/src/cookie-edge/backend-health/backend-state.ts
+++ b/src/cookie-edge/backend-health/backend-state.ts
@@ -1,144 +1,109 @@
-/** What this balancer has seen of each back end: its own open flows there, and signs of life in callers' packets. */
+/**
+ * What this daemon knows of one back end: its own flows there and the last sign of life, and from these whether new flows should go
+ * there. A caller that continues an opening, or acknowledges new data, proves that its back end lives. The rules stand in
+ * `passive-ejection.ts`, `ejection-report.ts`, `dead-verdict.ts` and `slow-handshake.ts`; this class only orders them.
+ */
 import { hashString } from '../../common/hash.js';
-import { DecayingRate } from '../../common/decaying-rate.js';
 import type { KnownBackend } from '../routing/index.js';
-import {
-  CLOSED_FLOW_COUNTS_MS,
-  EJECT_AFTER_FAILURES,
-  EJECT_MAX_MS,
-  EJECT_MIN_MS,
-  SHARED_SUSPECT_MS,
-  SUSPECT_MS,
-} from './constants.js';
+import { DeadVerdict } from './dead-verdict.js';
+import { EjectionReport } from './ejection-report.js';
+import { OwnFlows } from './own-flows.js';
+import { PassiveEjection } from './passive-ejection.js';
+import { hasSlowHandshake } from './slow-handshake.js';
 
 /** Whether a back end should get new flows, as far as packets tell. */
 export type Liveness = 'alive' | 'suspect' | 'trial' | 'ejected';
 
-/**
- * Passive health of one back end. A caller that goes on with an opening, or acknowledges new data, proves that its back
- * end lives. Openings without an answer and repeated data speak against it, but only while other back ends prove to be
- * reachable: otherwise it is this balancer or its links that fail.
- */
+/** Passive health and load of one back end. Times are monotonic ms. */
 export class BackendState {
-  /** Flows of this balancer that are open there, openings in progress included. */
-  openFlows = 0;
-  /** Flows that were closed there a short while ago. */
-  private readonly closedFlows = new DecayingRate(CLOSED_FLOW_COUNTS_MS);
-  /** Openings among them that were not answered yet, and monotonic ms at which the first of them was placed. */
+  /** Pending openings, and when the first of them was placed. */
   pendingOpenings = 0;
   pendingSinceMs = 0;
-  /** Monotonic ms of the last sign of life; -Infinity before the first. */
+  /** -Infinity before the first sign of life. */
   lastSignOfLifeMs = Number.NEGATIVE_INFINITY;
-  /** Failures since the last sign of life, and the time of the first and the last of them. */
-  private failures = 0;
-  private firstFailureMs = 0;
-  private lastFailureMs = 0;
-  /** The last failure that led to a judgement; only a later one leads to another. */
-  private judgedFailureMs = Number.NEGATIVE_INFINITY;
-  private ejectedUntilMs = 0;
-  private ejectForMs = EJECT_MIN_MS;
-  private trialMs = Number.NEGATIVE_INFINITY;
-  private deadUntilMs = Number.NEGATIVE_INFINITY;
-  /** Monotonic ms at which another balancer last ejected it. */
-  private suspectedElsewhereMs = Number.NEGATIVE_INFINITY;
-
   /** Hash of the back end's id, for the order among equal loads. */
   readonly idHash: number;
+  private readonly flows = new OwnFlows();
+  private readonly ejection = new PassiveEjection();
+  private readonly report = new EjectionReport();
+  private readonly verdict = new DeadVerdict();
 
   constructor(readonly backend: KnownBackend) {
     this.idHash = hashString(backend.id);
   }
 
-  /** Notes that a caller closed a flow there. */
+  /** Flows of this daemon that are open there, openings in progress included. */
+  get openFlows(): number {
+    return this.flows.open;
+  }
+
+  set openFlows(count: number) {
+    this.flows.open = count;
+  }
+
+  /** Counts a flow that its caller closed. */
   noteClosed(nowMs: number): void {
-    this.openFlows -= 1;
-    this.closedFlows.count(nowMs);
+    this.flows.noteClosed(nowMs);
   }
 
-  /** Flows that are or were just open there; whole, so that balancers with like knowledge see equal loads as equal. */
+  /** Flows that are or were recently open there, as a whole number. */
   flowsAt(nowMs: number): number {
-    return this.openFlows + Math.round(this.closedFlows.recentAt(nowMs));
+    return this.flows.countAt(nowMs);
   }
 
-  /** Failures since the last sign of life. */
-  get failuresInRow(): number {
-    return this.failures;
+  /** Unanswered openings and retransmitted data since the last sign of life. */
+  get failuresSinceSignOfLife(): number {
+    return this.ejection.failures;
   }
 
-  /** Counts a sign of life; true when that ends an ejection or a suspicion. */
+  /** Records a sign of life; returns true when that ends failures, and so perhaps an ejection. */
   noteSignOfLife(nowMs: number): boolean {
     this.lastSignOfLifeMs = nowMs;
-    this.deadUntilMs = Number.NEGATIVE_INFINITY;
-    if (this.failures === 0) return false;
-    this.failures = 0;
-    this.ejectedUntilMs = 0;
-    this.ejectForMs = EJECT_MIN_MS;
-    return true;
+    this.verdict.end();
+    return this.ejection.noteSignOfLife();
   }
 
-  /** Counts a failure that began at `sinceMs`, unless a sign of life came after that. */
+  /** Records a failure that began at `sinceMs`, unless a sign of life came after that. */
   noteFailure(nowMs: number, sinceMs: number): void {
-    if (this.lastSignOfLifeMs >= sinceMs) return;
-    if (this.failures === 0) this.firstFailureMs = sinceMs;
-    this.failures += 1;
-    this.lastFailureMs = nowMs;
+    if (this.lastSignOfLifeMs < sinceMs) this.ejection.noteFailure(nowMs, sinceMs);
   }
 
-  /**
-   * Ejects the back end when enough speaks against it; true when it was not ejected before.
-   *
-   * @param othersAliveMs monotonic ms of the last sign of life of any other back end
-   */
+  /** Ejects the back end when enough speaks against it; see `PassiveEjection.judge`. Returns true when it was not ejected before. */
   tryEject(nowMs: number, othersAliveMs: number): boolean {
-    if (this.failures < EJECT_AFTER_FAILURES || othersAliveMs <= this.firstFailureMs) return false;
-    if (this.lastFailureMs <= this.judgedFailureMs) return false;
-    this.judgedFailureMs = this.lastFailureMs;
-    if (nowMs < this.ejectedUntilMs) return false;
-    this.ejectedUntilMs = nowMs + this.ejectForMs;
-    this.ejectForMs = Math.min(EJECT_MAX_MS, this.ejectForMs * 2);
-    this.trialMs = Number.NEGATIVE_INFINITY;
-    return true;
+    return this.ejection.judge(nowMs, othersAliveMs) === 'eject';
   }
 
-  /** Notes that it is proved dead, and for how long that holds unless it gives a sign of life. */
+  /** Records a dead verdict and its end. */
   noteDead(untilMs: number): void {
-    this.deadUntilMs = untilMs;
+    this.verdict.hold(untilMs);
   }
 
-  /** True while it is proved dead. */
+  /** True while a dead verdict is in force. */
   isDead(nowMs: number): boolean {
-    return nowMs < this.deadUntilMs;
+    return this.verdict.isInForce(nowMs);
   }
 
-  /** Notes that another balancer ejected it at `atMs`; false when that is known or a sign of life came since. */
-  noteSuspicion(atMs: number): boolean {
-    if (this.lastSignOfLifeMs >= atMs || atMs - this.suspectedElsewhereMs < SUSPECT_MS) return false;
-    this.suspectedElsewhereMs = atMs;
-    return true;
+  /** Records an ejection by another daemon at `atMs`; returns false for a report that must not be gossiped further. */
+  noteEjectionReport(atMs: number): boolean {
+    return this.report.note(atMs, this.lastSignOfLifeMs) === 'new';
   }
 
+  /** A dead verdict comes first because it is proved; a report counts only where this daemon has seen no failure itself. */
   liveness(nowMs: number): Liveness {
     if (this.isDead(nowMs)) return 'ejected';
-    if (this.failures === 0) return this.isSuspectedElsewhere(nowMs) ? 'suspect' : 'alive';
-    if (nowMs < this.ejectedUntilMs) return 'ejected';
-    if (this.ejectedUntilMs > 0) return nowMs - this.trialMs < EJECT_MIN_MS ? 'ejected' : 'trial';
-    return nowMs - this.lastFailureMs < SUSPECT_MS ? 'suspect' : 'alive';
-  }
-
-  private isSuspectedElsewhere(nowMs: number): boolean {
-    return (
-      this.lastSignOfLifeMs < this.suspectedElsewhereMs &&
-      nowMs - this.suspectedElsewhereMs < SHARED_SUSPECT_MS
-    );
+    const phase = this.ejection.phaseAt(nowMs);
+    if (phase === 'forgiven') return 'alive';
+    if (phase !== 'no-failure') return phase;
+    return this.report.makesSuspect(nowMs, this.lastSignOfLifeMs) ? 'suspect' : 'alive';
   }
 
-  /** True while an opening waits longer than openings do usually. */
-  isSlowToAnswer(nowMs: number, usualMs: number): boolean {
-    return this.pendingOpenings > 0 && nowMs - this.pendingSinceMs > usualMs;
+  /** True while a handshake there takes longer than `slowAfterMs`. */
+  hasSlowHandshake(nowMs: number, slowAfterMs: number): boolean {
+    return hasSlowHandshake(this.pendingOpenings, this.pendingSinceMs, nowMs, slowAfterMs);
   }
 
-  /** Notes that an opening is tried at a back end that was ejected. */
+  /** Records that a trial opening is placed there. */
   noteTrial(nowMs: number): void {
-    this.trialMs = nowMs;
+    this.ejection.noteTrial(nowMs);
   }
 }
--- a/src/cookie-edge/backend-health/backend-states.ts
+++ b/src/cookie-edge/backend-health/backend-states.ts
@@ -1,4 +1,7 @@
-/** What this balancer has seen of all back ends, so that one is judged by how the others answer. */
+/**
+ * Carries out and logs passive ejections. Owns the `BackendState` of each back end that was met, and the last signs of life of any two,
+ * because a back end is judged by whether others answer. Relies on forwarding to report signs of life and failures.
+ */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { EventLog } from '../../observability/event.js';
 import type { KnownBackend } from '../routing/index.js';
@@ -13,7 +16,7 @@
 
 const NO_SIGN_OF_LIFE: SignOfLife = { state: undefined, atMs: Number.NEGATIVE_INFINITY };
 
-/** See the module. Times are monotonic ms. */
+/** The states of all back ends of one daemon. Times are monotonic ms. */
 export class BackendStates {
   private readonly states = new Map<KnownBackend, BackendState>();
   /** Back ends without a sign of life since a failure. */
@@ -64,7 +67,7 @@
     this.states.delete(backend);
   }
 
-  /** Notes a sign of life. */
+  /** Records a sign of life; logs when that ends failures. */
   noteSignOfLife(state: BackendState, nowMs: number): void {
     if (this.newest.state !== state) this.newestOfOthersMs = this.newest.atMs;
     this.newest = { state, atMs: nowMs };
@@ -73,7 +76,7 @@
     this.events.emit(COOKIE_FLOW_EVENTS.backendRevived, { backend: state.backend.id });
   }
 
-  /** Notes a failure that began at `sinceMs`. */
+  /** Records a failure that began at `sinceMs`, and judges the back end. Does nothing while `passive-health` is switched off. */
   noteFailure(state: BackendState, sinceMs: number, nowMs: number): void {
     if (!this.isOn('passive-health')) return;
     state.noteFailure(nowMs, sinceMs);
@@ -82,12 +85,12 @@
     this.onFailure(state);
   }
 
-  /** Judges all that failed anew: others may have given signs of life since. */
+  /** Judges again all back ends with failures, because others may have given signs of life since. */
   judgeFailing(nowMs: number): void {
     for (const state of this.failing) this.judge(state, nowMs);
   }
 
-  /** Ejects a back end that gives no sign of life while others do. */
+  /** Ejects, gossips and logs, in this order, where `PassiveEjection.judge` says so. */
   private judge(state: BackendState, nowMs: number): void {
     if (!state.tryEject(nowMs, this.othersAliveMs(state))) return;
     this.ejectionCount += 1;
@@ -95,7 +98,7 @@
     this.events.emit(COOKIE_FLOW_EVENTS.backendEjected, {
       backend: state.backend.id,
       service: state.backend.record.service,
-      failures: state.failuresInRow,
+      failures: state.failuresSinceSignOfLife,
       lastSignOfLifeMs: Number.isFinite(state.lastSignOfLifeMs)
         ? Math.round(nowMs - state.lastSignOfLifeMs)
         : undefined,
--- a/src/cookie-edge/backend-health/pending-openings.ts
+++ b/src/cookie-edge/backend-health/pending-openings.ts
@@ -1,31 +1,27 @@
 /**
- * Openings that their callers have not gone on with yet. A back end that refuses openings, which this balancer does not see,
- * must not attract the next try of the same caller; so it is avoided while an opening there waits longer than usual.
+ * Openings whose callers have not continued them yet: finds those that are unanswered, and measures how long handshakes take. Owns the
+ * pending counts of `BackendState`. Relies on the forwarder to report each placement and answer and to look once a tick.
  */
-import {
-  SLOW_HANDSHAKE_FACTOR,
-  SLOW_HANDSHAKE_MARGIN_MS,
-  HANDSHAKE_AVERAGE_WEIGHT,
-  HANDSHAKE_AVERAGE_START_MS,
-} from './constants.js';
 import type { Flow } from '../forwarding/flow-cache.js';
+import { OPENING_ANSWER_MS } from './constants.js';
+import { HandshakeTimes } from './slow-handshake.js';
 
-/** Openings in the order in which they were placed. */
+/** Openings in the order in which they were placed. Times are monotonic ms. */
 export class PendingOpenings {
   private queue: Flow[] = [];
-  private averageMs = HANDSHAKE_AVERAGE_START_MS;
+  private readonly times = new HandshakeTimes();
 
-  /** An opening that waits longer than this waits unusually long, in ms. */
-  get usualMs(): number {
-    return SLOW_HANDSHAKE_MARGIN_MS + this.averageMs * SLOW_HANDSHAKE_FACTOR;
+  /** A handshake that waits longer than this, in ms, is slow. */
+  get slowAfterMs(): number {
+    return this.times.slowAfterMs;
   }
 
-  /** Notes how long an answered opening took. */
+  /** Records how long an answered opening took, in ms. */
   noteAnswer(tookMs: number): void {
-    this.averageMs += (tookMs - this.averageMs) * HANDSHAKE_AVERAGE_WEIGHT;
+    this.times.note(tookMs);
   }
 
-  /** Notes that a flow's SYN was just sent to its back end. */
+  /** Records that a flow's SYN was just sent to its back end. */
   add(flow: Flow): void {
     flow.awaitsAnswer = true;
     if (flow.state.pendingOpenings === 0) flow.state.pendingSinceMs = flow.openedAtMs;
@@ -33,22 +29,23 @@
     this.queue.push(flow);
   }
 
-  /** Notes that nothing more is expected of an opening, because it was answered or counts as failed. */
+  /** Records that an opening was answered, or counts as failed. */
   settle(flow: Flow): void {
     if (!flow.awaitsAnswer) return;
     flow.awaitsAnswer = false;
     flow.state.pendingOpenings -= 1;
   }
 
-  /** Removes the openings placed before `beforeMs` and returns those without an answer. */
-  takeOlder(beforeMs: number): Flow[] {
+  /** Removes the openings that were placed `OPENING_ANSWER_MS` ago or earlier, and returns those without an answer. */
+  takeUnanswered(nowMs: number): Flow[] {
+    const beforeMs = nowMs - OPENING_ANSWER_MS;
     const end = this.queue.findIndex(({ openedAtMs }) => openedAtMs > beforeMs);
     const older = end < 0 ? this.queue : this.queue.slice(0, end);
     this.queue = end < 0 ? [] : this.queue.slice(end);
     return older.filter(({ awaitsAnswer }) => awaitsAnswer);
   }
 
-  /** Expects nothing of any opening any more. */
+  /** Settles all openings: after a pause of this process it is not known which were answered. */
   clear(): void {
     this.queue.forEach((flow) => this.settle(flow));
     this.queue = [];
--- /dev/null
+++ b/src/cookie-edge/backend-health/slow-handshake.ts
@@ -0,0 +1,36 @@
+/**
+ * Decides when a handshake waits too long. A back end that refuses openings answers its callers directly, which this daemon does not
+ * see, and the caller's next attempt follows within milliseconds. Avoiding back ends with a slow handshake keeps that attempt from
+ * meeting the same back end, long before the opening counts as unanswered. Does no input or output. Times are ms.
+ */
+import {
+  HANDSHAKE_AVERAGE_START_MS,
+  HANDSHAKE_AVERAGE_WEIGHT,
+  SLOW_HANDSHAKE_FACTOR,
+  SLOW_HANDSHAKE_MARGIN_MS,
+} from './constants.js';
+
+/** Moving average of the handshake times at all back ends together. */
+export class HandshakeTimes {
+  private averageMs = HANDSHAKE_AVERAGE_START_MS;
+
+  /** A handshake that waits longer than this is slow. */
+  get slowAfterMs(): number {
+    return SLOW_HANDSHAKE_MARGIN_MS + this.averageMs * SLOW_HANDSHAKE_FACTOR;
+  }
+
+  /** Records how long an answered opening took. */
+  note(tookMs: number): void {
+    this.averageMs += (tookMs - this.averageMs) * HANDSHAKE_AVERAGE_WEIGHT;
+  }
+}
+
+/** True while a back end has a pending opening, the first of which was placed more than `slowAfterMs` ago. */
+export function hasSlowHandshake(
+  pendingOpenings: number,
+  pendingSinceMs: number,
+  nowMs: number,
+  slowAfterMs: number,
+): boolean {
+  return pendingOpenings > 0 && nowMs - pendingSinceMs > slowAfterMs;
+}
--- a/src/cookie-edge/daemon/connect-probe.ts
+++ b/src/cookie-edge/daemon/connect-probe.ts
@@ -1,7 +1,7 @@
 /** Tries whether anything listens at a back end's address. */
 import { connect } from 'node:net';
 import type { Endpoint } from '../../common/types.js';
-import type { ProbeOutcome } from '../backend-health/backend-prober.js';
+import type { ProbeOutcome } from '../backend-health/index.js';
 
 /** Errors by which the other side says that nothing listens there. */
 const REFUSALS: ReadonlySet<string | undefined> = new Set(['ECONNREFUSED', 'ECONNRESET']);
--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -19,21 +19,17 @@
 } from '../outliers/index.js';
 import type { KnownBackend, RoutingKnowledge } from '../routing/index.js';
 import { BackendEligibility } from '../placement/backend-eligibility.js';
-import type { ConnectProbe } from '../backend-health/backend-prober.js';
-import { BackendStates } from '../backend-health/backend-states.js';
-import { OPENING_ANSWER_MS } from '../backend-health/constants.js';
+import { BackendStates, DeadBackends, PendingOpenings, type ConnectProbe } from '../backend-health/index.js';
 import { ColdAdmission, type ColdAdmissionOptions } from '../placement/cold-admission.js';
 import { CLOSING_MS, EXPIRY_INTERVAL_MS, TICK_MS } from './constants.js';
 import { CookieRegistry } from './cookie-registry.js';
 import { CookieStatistics } from './cookie-statistics.js';
-import { DeadBackends } from '../backend-health/dead-backends.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 import { FlowCache } from './flow-cache.js';
 import { noteFailure, type ForwardingParts } from './forwarding-parts.js';
 import { MidFlowHandler } from './mid-flow-handler.js';
 import { OpeningHandler } from './opening-handler.js';
 import { OpeningPlacement } from '../placement/opening-placement.js';
-import { PendingOpenings } from '../backend-health/pending-openings.js';
 import { TrafficSplitter } from '../placement/traffic-splitter.js';
 
 /** What a cookie forwarder needs. */
@@ -92,7 +88,7 @@
       events,
       (state, nowMs) => tell(state.backend.id, nowMs),
       isOn,
-      (state) => this.dead.suspect(state),
+      (state) => this.dead.probeIfInDoubt(state),
     );
     this.outliers = this.detectorOf(options);
     const { slowFactor } = options.outliers ?? DEFAULT_OUTLIER_OPTIONS;
@@ -128,7 +124,7 @@
       clock: options.clock,
       pauses,
       probe: options.probe,
-      onSuspect: tell,
+      onDoubt: tell,
     });
     for (const backend of knowledge.backends.all()) this.noteRecorded(backend);
     knowledge.backends.onAdd((backend) => this.noteRecorded(backend));
@@ -161,8 +157,8 @@
     const backend = this.options.knowledge.backends.get(backendId);
     if (!backend) return false;
     const state = this.parts.states.of(backend);
-    const isNews = state.noteSuspicion(atMs);
-    if (isNews) this.dead.suspect(state);
+    const isNews = state.noteEjectionReport(atMs);
+    if (isNews) this.dead.probeIfInDoubt(state);
     return isNews;
   }
 
@@ -216,7 +212,7 @@
   }
 
   private checkOpenings(nowMs: number): void {
-    for (const flow of this.parts.pending.takeOlder(nowMs - OPENING_ANSWER_MS)) {
+    for (const flow of this.parts.pending.takeUnanswered(nowMs)) {
       this.parts.pending.settle(flow);
       noteFailure(this.parts, flow, flow.openedAtMs, nowMs);
     }
--- a/src/cookie-edge/forwarding/cookie-parts.test.ts
+++ b/src/cookie-edge/forwarding/cookie-parts.test.ts
@@ -212,5 +212,5 @@
   t.true(state.noteSignOfLife(3_700));
   t.is(state.liveness(3_701), 'alive');
   state.noteFailure(3_800, 3_600);
-  t.is(state.failuresInRow, 0, 'a failure that began before the last sign of life');
+  t.is(state.failuresSinceSignOfLife, 0, 'a failure that began before the last sign of life');
 });
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -5,7 +5,7 @@
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { OutstandingRequest } from '../outliers/index.js';
 import { addressKey } from '../routing/index.js';
-import type { BackendState } from '../backend-health/backend-state.js';
+import type { BackendState } from '../backend-health/index.js';
 
 /** opening: nothing but SYNs yet. open: the caller went on. closing: the caller closed or reset it. */
 type FlowPhase = 'opening' | 'open' | 'closing';
@@ -23,7 +23,7 @@
   dataAtMs: number;
   acknowledgement: number;
   /** True when the present phase has counted against the back end already. */
-  failureNoted: boolean;
+  isFailureCounted: boolean;
   /** True from the SYN until the caller goes on or the opening counts as failed; kept by `PendingOpenings`. */
   awaitsAnswer: boolean;
   /** The request that its caller has sent, until answer data is acknowledged. */
@@ -62,7 +62,7 @@
       dataSequence: -1,
       dataAtMs: 0,
       acknowledgement: packet.acknowledgement,
-      failureNoted: false,
+      isFailureCounted: false,
       awaitsAnswer: false,
       request: undefined,
     };
--- a/src/cookie-edge/forwarding/forwarding-parts.ts
+++ b/src/cookie-edge/forwarding/forwarding-parts.ts
@@ -4,11 +4,10 @@
 import type { EventLog } from '../../observability/event.js';
 import type { AnswerTracker } from '../outliers/index.js';
 import { splitAddressKey, type KnownBackend, type RoutingKnowledge } from '../routing/index.js';
-import type { BackendStates } from '../backend-health/backend-states.js';
+import type { BackendStates, PendingOpenings } from '../backend-health/index.js';
 import type { CookieRegistry } from './cookie-registry.js';
 import type { CookieStatistics } from './cookie-statistics.js';
 import type { Flow, FlowCache } from './flow-cache.js';
-import type { PendingOpenings } from '../backend-health/pending-openings.js';
 
 /** One of each for a balancer. */
 export interface ForwardingParts {
@@ -43,7 +42,7 @@
 
 /** Counts once against the flow's back end in each phase of the flow; the failure began at `sinceMs`. */
 export function noteFailure({ states }: ForwardingParts, flow: Flow, sinceMs: number, nowMs: number): void {
-  if (flow.failureNoted) return;
-  flow.failureNoted = true;
+  if (flow.isFailureCounted) return;
+  flow.isFailureCounted = true;
   states.noteFailure(flow.state, sinceMs, nowMs);
 }
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -5,7 +5,7 @@
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { KnownBackend } from '../routing/index.js';
 import { REPETITION_MIN_MS } from './constants.js';
-import type { BackendState } from '../backend-health/backend-state.js';
+import type { BackendState } from '../backend-health/index.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 import type { Flow } from './flow-cache.js';
 import { formatFlowId } from './flow-id.js';
@@ -52,7 +52,7 @@
     if (flow.dataSequence < 0 || isAfter(packet.sequence, flow.dataSequence)) {
       flow.dataSequence = packet.sequence;
       flow.dataAtMs = nowMs;
-      flow.failureNoted = false;
+      flow.isFailureCounted = false;
       this.beginRequest(flow, nowMs);
     } else if (packet.sequence === flow.dataSequence && nowMs - flow.dataAtMs >= REPETITION_MIN_MS) {
       noteFailure(this.parts, flow, flow.dataAtMs, nowMs);
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -75,13 +75,13 @@
       flow: formatFlowId(packet),
       before: flow.state.backend.id,
       backend: placement.state.backend.id,
-      failures: flow.state.failuresInRow,
+      failures: flow.state.failuresSinceSignOfLife,
     });
     this.parts.statistics.placedAnew += 1;
     this.parts.pending.settle(flow);
     this.parts.cache.move(flow, placement.state);
     flow.openedAtMs = nowMs;
-    flow.failureNoted = false;
+    flow.isFailureCounted = false;
     this.parts.pending.add(flow);
   }
 
@@ -112,7 +112,7 @@
         backends: knowledge.backends.ofService(service),
         flowHash,
         nowMs,
-        usualAnswerMs: this.parts.pending.usualMs,
+        usualAnswerMs: this.parts.pending.slowAfterMs,
         stateOf: (backend) => this.parts.states.of(backend),
         exclusionOf: (backend) => this.options.eligibility.exclusionOf(backend, route, nowMs),
         isOutlier: ({ backend, idHash }) =>
--- a/src/cookie-edge/placement/opening-placement.ts
+++ b/src/cookie-edge/placement/opening-placement.ts
@@ -185,7 +185,7 @@
     const liveness = state.liveness(nowMs);
     if (liveness === 'trial' && !this.isOn('trial-openings')) return 'alive';
     if (liveness !== 'alive' || !this.isOn('slow-answer-avoidance')) return liveness;
-    return state.isSlowToAnswer(nowMs, usualAnswerMs) ? 'suspect' : liveness;
+    return state.hasSlowHandshake(nowMs, usualAnswerMs) ? 'suspect' : liveness;
   }
 
   /** A record that may only have lapsed counts for a while, if packets show that its back end lives. */
