--- a/src/cookie-edge/backend-health/backend-state.ts
+++ b/src/cookie-edge/backend-health/backend-state.ts
@@ -16,7 +16,7 @@
 
 /** Passive health and load of one back end. Times are monotonic ms. */
 export class BackendState {
-  /** Pending openings, and when the first of them was placed. */
+  /** Pending openings, and when the one was placed that began the present unbroken series of them. */
   pendingOpenings = 0;
   pendingSinceMs = 0;
   /** -Infinity before the first sign of life. */
--- a/src/cookie-edge/backend-health/slow-handshake.ts
+++ b/src/cookie-edge/backend-health/slow-handshake.ts
@@ -25,7 +25,7 @@
   }
 }
 
-/** True while a back end has a pending opening, the first of which was placed more than `slowAfterMs` ago. */
+/** True while openings have been pending at a back end without a break for more than `slowAfterMs`. */
 export function hasSlowHandshake(
   pendingOpenings: number,
   pendingSinceMs: number,
--- a/src/cookie-edge/routing/backend-registry.ts
+++ b/src/cookie-edge/routing/backend-registry.ts
@@ -1,12 +1,13 @@
 /**
- * All back ends that this balancer has heard of. Records and removals may come from several sides and in any order:
- * the one with the higher revision wins, a removal before a record of the same revision. A back end that left is
- * remembered until no flow to it can be open.
+ * All back ends that this daemon has heard of. Records and removals may come from the source and from peers, in any order: the
+ * one with the higher revision wins, and a removal wins over a record of the same revision. A back end that left is remembered until no
+ * flow to it can be open. Owns the `KnownBackend` objects, one an id; relies on `RoutingKnowledge` to detect gaps.
  */
 import type { Clock } from '../../common/clock.js';
 import type { EventLog } from '../../observability/event.js';
 import { formatEndpoint } from '../../common/types.js';
 import { ROUTING_EVENTS } from './events.js';
+import { hasLapsed } from './lapsed-records.js';
 import type { BackendRemoval, DepartedBackend, RoutedBackend } from './types.js';
 
 /** A back end as this balancer sees it. One object for each id, changed in place. */
@@ -33,7 +34,7 @@
   readonly retentionMs: number;
 }
 
-/** See the module. */
+/** The registry of back ends. Times are monotonic ms. */
 export class BackendRegistry {
   private readonly byId = new Map<string, KnownBackend>();
   private readonly byService = new Map<string, Set<KnownBackend>>();
@@ -80,7 +81,7 @@
     this.forgetListeners.push(listener);
   }
 
-  /** Takes the first list in, with one log line for all. */
+  /** Stores the first complete list, with one log line for all. */
   fill(records: readonly RoutedBackend[], revision: number): void {
     const added = records.filter(({ id }) => !this.byId.has(id));
     for (const record of added) this.add(record);
@@ -89,7 +90,7 @@
   }
 
   /**
-   * Takes a record in; false when it is not newer than what is known.
+   * Stores a record; returns false when it is not newer than what is known.
    *
    * @param knownRevision everything up to this revision is known: a record of then or before that is not known is gone
    */
@@ -107,8 +108,8 @@
   }
 
   /**
-   * Takes in a back end that left, unless it is known or left so long ago that no flow to it can be open. It is remembered
-   * from when it left, not from now: otherwise newcomers would pass it on to each other for ever.
+   * Stores a back end that left, unless it is known or left so long ago that no flow to it can be open. Its retention counts from when
+   * it left, not from now: otherwise new daemons would gossip it to each other for ever.
    */
   putDeparted({ record, departedAtMs }: DepartedBackend): void {
     if (this.byId.has(record.id)) return;
@@ -118,7 +119,7 @@
     if (known) known.departedAtMs = departedAtMs;
   }
 
-  /** Takes a removal in; false when it is not newer than what is known. `mayHaveLapsed`: see `KnownBackend.lapsed`. */
+  /** Applies a removal; returns false when it is not newer than what is known. `mayHaveLapsed`: see `KnownBackend.lapsed`. */
   remove(removal: BackendRemoval, mayHaveLapsed: boolean): boolean {
     const known = this.byId.get(removal.id);
     if (!known || removal.revision < known.record.revision) return false;
@@ -126,7 +127,7 @@
     if (known.departed) return false;
     known.departed = true;
     known.departedAtMs = this.options.clock.now();
-    known.lapsed = mayHaveLapsed && !known.record.draining;
+    known.lapsed = hasLapsed(mayHaveLapsed, known.record.draining);
     this.departed.add(known);
     this.options.events.emit(ROUTING_EVENTS.backendGone, {
       backend: known.id,
--- a/src/cookie-edge/routing/constants.ts
+++ b/src/cookie-edge/routing/constants.ts
@@ -1,32 +1,40 @@
-/** Times of following a routing source. */
+/** Timeouts of following a routing source. Durations are in ms. */
 
-/** The first watch of a new reader is answered at once: its confirmation tells others that somebody reads. */
+/** Wait of a new reader's first watch, so that its confirmation tells others at once that somebody reads. Not measured; chosen because 1 ms is practically none. */
 export const FIRST_WATCH_WAIT_MS = 1;
 
-/** After an answer with changes the next watch is asked for this much later, so that changes in a row come together. */
+/**
+ * Delay of the next watch after a response with changes, so that changes in a row come together. Not measured, and no reason is
+ * recorded for the size.
+ */
 export const CHANGE_GATHER_MS = 120;
 
 /**
- * A reader that has just started begins to watch the topic with long watches this much later than the others, in ms: most of those
- * that start together stop before, and the answers about the other topics confirm it meanwhile.
+ * Delay with which a new reader begins to watch the topic with long watches. Most daemons that begin to read together stop before, and
+ * the responses about the other topics confirm it meanwhile. Not measured; no reason is recorded for the size.
  */
 export const LONG_WATCH_START_MS = 1_000;
 
-/** While a long watch is under way, its topic's age is checked this often. */
+/** Interval at which a long watch checks the age of its topic. Not measured, and no reason is recorded. */
 export const CONFIRM_CHECK_MS = 100;
 
-/** First wait after a failed call, and the largest; waits are jittered and doubled. */
+/** First delay after a failed call; doubled with each further one, and jittered. Not measured, and no reason is recorded. */
 export const RETRY_MIN_MS = 100;
+
+/** Longest delay, jitter and the minimum by the number of readers apart. Not measured, and no reason is recorded. */
 export const RETRY_MAX_MS = 1_000;
 
-/** Part of a wait that is drawn at random. */
+/** Doublings after which the delay is not computed anew. Derived: 2^10 times `RETRY_MIN_MS` is far above `RETRY_MAX_MS`. */
+export const RETRY_MAX_DOUBLINGS = 10;
+
+/** Largest part of a delay that jitter adds or takes off. Not measured; chosen because daemons that fail together must not retry together. */
 export const RETRY_JITTER = 0.5;
 
-/** Failed calls for this long mean that the source is out of reach. */
+/** Calls that fail for this long are an outage of the source. Not measured, and no reason is recorded. */
 export const OUTAGE_AFTER_MS = 1_000;
 
 /**
- * Records that vanish up to this long after an outage may have lapsed because their owners could not write. Those that live
- * are back by then, as the platform promises; one that vanishes later left. In ms.
+ * Records that vanish within this time after an outage may have lapsed. A bound of the platform: back ends that live are recorded again
+ * about 2 s after the source's return.
  */
 export const LAPSE_AFTER_OUTAGE_MS = 2_000;
--- a/src/cookie-edge/routing/freshness.ts
+++ b/src/cookie-edge/routing/freshness.ts
@@ -1,27 +1,45 @@
 /**
- * Times that follow from how soon a change must be in force everywhere. A looser bound lets watches wait longer, so that
- * the source is called less often; the parts of the bound are alike at any size.
+ * Derives the durations of reading the source from the freshness bound: the time within which a change must be in force everywhere. A
+ * looser bound lets watches wait longer, so that the source gets fewer calls. Does no input or output.
  */
 
-/** Bound for which a deployment gives none, and the loosest one that is used: beyond, dead readers would stay unnoticed. */
+/** Bound of a deployment that sets none, in ms. Not measured, and no reason is recorded. */
 export const DEFAULT_FRESHNESS_BOUND_MS = 3_000;
+
+/** Loosest bound that is used, in ms. Not measured; chosen because with looser ones dead readers would stay unnoticed. */
 const LOOSEST_BOUND_MS = 6_000;
 
-/** Parts of the bound. */
+/**
+ * Parts of the bound, without a unit. Not measured against other shares, and no reason is recorded for their sizes. A reader's wait and the age that it may reach add up to the bound: `WATCH_WAIT_SHARE` + `READER_AGE_SHARE` = 1.
+ */
 const WATCH_WAIT_SHARE = 0.45;
+const READER_AGE_SHARE = 0.55;
+
+/** Not measured against other shares; it equals four ordinary waits. Long watches of cordons alone take at most 1.15 times the calls of two topics (simulation). */
 const LONG_WATCH_WAIT_SHARE = 1.8;
+
+/** Half of the bound. Not measured; a long watch is broken off with half of the bound left. */
 const CONFIRM_AFTER_SHARE = 0.5;
+
+/** Not measured, and no reason is recorded. */
 const WATCH_MIN_WAIT_SHARE = 0.1;
-const READER_AGE_SHARE = 0.55;
+
+/** Not measured, and no reason is recorded; above `READER_AGE_SHARE`. */
 const PULL_AFTER_SHARE = 0.6;
+
+/** Not measured; above `PULL_AFTER_SHARE`, so that a daemon pulls before it reads. */
 const READ_AFTER_SHARE = 0.667;
+
+/** Not measured; after both shares 0.166 of the bound are left for the first read. */
 const READ_SPREAD_SHARE = 0.167;
+
+/** Not measured, and no reason is recorded; longer than the bound, as `FreshnessTimings.readerFreshMs` explains. */
 const READER_FRESH_SHARE = 1.333;
 
-/** A reader is missed after this many bounds without a confirmation of it. */
+/** Bounds without a confirmation after which a reader is missed. Not measured, and no reason is recorded. */
 const READER_MISSED_BOUNDS = 2;
 
-/** All in ms. */
+/** Durations in ms. */
 export interface FreshnessTimings {
   /** A watch is answered after this long at the latest, so that a dead connection is noticed soon. */
   readonly watchWaitMs: number;
@@ -36,7 +54,7 @@
   readonly watchMinWaitMs: number;
   /** A watch waits no longer than until the reader's own knowledge is this old. */
   readonly readerAgeMs: number;
-  /** Without a confirmation for this long a daemon asks peers. */
+  /** A daemon without a confirmation for this long sends pull requests to peers. */
   readonly pullAfterMs: number;
   /** Without a confirmation for this long, and a random part of the spread more, it reads the source itself. */
   readonly readAfterMs: number;
--- a/src/cookie-edge/routing/knowledge.ts
+++ b/src/cookie-edge/routing/knowledge.ts
@@ -1,4 +1,7 @@
-/** What this balancer knows of routes, back ends and cordoned zones, how far it is complete, and when that was last confirmed. */
+/**
+ * What this daemon knows of routes, back ends and cordoned zones, up to which revision that is complete, and when it was last confirmed.
+ * Owns the route table, the registry and the cordons. Relies on followers and gossip to bring updates and confirmations.
+ */
 import type { Clock } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
 import type { EventLog } from '../../observability/event.js';
@@ -19,7 +22,7 @@
 export interface AppliedUpdate {
   readonly topic: RoutingTopic;
   readonly update: RoutingUpdate;
-  /** Whoever knows everything up to this revision, or a later one, can take the update in. */
+  /** Whoever knows everything up to this revision, or a later one, can apply the update. */
   readonly since: number;
 }
 
@@ -53,7 +56,7 @@
   confirmedAtMs: Number.NEGATIVE_INFINITY,
 };
 
-/** See the module. Updates may come in any order and more than once; nothing older is ever applied. */
+/** The routing knowledge of one daemon. Updates may come in any order and more than once; nothing older is ever applied. */
 export class RoutingKnowledge {
   readonly backends: BackendRegistry;
   readonly cordons: ZoneCordons;
@@ -121,8 +124,8 @@
   }
 
   /**
-   * Takes an update in. Changes since a later revision than the known one leave a gap: their records are taken, but
-   * the topic does not count as known up to them.
+   * Applies an update. Changes since a later revision than the known one leave a gap: their records are applied, but the topic does not
+   * count as known up to them.
    *
    * @returns false when there is a gap, so that everything should be read
    */
@@ -143,7 +146,7 @@
     return true;
   }
 
-  /** Takes a confirmation of another balancer in; false when it speaks of changes that are not known here. */
+  /** Applies another daemon's freshness confirmation; returns false when it covers changes that are not known here. */
   acceptConfirmation(topic: RoutingTopic, confirmation: TopicConfirmation): boolean {
     const { revision, changedRevision } = this.progress[topic];
     if (confirmation.changedRevision > revision) return false;
@@ -242,7 +245,7 @@
     });
   }
 
-  /** False when records before the update's may be missing; those that it brings are taken all the same. */
+  /** False when records before the update's may be missing; those that it brings are applied all the same. */
   private applyBackends(update: RoutingUpdate, { mayHaveLapsed }: UpdateOrigin, hasGap: boolean): boolean {
     const { revision: known } = this.progress.backends;
     if (update.complete && known === UNKNOWN_REVISION) this.backends.fill(update.backends, update.revision);
@@ -257,7 +260,7 @@
     return true;
   }
 
-  /** False when cordons before the update's may be missing; those that it brings are taken all the same. */
+  /** False when cordons before the update's may be missing; those that it brings are applied all the same. */
   private applyCordons(update: RoutingUpdate, hasGap: boolean): boolean {
     const { revision: known } = this.progress.cordons;
     const { cordons = [], cordonRemovals = [] } = update;
--- a/src/cookie-edge/routing/problem-log.ts
+++ b/src/cookie-edge/routing/problem-log.ts
@@ -3,10 +3,10 @@
 import { ROUTING_EVENTS } from './events.js';
 import type { RecordProblem, RoutingTopic } from './types.js';
 
-/** Problems that are remembered, so that reading the same records again logs nothing. More are logged again. */
+/** Problems remembered, so that reading the same records again logs nothing; beyond, all are forgotten. Not measured; chosen to bound memory. */
 const MAX_REMEMBERED = 1_000;
 
-/** See the module. */
+/** The problems of one daemon's source. */
 export class ProblemLog {
   private readonly logged = new Set<string>();
   private problemCount = 0;
@@ -18,7 +18,7 @@
     return this.problemCount;
   }
 
-  /** Notes what an answer of the source about `topic` brought. */
+  /** Logs the problems of a response about `topic` that were not logged yet. */
   note(topic: RoutingTopic, problems: readonly RecordProblem[] = []): void {
     for (const { name, revision, problem } of problems) {
       const key = `${topic}/${name}@${revision}: ${problem}`;
--- a/src/cookie-edge/routing/source-circuit.ts
+++ b/src/cookie-edge/routing/source-circuit.ts
@@ -1,25 +1,24 @@
-/** Whether the source answers, as all calls of this balancer see it together. */
+/**
+ * Tracks whether the source answers, over all calls of this daemon together, and paces the retries; `source-retry.ts` and
+ * `lapsed-records.ts` decide. Owns the outage state. Relies on each follower to report its responses and failures.
+ */
 import type { Clock } from '../../common/clock.js';
 import { jitter, type RandomSource } from '../../common/random.js';
 import type { EventLog } from '../../observability/event.js';
-import {
-  LAPSE_AFTER_OUTAGE_MS,
-  OUTAGE_AFTER_MS,
-  RETRY_JITTER,
-  RETRY_MAX_MS,
-  RETRY_MIN_MS,
-} from './constants.js';
+import { RETRY_JITTER } from './constants.js';
 import type { RoutingSourceError } from './errors.js';
 import { ROUTING_EVENTS } from './events.js';
+import { recordsMayLapse } from './lapsed-records.js';
+import { isOutage, retryDelayMs } from './source-retry.js';
 import type { RoutingTopic } from './types.js';
 
-/** See the module. */
+/** The outage state of the source. Times are monotonic ms. */
 export class SourceCircuit {
   private lastAnswerMs: number;
-  private failuresInRow = 0;
+  private failedCalls = 0;
   private lost = false;
   private regainedAtMs = Number.NEGATIVE_INFINITY;
-  private leastRetryMs: () => number = () => 0;
+  private minimumRetryDelayMs: () => number = () => 0;
 
   constructor(
     private readonly clock: Clock,
@@ -29,9 +28,9 @@
     this.lastAnswerMs = clock.now();
   }
 
-  /** From now on the wait after a failed call is not shorter than `minimumRetryDelayMs` says at that moment, jitter apart. */
-  retryNoSoonerThan(leastRetryMs: () => number): void {
-    this.leastRetryMs = leastRetryMs;
+  /** Sets the source of the shortest delay after a failed call, in ms without jitter; it is asked at each failure. */
+  retryNoSoonerThan(minimumRetryDelayMs: () => number): void {
+    this.minimumRetryDelayMs = minimumRetryDelayMs;
   }
 
   /** True while calls have failed for longer than `OUTAGE_AFTER_MS`. */
@@ -41,21 +40,22 @@
 
   /** True during an outage and for a while after it: records may vanish because their owners cannot write. */
   recordsMayLapse(): boolean {
-    return this.lost || this.clock.now() - this.regainedAtMs < LAPSE_AFTER_OUTAGE_MS;
+    return recordsMayLapse(this.lost, this.clock.now() - this.regainedAtMs);
   }
 
-  /** To be called when this balancer begins to call the source: silence counts from now. */
+  /** Call when this daemon begins to read the source: silence counts from now. */
   begin(): void {
     this.lastAnswerMs = this.clock.now();
-    this.failuresInRow = 0;
+    this.failedCalls = 0;
   }
 
-  /** To be called when it leaves the source to others: whether an outage goes on is for them to see. */
+  /** Call when this daemon stops reading the source: only readers can see whether an outage goes on. */
   end(): void {
     if (this.lost) this.regainedAtMs = this.clock.now();
     this.lost = false;
   }
 
+  /** Records a response, which ends an outage. */
   noteAnswer(): void {
     const nowMs = this.clock.now();
     if (this.lost) {
@@ -64,26 +64,25 @@
       this.events.emit(ROUTING_EVENTS.sourceRegained, { silentMs });
     }
     this.lost = false;
-    this.failuresInRow = 0;
+    this.failedCalls = 0;
     this.lastAnswerMs = nowMs;
   }
 
-  /** Counts a failed call; returns the time to wait before the next one. */
+  /** Records and logs a failed call; returns the jittered delay before the next one, in ms. */
   noteFailure(topic: RoutingTopic, error: RoutingSourceError): number {
     const silentMs = Math.round(this.clock.now() - this.lastAnswerMs);
-    this.failuresInRow += 1;
+    this.failedCalls += 1;
     this.events.emit(ROUTING_EVENTS.sourceCallFailed, {
       topic,
       kind: error.kind,
       error: error.problem,
       silentMs,
     });
-    if (!this.lost && silentMs >= OUTAGE_AFTER_MS) {
+    if (!this.lost && isOutage(silentMs)) {
       this.lost = true;
       this.events.emit(ROUTING_EVENTS.sourceLost, { silentMs, kind: error.kind });
     }
-    const doubled = RETRY_MIN_MS * 2 ** Math.min(this.failuresInRow - 1, 10);
-    const waitMs = Math.max(Math.min(doubled, RETRY_MAX_MS), this.leastRetryMs());
-    return jitter(waitMs, RETRY_JITTER, this.random);
+    const delayMs = retryDelayMs(this.failedCalls, this.minimumRetryDelayMs());
+    return jitter(delayMs, RETRY_JITTER, this.random);
   }
 }
--- a/src/cookie-edge/routing/source-follower.ts
+++ b/src/cookie-edge/routing/source-follower.ts
@@ -1,16 +1,18 @@
 /**
- * One task that follows one topic of the source. A start needs one reading of everything, which may be seconds old; who
- * follows the source then watches for changes, and reads everything anew after a gap.
+ * The task in which a reader follows one topic of the source: reads it once, which may return a state some seconds old, then watches for
+ * changes, and reads it again after a gap. Owns the call under way. Relies on `SourceCircuit` for retries, on `watch-wait.ts` for the
+ * length of a watch, and on `RoutingKnowledge` to apply what comes.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
-import { CHANGE_GATHER_MS, CONFIRM_CHECK_MS, FIRST_WATCH_WAIT_MS, LONG_WATCH_START_MS } from './constants.js';
+import { CHANGE_GATHER_MS, CONFIRM_CHECK_MS, LONG_WATCH_START_MS } from './constants.js';
 import { RoutingSourceError } from './errors.js';
 import type { FreshnessTimings } from './freshness.js';
 import { hasContent, type RoutingKnowledge } from './knowledge.js';
 import type { ProblemLog } from './problem-log.js';
 import type { SourceCircuit } from './source-circuit.js';
 import type { ReadFreshness, RoutingSource, RoutingTopic, RoutingUpdate } from './types.js';
+import { isUnconfirmed, mayWatchLong, watchWaitMs, type WatchRequest } from './watch-wait.js';
 
 /** What a follower needs. */
 export interface SourceFollowerOptions {
@@ -22,11 +24,11 @@
   readonly problems: ProblemLog;
   /** False: every topic is watched as often as the one that changes most. True unless given. */
   readonly usesLongWatches?: boolean;
-  /** Called after each answer that confirmed something. */
+  /** Called after each response that confirmed something. */
   readonly onConfirmation?: () => void;
 }
 
-/** Nothing is confirmed by an answer that may be old. */
+/** A response that may be old confirms nothing. */
 const CONFIRMS_NOTHING_MS = Number.NEGATIVE_INFINITY;
 
 /**
@@ -36,13 +38,13 @@
  */
 const LONG_WATCHED_TOPIC: RoutingTopic = 'cordons';
 
-/** See the module. */
+/** Follows one topic. No method throws or rejects. */
 export class SourceFollower {
   private reads = 0;
   private watches = 0;
   private firstReading: Promise<void> | undefined;
-  /** Revision of the last answer of a watch, and whether it had stood still since the one before. */
-  private answeredRevision = -1;
+  /** Revision of the last response to a watch, and whether it equalled that of the one before. */
+  private watchedRevision = -1;
   private isSourceCalm = false;
 
   constructor(
@@ -87,7 +89,7 @@
     return this.guarded(() => (hasGap ? this.readAll('current', signal) : this.watchOnce(signal)), signal);
   }
 
-  /** An answer that nobody foresaw counts as malformed. */
+  /** A response that cannot be applied counts as malformed. */
   private async guarded(call: () => Promise<boolean>, signal: AbortSignal): Promise<boolean> {
     try {
       return await call();
@@ -101,62 +103,48 @@
   /** Reads the topic; false when that failed. */
   private async readAll(freshness: ReadFreshness, signal: AbortSignal): Promise<boolean> {
     const { source, clock } = this.options;
-    const askedAtMs = clock.now();
+    const requestedAtMs = clock.now();
     this.reads += 1;
-    const answer = await source.read(this.topic, freshness, signal);
-    if (answer.isErr) {
-      await this.waitAfter(answer.error, signal);
+    const response = await source.read(this.topic, freshness, signal);
+    if (response.isErr) {
+      await this.waitAfter(response.error, signal);
       return false;
     }
-    return this.take(answer.value, -1, freshness === 'current' ? askedAtMs : CONFIRMS_NOTHING_MS);
+    return this.apply(response.value, -1, freshness === 'current' ? requestedAtMs : CONFIRMS_NOTHING_MS);
   }
 
   /** Watches once; false when everything must be read again. */
   private async watchOnce(signal: AbortSignal): Promise<boolean> {
     const { source, clock, knowledge } = this.options;
     const since = knowledge.revisionOf(this.topic);
-    const askedAtMs = clock.now();
+    const requestedAtMs = clock.now();
     this.watches += 1;
-    const waitMs = this.watchWaitMs();
+    const waitMs = watchWaitMs(this.watchRequest(), this.options.timings);
     const attempt = this.beginAttempt(signal);
-    const answer = await source.watch(this.topic, since, waitMs, attempt.signal);
+    const response = await source.watch(this.topic, since, waitMs, attempt.signal);
     attempt.end();
-    if (answer.isErr) {
+    if (response.isErr) {
       if (attempt.signal.aborted && !signal.aborted) {
         this.isSourceCalm = false;
         return true;
       }
-      if (answer.error.kind === 'routing.history-gone') return false;
-      await this.waitAfter(answer.error, signal);
+      if (response.error.kind === 'routing.history-gone') return false;
+      await this.waitAfter(response.error, signal);
       return true;
     }
-    // An answer without changes was held back for the whole wait, so it confirms that much more.
-    const broughtChange = hasContent(answer.value);
-    this.isSourceCalm = answer.value.revision === this.answeredRevision;
-    this.answeredRevision = answer.value.revision;
+    // A response without changes was held back for the whole wait, so it confirms that much more.
+    const broughtChange = hasContent(response.value);
+    this.isSourceCalm = response.value.revision === this.watchedRevision;
+    this.watchedRevision = response.value.revision;
     const heldMs = broughtChange ? 0 : waitMs;
-    const complete = this.take(answer.value, since, Math.min(askedAtMs + heldMs, clock.now()));
+    const complete = this.apply(response.value, since, Math.min(requestedAtMs + heldMs, clock.now()));
     if (broughtChange) await pause(clock, CHANGE_GATHER_MS, signal);
     return complete;
   }
 
-  /**
-   * As long as the age of what is known allows: an answer with changes may have been on its way for long, so it confirms no
-   * more than that nothing newer existed when it was asked for.
-   */
-  private watchWaitMs(): number {
-    const { knowledge, timings } = this.options;
-
-    const ageMs = knowledge.ageOf(this.topic);
-    if (!Number.isFinite(ageMs)) return FIRST_WATCH_WAIT_MS;
-    if (this.mayWatchLong) return timings.longWatchWaitMs;
-    const leftMs = Math.floor(timings.readerAgeMs - ageMs);
-    return Math.max(timings.watchMinWaitMs, Math.min(timings.watchWaitMs, leftMs));
-  }
-
-  /** While the source's revision moves, answers about other topics do not confirm this one, so that it is asked for often. */
-  private get mayWatchLong(): boolean {
-    return this.isLongWatched && this.isSourceCalm && !this.isUnconfirmed();
+  private watchRequest(): WatchRequest {
+    const ageMs = this.options.knowledge.ageOf(this.topic);
+    return { ageMs, isLongWatched: this.isLongWatched, isSourceCalm: this.isSourceCalm };
   }
 
   /** True where the other followers' answers are about to bring the first confirmation of this topic. */
@@ -170,13 +158,12 @@
   }
 
   private isUnconfirmed(): boolean {
-    const { knowledge, timings } = this.options;
-    return knowledge.ageOf(this.topic) >= timings.confirmAfterMs;
+    return isUnconfirmed(this.options.knowledge.ageOf(this.topic), this.options.timings);
   }
 
-  /** A call that ends with `signal`, and a long watch also as soon as its topic lacks a confirmation. */
+  /** A call that ends with `signal`; a long watch also ends as soon as its topic lacks a confirmation. */
   private beginAttempt(signal: AbortSignal): { readonly signal: AbortSignal; readonly end: () => void } {
-    if (!this.mayWatchLong) return { signal, end: () => undefined };
+    if (!mayWatchLong(this.watchRequest(), this.options.timings)) return { signal, end: () => undefined };
     const attempt = new AbortController();
     const abort = (): void => attempt.abort();
     let timer: TimerHandle;
@@ -193,7 +180,7 @@
     return { signal: attempt.signal, end };
   }
 
-  private take(update: RoutingUpdate, since: number, confirmedAtMs: number): boolean {
+  private apply(update: RoutingUpdate, since: number, confirmedAtMs: number): boolean {
     const { circuit, knowledge, problems } = this.options;
     problems.note(this.topic, update.problems);
     const mayHaveLapsed = circuit.recordsMayLapse();
--- a/src/cookie-edge/routing/zone-cordons.ts
+++ b/src/cookie-edge/routing/zone-cordons.ts
@@ -15,7 +15,7 @@
 const NEVER = -1;
 const UNHEARD_OF: ZoneState = { recordRevision: NEVER, removedRevision: NEVER };
 
-/** See the module. Zones are few, so a removal is remembered for ever. */
+/** The cordons that this daemon knows. Removals are never forgotten, because zones are few. */
 export class ZoneCordons {
   private readonly states = new Map<string, ZoneState>();
 
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Takes a cordon in, unless a newer record or removal is known.
+   * Stores a cordon, unless a newer record or removal is known.
    *
    * @param knownRevision everything up to this revision is known: another record of then or before is outdated
    */
@@ -44,7 +44,7 @@
     this.change(zone, { ...state, recordRevision: revision });
   }
 
-  /** Takes a removal in, unless a newer record is known. */
+  /** Applies a removal, unless a newer record is known. */
   remove({ zone, revision }: CordonRemoval): void {
     const state = this.states.get(zone) ?? UNHEARD_OF;
     if (revision < state.recordRevision || revision <= state.removedRevision) return;
