--- a/src/cookie-edge/load/call-rates.ts
+++ b/src/cookie-edge/load/call-rates.ts
@@ -1,6 +1,9 @@
-/** Rates of calls, from counts that back ends write to the source about once a second. */
-import { hashString } from '../../common/hash.js';
-import { BUSY_LEVEL, MAX_REPORTED, RATE_SHARE, TAG_MASK } from './constants.js';
+/**
+ * Computes rates of calls from the counts that back ends write to the source about once a second. Owns the last count and the moving
+ * average of each back end of one page; `busy-backends.ts` decides what the rates mean.
+ */
+import { busyBackends } from './busy-backends.js';
+import { RATE_SHARE } from './constants.js';
 import type { BackendCallCount, BusyBackend } from './types.js';
 
 const MS_A_SECOND = 1_000;
@@ -17,7 +20,7 @@
 export class CallRates {
   private known = new Map<string, KnownCount>();
 
-  /** Takes the page's counts as read at `nowMs`; back ends that it no longer lists are forgotten. */
+  /** Records the page's counts, read at `nowMs` (monotonic ms); forgets back ends that it no longer lists. */
   note(counts: readonly BackendCallCount[], nowMs: number): void {
     const known = new Map<string, KnownCount>();
     for (const count of counts) {
@@ -28,16 +31,12 @@
 
   /** Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, `MAX_REPORTED` at the most. */
   busy(): BusyBackend[] {
-    const means = this.meanRates();
-    const busy: BusyBackend[] = [];
-    for (const { count, rate } of this.known.values()) {
-      const mean = means.get(count.service) ?? 0;
-      if (rate === undefined || mean === 0 || rate <= mean * BUSY_LEVEL) continue;
-      busy.push({ tag: hashString(count.id) & TAG_MASK, level: rate / mean });
-    }
-    return busy.sort((left, right) => right.level - left.level).slice(0, MAX_REPORTED);
+    return busyBackends(
+      [...this.known.values()].map(({ count, rate }) => ({ id: count.id, service: count.service, rate })),
+    );
   }
 
+  /** Undefined after one count, and when a count went back because the back end started anew. */
   private rateOf({ id, calls, capacity }: BackendCallCount, nowMs: number): number | undefined {
     const before = this.known.get(id);
     if (!before || nowMs <= before.readAtMs || calls < before.count.calls) return undefined;
@@ -45,16 +44,4 @@
     const newest = (calls - before.count.calls) / seconds / Math.max(1, capacity);
     return before.rate === undefined ? newest : before.rate + RATE_SHARE * (newest - before.rate);
   }
-
-  private meanRates(): ReadonlyMap<string, number> {
-    const sums = new Map<string, { total: number; backends: number }>();
-    for (const { count, rate } of this.known.values()) {
-      if (rate === undefined) continue;
-      const sum = sums.get(count.service) ?? { total: 0, backends: 0 };
-      sum.total += rate;
-      sum.backends += 1;
-      sums.set(count.service, sum);
-    }
-    return new Map([...sums].map(([service, { total, backends }]) => [service, total / backends]));
-  }
 }
--- a/src/cookie-edge/load/load-reader.ts
+++ b/src/cookie-edge/load/load-reader.ts
@@ -1,6 +1,7 @@
 /**
- * The task in which a reader of the source finds the busy back ends: it reads one page of call counts at a time, which may be
- * some seconds old, and reports that page. A failed call is logged and not retried: the next one follows in 2 s.
+ * The task in which a reader of the source finds the busy back ends: it reads one page of call counts at a time, which may be some seconds
+ * old, and reports that page. A failed call is logged and not retried, because the next one follows after `LOAD_READ_INTERVAL_MS`. Owns
+ * the rates of each page and the position in the list; relies on `CallRates` to judge them.
  */
 import type { Clock } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
@@ -21,7 +22,7 @@
   readonly onReport: (report: LoadReport) => void;
 }
 
-/** See the module. */
+/** Reads call counts and reports busy back ends. */
 export class LoadReader {
   private readonly pages: CallRates[] = [];
   private page = 0;
@@ -46,13 +47,13 @@
   private async readPage(signal: AbortSignal): Promise<void> {
     const { clock, events, source, onReport } = this.options;
     this.readings += 1;
-    const answer = await source.readCallCounts(this.after, signal);
+    const response = await source.readCallCounts(this.after, signal);
     if (signal.aborted) return;
-    if (answer.isErr) {
-      events.emit(LOAD_EVENTS.readingFailed, { kind: answer.error.kind, error: answer.error.problem });
+    if (response.isErr) {
+      events.emit(LOAD_EVENTS.readingFailed, { kind: response.error.kind, error: response.error.problem });
       return;
     }
-    const { counts, next } = answer.value;
+    const { counts, next } = response.value;
     const measuredAtMs = clock.now();
     const rates = (this.pages[this.page] ??= new CallRates());
     rates.note(counts, measuredAtMs);
--- a/src/cookie-edge/load/load-view.ts
+++ b/src/cookie-edge/load/load-view.ts
@@ -1,4 +1,4 @@
-/** The busy back ends that this daemon knows of, by the newest report of each page. */
+/** Holds the newest load report of each page until it expires, and tells placement which back ends are busy. */
 import type { BusyBackend, LoadReport } from './types.js';
 import { LOAD_STEP_MS, TAG_MASK } from './constants.js';
 
@@ -22,11 +22,11 @@
 
 const NOT_BUSY = 1;
 
-/** See the module. Times are monotonic ms. */
+/** The load reports that one daemon knows. Times are monotonic ms. */
 export class LoadView implements LoadLevels {
   private readonly pages = new Map<number, KnownReport>();
 
-  /** Stores a report; false when the one stored for that page is about as new, so that this one need not be passed on. */
+  /** Stores a report; returns false when the one stored for that page is about as new, which must not be gossiped further. */
   accept({ page, measuredAtMs, validMs, busy }: LoadReport): boolean {
     const known = this.pages.get(page);
     if (known && measuredAtMs - known.measuredAtMs < LOAD_STEP_MS) return false;
