--- a/contract/surfaces/operator-metrics.ts
+++ b/contract/surfaces/operator-metrics.ts
@@ -55,7 +55,7 @@
   statistics.countDrop('reasonOfTheContract');
   statistics.countRefusal('reasonOfTheContract');
   const answers = new AnswerTracker({ slowFactor: 2, onBadAnswer: () => undefined });
-  const outliers = { verdicts: 1, reportCounts: { own: 1, others: 1 }, avoidedAt: () => [] };
+  const outliers = { detections: 1, reportCounts: { own: 1, others: 1 }, avoidedAt: () => [] };
   const parts = {
     clock: { now: () => 0 },
     forwarder: {
--- a/src/cookie-edge/backend-health/slow-back-ends.test.ts
+++ b/src/cookie-edge/backend-health/slow-back-ends.test.ts
@@ -74,7 +74,7 @@
 
 test('a burst alone, and a calm day, make no outliers', (t) => {
   for (const load of [played({}), played({ burstAt })]) {
-    const verdicts = load.balancers.map(({ forwarder }) => forwarder.outliers.verdicts);
+    const verdicts = load.balancers.map(({ forwarder }) => forwarder.outliers.detections);
     t.true(Math.max(...verdicts) <= 1, `${verdicts.join(' ')}`);
   }
 });
--- a/src/cookie-edge/daemon/status.ts
+++ b/src/cookie-edge/daemon/status.ts
@@ -64,7 +64,7 @@
     ejections: forwarder.ejections,
     resets,
     probes: forwarder.probes,
-    outlierVerdicts: forwarder.outliers.verdicts,
+    outlierVerdicts: forwarder.outliers.detections,
     answers: JSON.stringify(forwarder.answers.statistics),
     badAnswerReports: JSON.stringify(forwarder.outliers.reportCounts),
     drops: JSON.stringify(drops),
@@ -115,7 +115,11 @@
       (p) => p.forwarder.outliers.reportCounts,
       'origin',
     ),
-    counter('outlier_verdicts_total', 'Back ends found to be outliers', (p) => p.forwarder.outliers.verdicts),
+    counter(
+      'outlier_verdicts_total',
+      'Back ends found to be outliers',
+      (p) => p.forwarder.outliers.detections,
+    ),
     gauge(
       'backends_avoided',
       'Outliers that get no new flows',
--- a/src/cookie-edge/outliers/answer-tracker.ts
+++ b/src/cookie-edge/outliers/answer-tracker.ts
@@ -1,7 +1,7 @@
 /**
  * Follows requests from their first packet to the caller's first acknowledgement of answer data. Answers go from back ends to callers
  * directly, but callers acknowledge them through a balancer at once, so the two times differ by the network alone, and the bytes
- * acknowledged first are all of a short answer. Tells each bad answer: one that is unusually late for its route, as soon as it is, whether
+ * acknowledged first are all of a short answer. Reports each bad answer: one that is unusually late for its route, as soon as it is, whether
  * it comes later or not; and one much shorter than the route's answers are, as errors are.
  */
 import { LatencyHistogram } from '../../observability/latency-histogram.js';
@@ -30,7 +30,7 @@
   readonly onBadAnswer: (bad: BadAnswer) => void;
 }
 
-/** See the module. Times are monotonic ms. */
+/** Requests of one daemon that are outstanding, and the usual answers of their routes. Times are monotonic ms. */
 export class AnswerTracker {
   readonly statistics: AnswerStatistics = { answered: 0, slow: 0, short: 0, abandoned: 0, untracked: 0 };
   readonly times = new LatencyHistogram();
@@ -70,7 +70,7 @@
     if (this.outstanding.delete(request)) this.statistics.abandoned += 1;
   }
 
-  /** Tells those that have become slow. */
+  /** Reports requests that have become slow. */
   check(nowMs: number): void {
     const { slowFactor } = this.options;
     for (const request of this.outstanding) {
--- a/src/cookie-edge/outliers/constants.ts
+++ b/src/cookie-edge/outliers/constants.ts
@@ -1,4 +1,4 @@
-/** Times and limits of outlier detection. */
+/** Durations and limits of outlier detection. */
 import type { OutlierOptions } from './types.js';
 
 /**
@@ -10,13 +10,13 @@
 
 /**
  * One bad answer is chance and two may be: 790 requests a second at 84 back ends give each of them 0.08 slow ones in
- * `REPORT_VALID_MS` by chance. Three then meet at some back end every two or three minutes, by reckoning, and it is avoided for seconds
+ * `REPORT_VALID_MS` by chance. Derived: three then meet at some back end every two or three minutes, and it is avoided for seconds
  * without need, which costs nobody anything.
  */
 const QUORUM = 3;
 
 /**
- * Without a third of its back ends a service that is half busy is three quarters busy. More slow ones are rather a service that is
+ * Derived: without a third of its back ends a service that is half busy is three quarters busy. More slow ones are rather a service that is
  * overloaded as a whole, where avoiding some would make the others slower.
  */
 const MAX_AVOIDED_SHARE = 1 / 3;
@@ -27,10 +27,10 @@
   maxAvoidedShare: MAX_AVOIDED_SHARE,
 };
 
-/** A bad answer speaks against its back end for this long, in ms: about 28 requests of an average back end at today's load. */
+/** Lifetime of a report in ms. Not measured; about 28 requests of an average back end at 790 requests a second to 84 back ends. */
 export const REPORT_VALID_MS = 3_000;
 
-/** Bad answers kept of one back end; more would only be told on, and change no verdict. */
+/** Reports kept of one back end. Derived: one above `QUORUM`; more would only be gossiped, and change no decision. */
 export const MAX_REPORTS = 4;
 
 /**
@@ -40,8 +40,8 @@
 export const OUTLIER_FACTOR = 3;
 
 /**
- * A daemon that reports more than this share of a service's back ends within `REPORT_VALID_MS` tells of itself or of its links; what it
- * says of the service does not count. Our choice: above the largest share that may be avoided.
+ * A daemon that reports more than this share of a service's back ends within `REPORT_VALID_MS` reports its own fault or that of its links; its
+ * reports on the service do not count. Not measured; chosen above the largest share that may be avoided.
  */
 export const MAX_REPORTED_SHARE = 0.4;
 
@@ -52,29 +52,30 @@
  */
 export const SETTLE_MS = 4_000;
 
-/** A service needs this many back ends before one of them can be told from the others. */
+/** Fewest back ends of a service with outliers. Derived: of two it is not known which one differs. */
 export const MIN_BACKENDS = 3;
 
 /**
  * A back end is avoided for at least this long, in ms, and as long as bad answers on flows that callers keep are reported; the time
- * doubles with each relapse up to the longest. Our choice: a trial of a back end that is still slow costs some late requests.
+ * doubles with each relapse up to the longest. Not measured; chosen because a trial of a back end that is still slow costs
+ * some late requests.
  */
 export const AVOID_MIN_MS = 2_000;
 export const AVOID_MAX_MS = 8_000;
 
 /**
- * Reports of a back end that is avoided for longer than this, in ms, are neither counted nor told on. Without that a day of 172 daemons
+ * Reports of a back end that is avoided for longer than this, in ms, are neither counted nor gossiped further. Without that a day of 172 daemons
  * with 32 bad back ends took 160 in place of 114 s of processor time.
  */
 export const RENEWAL_MS = 1_000;
 
-/** Then it gets trial flows for this long, in ms; one bad answer ends the trial. Our choice, as is the share below. */
-export const TRIAL_MS = 2_000;
+/** Length of an outlier trial in ms; one bad answer ends it. Not measured, and no reason is recorded. */
+export const OUTLIER_TRIAL_MS = 2_000;
 
-/** In a trial, one in this many of the flows for which it is among the candidates may go there. */
-export const TRIAL_FLOW_SHARE = 8;
+/** In an outlier trial, one in this many of the flows for which it is among the candidates may go there. Not measured, and no reason is recorded. */
+export const OUTLIER_TRIAL_ONE_IN = 8;
 
-/** Without a relapse for this long after a trial, in ms, the next time starts from the shortest. Our choice. */
+/** Without a relapse for this long after an outlier trial, in ms, the next avoidance starts from the shortest. Not measured, and no reason is recorded. */
 export const FORGIVE_MS = 10_000;
 
 /**
@@ -83,13 +84,13 @@
  */
 export const MEDIAN_STEP = 0.03;
 
-/** The first answers move it further, so that a bad first guess is corrected within this many. */
+/** The first answers move the median further, so that a bad first guess is corrected within about this many. Not measured. */
 export const FIRST_ANSWERS = 8;
 
-/** Answers that must have been seen on a route before any is called slow. */
+/** Answers seen on a route before any is slow. Not measured; twice `FIRST_ANSWERS`. */
 export const MIN_ANSWERS = 16;
 
-/** No answer below this is called slow, in ms: a packet that is lost and repeated takes 200 ms longer. */
+/** No answer below this is slow, in ms. Not measured; a lost and retransmitted packet takes 200 ms longer. */
 export const SLOW_MIN_MS = 100;
 
 /** Answers that must have been seen on a route before any is called short: the least of so many is near the least of all. */
@@ -107,8 +108,8 @@
 /** It falls by this share with each short one: a route whose answers have all become short is as usual again after some 300. */
 export const SHORT_FALL = 0.003;
 
-/** Routes with a usual time kept at once; beyond, the oldest goes. */
+/** Routes with a usual time kept at once; beyond, the oldest is forgotten. Not measured; chosen to bound memory. */
 export const MAX_ROUTES = 4_096;
 
-/** Requests followed at once; of more nothing is known. */
+/** Requests followed at once; further ones are not followed. Not measured; chosen to bound memory. */
 export const MAX_OUTSTANDING = 16_384;
--- a/src/cookie-edge/outliers/index.ts
+++ b/src/cookie-edge/outliers/index.ts
@@ -1,6 +1,6 @@
 /**
  * Outlier detection: back ends that answer unusually late, not at all, or with errors, although connections to them open, get no new
- * flows. It covers slow, hanging, mute and failing back ends; `cookie-edge/backend-health/dead-backends.ts` covers those that cannot be reached.
+ * flows. It covers slow, hanging, mute and failing back ends; `cookie-edge/backend-health` covers those that cannot be reached.
  *
  * ```ts
  * const detector = new OutlierDetector({ ...DEFAULT_OUTLIER_OPTIONS, self, events, serviceOf, countBackends, onReport });
--- a/src/cookie-edge/outliers/outlier-detector.test.ts
+++ b/src/cookie-edge/outliers/outlier-detector.test.ts
@@ -7,8 +7,8 @@
   RENEWAL_MS,
   REPORT_VALID_MS,
   SETTLE_MS,
-  TRIAL_FLOW_SHARE,
-  TRIAL_MS,
+  OUTLIER_TRIAL_ONE_IN,
+  OUTLIER_TRIAL_MS,
 } from './constants.js';
 import { OUTLIER_EVENTS } from './events.js';
 import { OutlierDetector } from './outlier-detector.js';
@@ -155,17 +155,17 @@
   t.is(harness.phase('b1', trialMs), 'trial');
   const flows = Array.from({ length: 4_000 }, (_unused, flow) => flow * 7_919);
   const admitted = flows.filter((flow) => !harness.detector.isAvoided('b1', 99, flow, trialMs)).length;
-  t.true(Math.abs(admitted - 4_000 / TRIAL_FLOW_SHARE) < 100, `${admitted} of 4,000 flows`);
-  t.is(harness.phase('b1', trialMs + TRIAL_MS), 'normal');
+  t.true(Math.abs(admitted - 4_000 / OUTLIER_TRIAL_ONE_IN) < 100, `${admitted} of 4,000 flows`);
+  t.is(harness.phase('b1', trialMs + OUTLIER_TRIAL_MS), 'normal');
   harness.detector.check(trialMs);
-  harness.detector.check(trialMs + TRIAL_MS);
+  harness.detector.check(trialMs + OUTLIER_TRIAL_MS);
   t.deepEqual(harness.logged.slice(1), [OUTLIER_EVENTS.trial.number, OUTLIER_EVENTS.normal.number]);
 });
 
 test('one bad answer ends a trial, and the back end is avoided twice as long', (t) => {
   const harness = new DetectorHarness();
   harness.hear('b1', quorum);
-  const trialMs = NOW_MS + AVOID_MIN_MS + TRIAL_MS / 2;
+  const trialMs = NOW_MS + AVOID_MIN_MS + OUTLIER_TRIAL_MS / 2;
   harness.hear('b1', 1, trialMs, 900);
   t.is(harness.phase('b1', trialMs + 2 * AVOID_MIN_MS - 1), 'avoided');
   t.is(harness.phase('b1', trialMs + 2 * AVOID_MIN_MS), 'trial');
--- a/src/cookie-edge/outliers/outlier-detector.ts
+++ b/src/cookie-edge/outliers/outlier-detector.ts
@@ -1,7 +1,11 @@
 /**
- * Decides which back ends answer unusually late or not at all, so that they get no new flows. One daemon sees too few requests at each
- * back end to tell; so daemons gossip their bad answers, and each decides for itself by what it knows of the whole fleet. Nothing is
- * agreed and nothing kept: reports expire after seconds, and a daemon without any treats all back ends alike.
+ * Decides which back ends are outliers: they answer requests late, not at all or with errors, and get no new flows. One daemon sees too few
+ * requests at each back end, so daemons gossip their bad answers, and each decides by what it knows of the whole fleet. There is
+ * no agreement and nothing stored: reports expire after seconds, and a daemon without any treats all back ends alike. Owns the
+ * `OutlierRecord` of each back end with reports; logs each change of phase.
+ *
+ * Order of `judge`: enough reports at all; enough more than the mean of the service, because an overload makes all of it late; and no
+ * more outliers than `maxAvoidedShare`, because avoiding many makes the others late.
  */
 import { combine32 } from '../../common/hash.js';
 import type { EventLog } from '../../observability/event.js';
@@ -10,7 +14,7 @@
   MIN_BACKENDS,
   OUTLIER_FACTOR,
   SETTLE_MS,
-  TRIAL_FLOW_SHARE,
+  OUTLIER_TRIAL_ONE_IN,
 } from './constants.js';
 import { OUTLIER_EVENTS } from './events.js';
 import { OutlierRecord } from './outlier-record.js';
@@ -25,7 +29,7 @@
   readonly serviceOf: (backendId: string) => string | undefined;
   /** Back ends of a service that are recorded now. */
   readonly countBackends: (service: string) => number;
-  /** Called with each report of this daemon, to tell the others. */
+  /** Called with each report of this daemon, to gossip it. */
   readonly onReport: (report: BadAnswerReport) => void;
 }
 
@@ -38,12 +42,12 @@
   readonly isDiscounted: (observer: number) => boolean;
 }
 
-/** See the module. Times are monotonic ms. */
+/** The outliers as one daemon sees them. Times are monotonic ms. */
 export class OutlierDetector {
   private readonly records = new Map<string, OutlierRecord>();
   private ownReports = 0;
   private othersReports = 0;
-  private verdictCount = 0;
+  private detectionCount = 0;
   private readonly settledAtMs: number;
 
   /** @param startedAtMs monotonic ms at which this daemon started */
@@ -54,14 +58,14 @@
     this.settledAtMs = startedAtMs + SETTLE_MS;
   }
 
-  /** Reports of this daemon and of others that were taken in, since start. */
+  /** Reports of this daemon and of others that were recorded, since start. */
   get reportCounts(): { readonly own: number; readonly others: number } {
     return { own: this.ownReports, others: this.othersReports };
   }
 
   /** Times that a back end was found to be an outlier, since start. */
-  get verdicts(): number {
-    return this.verdictCount;
+  get detections(): number {
+    return this.detectionCount;
   }
 
   /** Ids of the back ends that are avoided now. */
@@ -74,16 +78,16 @@
   }
 
   /**
-   * True when a flow should go elsewhere if it can. On trial a back end takes a fixed part of the flows, chosen by their hashes, so
-   * that a copy of a SYN meets the same decision.
+   * True when a flow should go elsewhere if it can. In an outlier trial a back end takes a fixed part of the flows, chosen by their
+   * hashes, so that a retransmission of a SYN meets the same decision.
    */
   isAvoided(backendId: string, idHash: number, flowHash: number, nowMs: number): boolean {
     const phase = this.phaseOf(backendId, nowMs);
     if (phase === 'normal') return false;
-    return phase === 'avoided' || combine32(idHash, flowHash) % TRIAL_FLOW_SHARE !== 0;
+    return phase === 'avoided' || combine32(idHash, flowHash) % OUTLIER_TRIAL_ONE_IN !== 0;
   }
 
-  /** Takes in a bad answer that this daemon noticed itself, and tells the others unless it is this daemon that is slow. */
+  /** Records a bad answer that this daemon noticed itself; gossips it unless it is this daemon that is slow. */
   noteOwn({ backendId, service, atMs }: BadAnswer): void {
     if (atMs < this.settledAtMs) return;
     const report = { backendId, observer: this.options.self, atMs };
@@ -93,7 +97,7 @@
     this.judge(backendId, atMs);
   }
 
-  /** Takes in another daemon's report; true when it was new here, so that it is told on. */
+  /** Records another daemon's report; returns true when it is new here and must be gossiped further. */
   noteReport(report: BadAnswerReport, nowMs: number): boolean {
     if (report.observer === this.options.self) return false;
     const service = this.options.serviceOf(report.backendId);
@@ -104,7 +108,7 @@
     return true;
   }
 
-  /** Logs ends of phases, and forgets what does not matter any more. */
+  /** Logs ends of phases, and forgets records that no longer affect a decision. */
   check(nowMs: number): void {
     for (const [backendId, record] of this.records) {
       this.logPhase(backendId, record, nowMs);
@@ -145,7 +149,7 @@
     }
     record.avoid(nowMs);
     if (phase === 'avoided') return;
-    this.verdictCount += 1;
+    this.detectionCount += 1;
     record.loggedPhase = 'avoided';
     this.options.events.emit(OUTLIER_EVENTS.avoided, {
       backend: backendId,
@@ -164,7 +168,7 @@
     return phase === 'trial' ? least : Math.max(least, (OUTLIER_FACTOR * reports) / backends);
   }
 
-  /** Reports without which there is no verdict, whatever speaks against the others. */
+  /** Fewest reports that make an outlier, however few speak against the others. */
   private leastReports(phase: OutlierPhase): number {
     return phase === 'trial' ? 1 : this.options.quorum;
   }
--- a/src/cookie-edge/outliers/outlier-record.ts
+++ b/src/cookie-edge/outliers/outlier-record.ts
@@ -1,4 +1,7 @@
-/** What speaks against one back end, and where it stands: avoided, on trial, or as the others. */
+/**
+ * Holds the reports that speak against one back end, and derives its phase: avoided, in an outlier trial, or normal. Does no input or
+ * output. The avoidance doubles with each relapse; `FORGIVE_MS` after a trial without one it starts from the shortest again.
+ */
 import {
   AVOID_MAX_MS,
   AVOID_MIN_MS,
@@ -6,7 +9,7 @@
   MAX_REPORTS,
   RENEWAL_MS,
   REPORT_VALID_MS,
-  TRIAL_MS,
+  OUTLIER_TRIAL_MS,
 } from './constants.js';
 import type { OutlierPhase } from './types.js';
 
@@ -16,7 +19,7 @@
   readonly atMs: number;
 }
 
-/** See the module. Times are monotonic ms. */
+/** Reports and phase of one back end. Times are monotonic ms. */
 export class OutlierRecord {
   private reports: NotedReport[] = [];
   private avoidedUntilMs = Number.NEGATIVE_INFINITY;
@@ -33,8 +36,8 @@
   }
 
   /**
-   * Takes a report in; false when it changes nothing, so that it need not be told on. Each other daemon counts once: its link to the
-   * back end may be what is slow. Own ones count each, since it is this daemon that decides by them.
+   * Stores a report; returns false for one that changes nothing, which must not be gossiped further. Each other daemon counts once,
+   * because its link to the back end may be what is slow. Own reports count each, because this daemon decides by them.
    */
   note(report: NotedReport, isOwn: boolean, nowMs: number): boolean {
     if (nowMs - report.atMs >= REPORT_VALID_MS || this.isSettledAt(nowMs)) return false;
@@ -57,19 +60,19 @@
     return this.reports.filter(({ observer }) => !isDiscounted(observer)).length;
   }
 
-  /** Who noticed bad answers lately. */
+  /** Observers of the reports that have not expired, one entry a report. */
   observersAt(nowMs: number): readonly number[] {
     this.dropOld(nowMs);
     return this.reports.map(({ observer }) => observer);
   }
 
-  /** Avoids the back end from now on; longer after each relapse. A further verdict while it is avoided prolongs that. */
+  /** Avoids the back end from now on; longer after each relapse. A further detection while it is avoided prolongs that. */
   avoid(nowMs: number): void {
     const wasAvoided = nowMs < this.avoidedUntilMs;
     if (nowMs >= this.trialUntilMs + FORGIVE_MS) this.avoidForMs = AVOID_MIN_MS;
     else if (!wasAvoided) this.avoidForMs = Math.min(AVOID_MAX_MS, this.avoidForMs * 2);
     this.avoidedUntilMs = nowMs + this.avoidForMs;
-    this.trialUntilMs = this.avoidedUntilMs + TRIAL_MS;
+    this.trialUntilMs = this.avoidedUntilMs + OUTLIER_TRIAL_MS;
   }
 
   /** True while the back end is avoided for some time to come, so that reports would change nothing. */
--- a/src/cookie-edge/outliers/types.ts
+++ b/src/cookie-edge/outliers/types.ts
@@ -1,4 +1,4 @@
-/** How back ends answer, as callers' packets tell, and what daemons tell each other of it. */
+/** Requests, bad answers, and the reports of them that daemons gossip. */
 
 /** A request of which a packet was forwarded and no answer has been acknowledged yet. */
 export interface OutstandingRequest {
@@ -19,7 +19,7 @@
   readonly atMs: number;
 }
 
-/** A bad answer as daemons tell each other of it. */
+/** A bad answer as daemons gossip it. */
 export interface BadAnswerReport {
   readonly backendId: string;
   /** Names the daemon that noticed it: the hash of its id. */
@@ -38,5 +38,5 @@
   readonly maxAvoidedShare: number;
 }
 
-/** Where a back end stands. `trial`: it was avoided until a moment ago and gets a few flows. */
+/** Where a back end stands. `trial`: an outlier trial; it was avoided until a moment ago and gets a few flows. */
 export type OutlierPhase = 'normal' | 'avoided' | 'trial';
--- a/src/cookie-edge/outliers/usual-answers.ts
+++ b/src/cookie-edge/outliers/usual-answers.ts
@@ -1,4 +1,4 @@
-/** What answers of one route are like, as a few numbers, whatever the number of answers: their median time and least length. */
+/** Estimates the median time and the least usual length of one route's answers in constant space. Does no input or output. */
 import {
   FIRST_ANSWERS,
   LENGTH_RISE,
@@ -10,13 +10,13 @@
   SLOW_MIN_MS,
 } from './constants.js';
 
-/** See the module. */
+/** The usual answers of one route. */
 export class UsualAnswers {
   private count = 0;
   private medianMs = 0;
   private leastBytes = Number.POSITIVE_INFINITY;
 
-  /** Takes in how long an answer took, and how many of its bytes were acknowledged first: all of a short one. */
+  /** Records how long an answer took in ms, and how many of its bytes were acknowledged first: all of a short one. */
   note(tookMs: number, bytes: number): void {
     if (this.isShort(bytes)) {
       this.leastBytes *= 1 - SHORT_FALL;
