--- a/src/cookie-edge/backend-health/backend-state.ts
+++ b/src/cookie-edge/backend-health/backend-state.ts
@@ -68,7 +68,7 @@
     if (this.lastSignOfLifeMs < sinceMs) this.ejection.noteFailure(nowMs, sinceMs);
   }
 
-  /** Ejects the back end when enough speaks against it; see `PassiveEjection.judge`. Returns true when it was not ejected before. */
+  /** Ejects the back end where `PassiveEjection.judge` says so; returns true when that begins an ejection. */
   tryEject(nowMs: number, othersAliveMs: number): boolean {
     return this.ejection.judge(nowMs, othersAliveMs) === 'eject';
   }
--- a/src/cookie-edge/backend-health/constants.ts
+++ b/src/cookie-edge/backend-health/constants.ts
@@ -54,7 +54,7 @@
 export const PROBE_SPACING_MS = 200;
 
 /**
- * Pairs of probes of one back end that may follow each other while they prove nothing. Not measured, and no reason is recorded.
+ * Pairs of probes of one back end that may follow each other without a proof. Not measured, and no reason is recorded.
  */
 export const MAX_PROBE_PAIRS = 2;
 
@@ -69,7 +69,7 @@
 export const PROBE_AGAIN_MS = 1_000;
 
 /**
- * A probe that ends this much after its timeout proves nothing, because this process stood still. Not measured, and no reason is
+ * A probe that ends this much after its timeout is inconclusive, because this process stood still. Not measured, and no reason is
  * recorded for the size.
  */
 export const PROBE_LATE_MS = 100;
--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -113,7 +113,7 @@
   }
 
   /**
-   * Gossips a back end that has not answered a probe so far, unless it is this daemon that reaches nobody. Others with flows there then
+   * Gossips a back end that has not answered a probe so far, unless this daemon has not heard from any other back end either. Others with flows there then
    * need not wait for failures of their own, nor for this daemon's proof.
    */
   private gossipDoubt(state: BackendState, sinceMs: number): void {
--- a/src/cookie-edge/backend-health/dead-verdict.ts
+++ b/src/cookie-edge/backend-health/dead-verdict.ts
@@ -3,9 +3,9 @@
  * next request on it, waits for its caller's deadline: on a day with failing back ends the verdicts cut failed requests from 401
  * to 95 (one run each). Does no input or output. Times are monotonic ms.
  *
- * Missing answers of callers' flows prove nothing, because a busy back end acknowledges late. The proofs are a refused probe, since a
+ * Missing answers to callers' packets are no proof, because a busy back end acknowledges late. Proofs are a refused probe, since a
  * refusal came over a working network; a pair of silent probes while other back ends give signs of life; and a later start
- * recorded at the same address, where only one process can listen. What another daemon found is no proof, because its links may be cut.
+ * recorded at the same address, where only one process can listen. Another daemon's proof does not count, because its links may be cut.
  */
 import type { KnownBackend } from '../routing/index.js';
 import type { ProbeFinding, ProbeOutcome } from './backend-prober.js';
@@ -18,7 +18,7 @@
 } from './constants.js';
 
 /** What probes find at a back end that is dead. */
-export type DeathFinding = Exclude<ProbeOutcome, 'answered'>;
+type DeathFinding = Exclude<ProbeOutcome, 'answered'>;
 
 /** Why a back end has a dead verdict. */
 export type DeathProof = DeathFinding | 'superseded';
@@ -63,7 +63,7 @@
 }
 
 /** What was seen while probes were under way. */
-export interface ProbePeriod {
+interface ProbePeriod {
   /** When the first of the probes was sent. */
   readonly sinceMs: number;
   /** Last sign of life of the probed back end, and of any other one. */
@@ -116,7 +116,7 @@
   return !known || backend.record.createdRevision > known.record.createdRevision;
 }
 
-/** How long one back end is held dead. */
+/** The dead verdict of one back end. */
 export class DeadVerdict {
   private untilMs = Number.NEGATIVE_INFINITY;
 
--- a/src/cookie-edge/backend-health/passive-ejection.ts
+++ b/src/cookie-edge/backend-health/passive-ejection.ts
@@ -6,7 +6,7 @@
  * any other; all times are monotonic ms. A sign of life ends everything, including the backoff.
  *
  * Order of `judge`: the number of failures first, because it is the cheapest test. Then whether another back end gave a sign of life
- * after the first failure began: without one this daemon or its links may be at fault, and knowing nothing of others ejects nobody.
+ * after the first failure began: without one this daemon or its links may be at fault, so without knowledge of other back ends nothing is ejected.
  * Then whether a failure came since the last judgement, so that one failure never ejects twice. A failure during an ejection
  * counts as judged, so that flows that were placed before it do not prolong it.
  */
@@ -59,7 +59,7 @@
   }
 
   /**
-   * Ejects the back end when enough speaks against it.
+   * Ejects the back end after enough failures, while others answer.
    *
    * @param othersAliveMs time of the last sign of life of any other back end; -Infinity without any
    */
--- a/src/cookie-edge/load/constants.ts
+++ b/src/cookie-edge/load/constants.ts
@@ -21,7 +21,7 @@
  */
 export const MAX_REPORTED = 128;
 
-/** A report is used for this many readings of its page. Derived: one may be lost and one may have returned an old list, so the third replaces it. */
+/** A report is used for this many readings of its page. Not measured; chosen because one may be lost and one may have returned an old list. */
 export const VALID_READINGS = 3;
 
 /**
@@ -33,5 +33,5 @@
 /** Bits of a back end's hash that name it in reports. Part of the wire; two back ends that share a tag are both taken as busy, no more. */
 const TAG_BITS = 16;
 
-/** Derived: the lowest `TAG_BITS` bits. */
+/** Selects the lowest `TAG_BITS` bits of a hash. Derived. */
 export const TAG_MASK = 2 ** TAG_BITS - 1;
--- a/src/cookie-edge/load/types.ts
+++ b/src/cookie-edge/load/types.ts
@@ -1,4 +1,4 @@
-/** How much load back ends get from all balancers together. */
+/** Call counts of back ends, and the reports of busy ones that daemons gossip. */
 import type Result from 'true-myth/result';
 import type { RoutingSourceError } from '../routing/index.js';
 
--- a/src/cookie-edge/outliers/answer-tracker.ts
+++ b/src/cookie-edge/outliers/answer-tracker.ts
@@ -1,6 +1,6 @@
 /**
  * Follows requests from their first packet to the caller's first acknowledgement of answer data. Answers go from back ends to callers
- * directly, but callers acknowledge them through a balancer at once, so the two times differ by the network alone, and the bytes
+ * directly, but callers acknowledge them through a daemon at once, so the two times differ by the network alone, and the bytes
  * acknowledged first are all of a short answer. Reports each bad answer: one that is unusually late for its route, as soon as it is, whether
  * it comes later or not; and one much shorter than the route's answers are, as errors are.
  */
@@ -65,7 +65,7 @@
     else if (isSlow) this.report(request, 'slow', nowMs);
   }
 
-  /** Notes that the caller closed the flow of a request before any answer. It may have had enough, so that proves nothing. */
+  /** Notes that the caller closed the flow of a request before any answer. That says nothing of the back end. */
   abandon(request: OutstandingRequest): void {
     if (this.outstanding.delete(request)) this.statistics.abandoned += 1;
   }
--- a/src/cookie-edge/outliers/constants.ts
+++ b/src/cookie-edge/outliers/constants.ts
@@ -11,7 +11,7 @@
 /**
  * One bad answer is chance and two may be: 790 requests a second at 84 back ends give each of them 0.08 slow ones in
  * `REPORT_VALID_MS` by chance. Derived: three then meet at some back end every two or three minutes, and it is avoided for seconds
- * without need, which costs nobody anything.
+ * without need, which costs no caller anything.
  */
 const QUORUM = 3;
 
@@ -34,7 +34,7 @@
 export const MAX_REPORTS = 4;
 
 /**
- * A back end is an outlier only with this many times the mean number of bad answers of its service's back ends. With `MAX_REPORTS` for
+ * A back end is an outlier only with this many times the mean number of bad answers of its service's back ends. Derived: with `MAX_REPORTS` for
  * each of them, up to a third of a service can be told from the rest.
  */
 export const OUTLIER_FACTOR = 3;
@@ -52,7 +52,7 @@
  */
 export const SETTLE_MS = 4_000;
 
-/** Fewest back ends of a service with outliers. Derived: of two it is not known which one differs. */
+/** Fewest back ends that a service with outliers has. Derived: of two it is unknown which one differs, so it takes 3. */
 export const MIN_BACKENDS = 3;
 
 /**
--- a/src/cookie-edge/outliers/outlier-detector.ts
+++ b/src/cookie-edge/outliers/outlier-detector.ts
@@ -33,7 +33,7 @@
   readonly onReport: (report: BadAnswerReport) => void;
 }
 
-/** What speaks against the back ends of one service. */
+/** Reports on the back ends of one service, and which observers' count. */
 interface ServiceEvidence {
   readonly backends: number;
   /** Reports that count, of all its back ends together. */
@@ -168,7 +168,7 @@
     return phase === 'trial' ? least : Math.max(least, (OUTLIER_FACTOR * reports) / backends);
   }
 
-  /** Fewest reports that make an outlier, however few speak against the others. */
+  /** Fewest reports that make an outlier, whatever the mean of the service. */
   private leastReports(phase: OutlierPhase): number {
     return phase === 'trial' ? 1 : this.options.quorum;
   }
--- a/src/cookie-edge/outliers/outlier-record.ts
+++ b/src/cookie-edge/outliers/outlier-record.ts
@@ -1,5 +1,5 @@
 /**
- * Holds the reports that speak against one back end, and derives its phase: avoided, in an outlier trial, or normal. Does no input or
+ * Holds the reports on one back end, and derives its phase: avoided, in an outlier trial, or normal. Does no input or
  * output. The avoidance doubles with each relapse; `FORGIVE_MS` after a trial without one it starts from the shortest again.
  */
 import {
--- a/src/cookie-edge/routing/backend-registry.ts
+++ b/src/cookie-edge/routing/backend-registry.ts
@@ -10,7 +10,7 @@
 import { hasLapsed } from './lapsed-records.js';
 import type { BackendRemoval, DepartedBackend, RoutedBackend } from './types.js';
 
-/** A back end as this balancer sees it. One object for each id, changed in place. */
+/** A back end as this daemon sees it. One object for each id, changed in place. */
 export interface KnownBackend {
   readonly id: string;
   record: RoutedBackend;
--- a/src/cookie-edge/routing/freshness.ts
+++ b/src/cookie-edge/routing/freshness.ts
@@ -61,7 +61,7 @@
   readonly readSpreadMs: number;
   /**
    * A daemon stands down only for readers that confirmed something within this time. It may be longer than a confirmation lasts:
-   * whoever stood down for readers that are gone lacks a confirmation soon and reads again.
+   * a daemon that stood down for readers that are gone soon lacks a confirmation and reads again.
    */
   readonly readerFreshMs: number;
   /**
--- a/src/cookie-edge/routing/knowledge.ts
+++ b/src/cookie-edge/routing/knowledge.ts
@@ -22,7 +22,7 @@
 export interface AppliedUpdate {
   readonly topic: RoutingTopic;
   readonly update: RoutingUpdate;
-  /** Whoever knows everything up to this revision, or a later one, can apply the update. */
+  /** A daemon that knows everything up to this revision, or a later one, can apply the update. */
   readonly since: number;
 }
 
--- a/src/cookie-edge/routing/route-index.ts
+++ b/src/cookie-edge/routing/route-index.ts
@@ -1,4 +1,4 @@
-/** Finds routes by the address that callers use. */
+/** Finds routes by the address that callers use, and settings by service. Relies on an immutable route table. */
 import type { Route, RoutedService, RouteTable } from './types.js';
 
 const PORTS = 65_536;
--- a/src/cookie-edge/routing/route-table-change.ts
+++ b/src/cookie-edge/routing/route-table-change.ts
@@ -1,4 +1,4 @@
-/** What differs between two route tables, so that a change of few routes travels as few routes. */
+/** Computes, applies and joins changes of the route table, so that gossip carries only the routes that differ. Does no input or output. */
 import { combine32, hashString } from '../../common/hash.js';
 import type { Route, RouteTable, RouteTableChange } from './types.js';
 
--- a/src/cookie-edge/routing/types.ts
+++ b/src/cookie-edge/routing/types.ts
@@ -1,6 +1,6 @@
 /**
- * What a balancer on a cookie edge knows: routes, the back ends that serve them, and zones that get no new flows. All of it
- * comes from a `RoutingSource` or from other balancers that read it there; the source's revisions order everything.
+ * What a daemon of the cookie edge knows: routes, the back ends that serve them, and zones that get no new flows. All of it
+ * comes from a `RoutingSource` or from other daemons that read it there; the source's revisions order everything.
  */
 import type Result from 'true-myth/result';
 import type { Endpoint } from '../../common/types.js';
@@ -72,7 +72,7 @@
   readonly zone: string;
   /** Requests it works on at once. */
   readonly capacity: number;
-  /** It has said that it leaves: no new flow, open flows stay. */
+  /** It is leaving: it gets no new flows, and open flows stay. */
   readonly draining: boolean;
   /** Milliseconds for which it is still slow from its start, when this record was written. */
   readonly coldMs: number;
@@ -89,7 +89,7 @@
   readonly revision: number;
 }
 
-/** A back end that left, as another balancer remembers it. */
+/** A back end that left, as another daemon remembers it. */
 export interface DepartedBackend {
   /** Its last record. */
   readonly record: RoutedBackend;
@@ -130,14 +130,14 @@
   /** True: back ends and cordons that are not listed are gone. False: the changes since the revision asked for. */
   readonly complete: boolean;
   readonly routes: readonly RouteTable[];
-  /** What changed in the table, in place of a whole one; only from other balancers. */
+  /** What changed in the table, in place of a whole one; only from other daemons. */
   readonly routeChange?: RouteTableChange;
   readonly backends: readonly RoutedBackend[];
   readonly removals: readonly BackendRemoval[];
   /** Only of the topic `cordons`. */
   readonly cordons?: readonly ZoneCordon[];
   readonly cordonRemovals?: readonly CordonRemoval[];
-  /** Last records of back ends that left, for those who never knew them; only from other balancers. */
+  /** Last records of back ends that left, for daemons that never knew them; only from other daemons. */
   readonly departed?: readonly DepartedBackend[];
   /** What could not be understood, and so is not in here; only from the source. */
   readonly problems?: readonly RecordProblem[];
@@ -153,7 +153,7 @@
   readonly confirmedAtMs: number;
 }
 
-/** How new an answer must be. `any`: it may be seconds old, which costs the source less. */
+/** How new a response must be. `any`: it may be seconds old, which costs the source less. */
 export type ReadFreshness = 'current' | 'any';
 
 /** Where routes, back ends and cordons are recorded. All calls end when `signal` aborts. */
