--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -18,10 +18,16 @@
   type BadAnswerReport,
 } from '../outliers/index.js';
 import type { KnownBackend, RoutingKnowledge } from '../routing/index.js';
-import { BackendEligibility } from '../placement/backend-eligibility.js';
 import type { ConnectProbe } from '../backend-health/backend-prober.js';
 import { BackendStates } from '../backend-health/backend-states.js';
-import { ColdAdmission, type ColdAdmissionOptions } from '../placement/cold-admission.js';
+import {
+  BackendEligibility,
+  ColdAdmission,
+  NewFlowRule,
+  OpeningPlacement,
+  TrafficSplitter,
+  type ColdAdmissionOptions,
+} from '../placement/index.js';
 import { CLOSING_MS, EXPIRY_INTERVAL_MS, OPENING_ANSWER_MS, TICK_MS } from './constants.js';
 import { CookieRegistry } from './cookie-registry.js';
 import { CookieStatistics } from './cookie-statistics.js';
@@ -31,9 +37,7 @@
 import { noteFailure, type ForwardingParts } from './forwarding-parts.js';
 import { MidFlowHandler } from './mid-flow-handler.js';
 import { OpeningHandler } from './opening-handler.js';
-import { OpeningPlacement } from '../placement/opening-placement.js';
 import { PendingOpenings } from './pending-openings.js';
-import { TrafficSplitter } from '../placement/traffic-splitter.js';
 
 /** What a cookie forwarder needs. */
 interface CookieForwarderOptions {
@@ -118,10 +122,24 @@
       loads: options.loads,
     });
     const coldAdmission = (this.coldAdmission = new ColdAdmission(options.cold));
-    const eligibility = new BackendEligibility({ knowledge, coldAdmission, regionOf });
-    const { outliers } = this;
-    const deciding = { splitter, placement, eligibility, coldAdmission, pauses, outliers };
-    this.openings = new OpeningHandler(this.parts, deciding);
+    const eligibility = new BackendEligibility({
+      knowledge,
+      coldAdmission,
+      regionOf,
+      stateOf: (backend) => states.of(backend),
+    });
+    const { outliers, parts } = this;
+    const newFlows = new NewFlowRule({
+      knowledge,
+      splitter,
+      eligibility,
+      coldAdmission,
+      placement,
+      isOutlier: ({ backend, idHash }, flowHash, nowMs) =>
+        outliers.isAvoided(backend.id, idHash, flowHash, nowMs),
+      slowHandshakeMs: () => parts.pending.usualMs,
+    });
+    this.openings = new OpeningHandler(this.parts, { newFlows, eligibility, pauses });
     this.midFlow = new MidFlowHandler(this.parts);
     this.dead = new DeadBackends(this.parts, {
       clock: options.clock,
--- a/src/cookie-edge/forwarding/cookie-parts.test.ts
+++ b/src/cookie-edge/forwarding/cookie-parts.test.ts
@@ -8,7 +8,7 @@
 import { DEFAULT_ZONE_LOAD_FACTOR, DEFAULT_ZONE_MARGIN } from '../daemon/constants.js';
 import { BackendState } from '../backend-health/backend-state.js';
 import { CookieRegistry } from './cookie-registry.js';
-import { placementQuestion } from './cookie-test-support.js';
+import { placementRequest } from './cookie-test-support.js';
 import { OpeningPlacement } from '../placement/opening-placement.js';
 import { TrafficSplitter } from '../placement/traffic-splitter.js';
 
@@ -109,7 +109,7 @@
   const states = new Map(all.map((backend) => [backend, new BackendState(backend)]));
   const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 0, zoneLoadFactor: 1 });
   for (let flow = 0; flow < 140; flow += 1) {
-    const choice = placement.choose(placementQuestion(states, flow));
+    const choice = placement.choose(placementRequest(states, flow));
     choice!.state.openFlows += 1;
   }
   t.deepEqual(
@@ -126,7 +126,7 @@
   const loads = { isKnown: () => true, levelOf: (idHash: number) => (idHash === idle ? 1 : 1.5) };
   const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 0, zoneLoadFactor: 1, loads });
   const choices = (): number => {
-    const chosen = Array.from({ length: 90 }, (_, flow) => placement.choose(placementQuestion(states, flow)));
+    const chosen = Array.from({ length: 90 }, (_, flow) => placement.choose(placementRequest(states, flow)));
     return chosen.filter((choice) => choice!.state === stateOf(2)).length;
   };
   t.true(choices() > 30, 'among four of nine, the idle one is found in four of nine choices');
@@ -147,7 +147,7 @@
   const chooser = (): ((flow: number) => string) => {
     const states = new Map(all.map((backend) => [backend, new BackendState(backend)]));
     const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 0.5, zoneLoadFactor: 1, loads });
-    return (flow) => placement.choose(placementQuestion(states, flow))!.state.backend.id;
+    return (flow) => placement.choose(placementRequest(states, flow))!.state.backend.id;
   };
   const [first, second] = [chooser(), chooser()];
   for (let flow = 0; flow < 200; flow += 1) t.is(first(flow), second(flow));
@@ -159,7 +159,7 @@
   const states = new Map(all.map((backend) => [backend, new BackendState(backend)]));
   const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 1, zoneLoadFactor: 1 });
   for (let flow = 0; flow < 20; flow += 1) {
-    const choice = placement.choose(placementQuestion(states, flow));
+    const choice = placement.choose(placementRequest(states, flow));
     choice!.state.openFlows += 1;
   }
   const [near, far] = all.map((backend) => states.get(backend)!.openFlows);
@@ -178,7 +178,7 @@
   });
   const counts = { own: 0, other: 0 };
   for (let flow = 0; flow < flows; flow += 1) {
-    const chosen = placement.choose(placementQuestion(states, flow))!.state;
+    const chosen = placement.choose(placementRequest(states, flow))!.state;
     chosen.openFlows += 1;
     counts[chosen.backend.record.zone === 'north' ? 'own' : 'other'] += 1;
   }
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -25,7 +25,7 @@
 import { TICK_MS } from './constants.js';
 import { CookieForwarder } from './cookie-forwarder.js';
 import type { ConnectProbe } from '../backend-health/backend-prober.js';
-import type { PlacementRequest } from '../placement/opening-placement.js';
+import type { PlacementRequest } from '../placement/index.js';
 
 /** What the edge was asked to send. */
 export interface SentPacket {
@@ -190,19 +190,17 @@
   cookie: 0,
 };
 
-/** A question in which nothing but load decides, at time 0, for a flow that is told from others by `flow`. */
-export function placementQuestion(
+/** A request in which nothing but load decides, at time 0, for a flow that is told from others by `flow`. */
+export function placementRequest(
   states: ReadonlyMap<KnownBackend, BackendState>,
   flow: number,
 ): PlacementRequest {
   return {
     backends: states.keys(),
-    stateOf: (backend) => states.get(backend)!,
-    exclusionOf: () => undefined,
-    maxConnections: 1_000,
+    eligibleStateOf: (backend) => states.get(backend),
     flowHash: combine32(flow, 7),
     nowMs: 0,
-    usualAnswerMs: 10,
+    slowHandshakeMs: 10,
   };
 }
 
--- a/src/cookie-edge/placement/backend-eligibility.test.ts
+++ b/src/cookie-edge/placement/backend-eligibility.test.ts
@@ -2,9 +2,12 @@
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { seededRandom } from '../../common/random.js';
-import type { RoutedBackend } from '../routing/index.js';
+import type { KnownBackend, Route, RoutedBackend } from '../routing/index.js';
 import { backendAt, SERVICE_ADDRESS, SERVICE_PORT } from '../routing/routing-test-support.js';
+import { BackendState } from '../backend-health/backend-state.js';
+import { stateExclusionOf, type RecordExclusion, type StateExclusion } from './backend-eligibility.js';
 import { ColdAdmission } from './cold-admission.js';
+import { BackendEligibility } from './index.js';
 import {
   backends,
   failOpenings,
@@ -190,3 +193,75 @@
     t.true(admittedAtMs.length >= rate * 10, `${admittedAtMs.length} in 30 s`);
   });
 }
+
+/** What a record is like, and which exclusion is found; of several the first in the rule's order. */
+const RECORDS: readonly (readonly [
+  string,
+  Partial<KnownBackend>,
+  Partial<RoutedBackend>,
+  RecordExclusion?,
+])[] = [
+  ['plain', {}, {}, undefined],
+  ['departed', { departed: true }, {}, 'departed'],
+  ['lapsed', { departed: true, lapsed: true }, {}, undefined],
+  ['draining', {}, { draining: true }, 'draining'],
+  ['draining and cordoned', {}, { draining: true, zone: 'south' }, 'draining'],
+  ['cordoned', {}, { zone: 'south' }, 'cordoned'],
+  ['in another region', {}, { zone: 'middle' }, 'region'],
+  ['in no known region', {}, { zone: 'nowhere' }, 'region'],
+  ['cold, without an admission', { coldUntilMs: COLD_MS }, {}, 'cold'],
+  ['cold no longer', { coldUntilMs: 0 }, {}, undefined],
+];
+
+for (const [name, change, record, expected] of RECORDS) {
+  test(`a back end that is ${name} is ${expected ?? 'not'} excluded by its record`, (t) => {
+    const services = [{ name: 'alpha', maxConnections: 10, coldRequestsPerSecond: 1 }];
+    const harness = harnessOf({}).know([], { services });
+    harness.cordon(['south'], 11);
+    const { knowledge } = harness;
+    const backend: KnownBackend = {
+      id: 'a',
+      record: backendAt('a', 1, record),
+      departed: false,
+      lapsed: false,
+      removedRevision: -1,
+      departedAtMs: undefined,
+      coldUntilMs: 0,
+      ...change,
+    };
+    const state = new BackendState(backend);
+    const eligibility = new BackendEligibility({
+      knowledge,
+      coldAdmission: new ColdAdmission({ overage: 1.5, slack: 5, isOwner: () => false }),
+      stateOf: () => state,
+      regionOf: (zone) => (REGIONS as Readonly<Record<string, string>>)[zone],
+    });
+    const route: Route = {
+      name: 'r',
+      address: SERVICE_ADDRESS,
+      port: SERVICE_PORT,
+      targets: [{ service: 'alpha', weight: 1 }],
+      allowedRegions: ['east-coast'],
+    };
+    t.is(eligibility.recordExclusionOf(backend, route, 1), expected);
+    t.is(eligibility.eligibleStateOf(backend, route, 10, 1), expected ? undefined : state);
+  });
+}
+
+/** Open flows, end of a dead verdict, and which exclusion is found with two connections at 1,000 ms. */
+const STATES: readonly (readonly [number, number, StateExclusion?])[] = [
+  [0, 0, undefined],
+  [1, 1_000, undefined],
+  [2, 0, 'full'],
+  [2, 2_000, 'full'],
+  [1, 1_001, 'dead'],
+];
+
+for (const [openFlows, deadUntilMs, expected] of STATES) {
+  test(`a back end with ${openFlows} flows, dead until ${deadUntilMs} ms, is ${expected ?? 'not'} excluded by its state`, (t) => {
+    const state = new BackendState({ id: 'a' } as KnownBackend);
+    state.openFlows = openFlows;
+    state.noteDead(deadUntilMs);
+    t.is(stateExclusionOf(state, 2, 1_000), expected);
+  });
+}
--- a/src/cookie-edge/placement/backend-eligibility.ts
+++ b/src/cookie-edge/placement/backend-eligibility.ts
@@ -1,30 +1,68 @@
-/** Which back ends may get a new flow of a route at all, whatever their load and health: neither may be traded for these rules. */
+/**
+ * Rule: which back ends may get a new flow of a route at all.
+ *
+ * Prevents new flows at back ends that must not have them whatever their load: no fallback class of the placement overrides this
+ * rule. Does no input or output.
+ *
+ * Order: what the record says comes first, because it needs no state of the back end; `cold` is last among these, because its
+ * test is the only one that costs a ranking of the fleet. Then what this balancer has seen: `full`, `dead`. Missing knowledge: a
+ * zone without a region is in no allowed region; a service without a limit of connections or a cold rate is not limited.
+ *
+ * Relies on the routing knowledge for records, cordons and limits, and on the back end's state for open flows and dead verdicts.
+ */
+import type { BackendState } from '../backend-health/backend-state.js';
 import type { KnownBackend, Route, RoutingKnowledge } from '../routing/index.js';
 import type { ColdAdmission } from './cold-admission.js';
 
-/** Why a back end may not get a new flow. `cold`: its share of openings while it is slow from its start is used up. */
-export type Exclusion = 'departed' | 'draining' | 'cordoned' | 'region' | 'cold';
+/** Why a record or a limit of the deployment excludes a back end. `cold`: its rate of new flows in slow start is used up. */
+export type RecordExclusion = 'departed' | 'draining' | 'cordoned' | 'region' | 'cold';
 
-/** How many back ends were excluded, by reason. */
-type ExclusionCounts = Readonly<Partial<Record<Exclusion, number>>>;
+/** Why the state of a back end excludes it. `full`: it holds its maximum of flows; `dead`: a dead verdict holds. */
+export type StateExclusion = 'full' | 'dead';
 
-/** What the rules look at. */
+/** Number of excluded back ends, by reason. */
+type ExclusionCounts = Readonly<Partial<Record<RecordExclusion, number>>>;
+
+/** What the rule looks at. */
 interface BackendEligibilityOptions {
   readonly knowledge: RoutingKnowledge;
   readonly coldAdmission: ColdAdmission;
-  /** Region of a zone; undefined when nothing says so. */
+  readonly stateOf: (backend: KnownBackend) => BackendState;
+  /** Region of a zone; undefined when it is not configured. */
   readonly regionOf: (zone: string) => string | undefined;
 }
 
-/** See the module. */
+/** Why a back end's state excludes it; undefined when it does not. `maxConnections` limits this balancer's open flows there. */
+export function stateExclusionOf(
+  state: BackendState,
+  maxConnections: number,
+  nowMs: number,
+): StateExclusion | undefined {
+  if (state.openFlows >= maxConnections) return 'full';
+  return state.isDead(nowMs) ? 'dead' : undefined;
+}
+
+/** Tests back ends against the rule. Times are monotonic ms. */
 export class BackendEligibility {
   constructor(private readonly options: BackendEligibilityOptions) {}
 
+  /** The state of `backend` if it may get a new flow of `route`; undefined when it is excluded. */
+  eligibleStateOf(
+    backend: KnownBackend,
+    route: Route,
+    maxConnections: number,
+    nowMs: number,
+  ): BackendState | undefined {
+    if (this.recordExclusionOf(backend, route, nowMs)) return undefined;
+    const state = this.options.stateOf(backend);
+    return stateExclusionOf(state, maxConnections, nowMs) ? undefined : state;
+  }
+
   /**
-   * Why `backend` may not get a new flow of `route`; undefined when it may. A departed back end whose record may only have
-   * lapsed is not excluded, as the last resort of its service.
+   * Why its record excludes `backend` from new flows of `route`; undefined when it does not. A departed back end whose record may
+   * only have lapsed is not excluded: it is the last resort of its service.
    */
-  exclusionOf(backend: KnownBackend, route: Route, nowMs: number): Exclusion | undefined {
+  recordExclusionOf(backend: KnownBackend, route: Route, nowMs: number): RecordExclusion | undefined {
     const { knowledge } = this.options;
     const { record } = backend;
     if (backend.departed && !backend.lapsed) return 'departed';
@@ -34,24 +72,24 @@
     return nowMs < backend.coldUntilMs && !this.admitsCold(backend, nowMs) ? 'cold' : undefined;
   }
 
-  private admitsCold(backend: KnownBackend, nowMs: number): boolean {
-    const { knowledge, coldAdmission } = this.options;
-    const limit = knowledge.routes()?.coldRequestsPerSecondOf(backend.record.service);
-    return coldAdmission.admits(backend, limit, nowMs);
-  }
-
-  /** Back ends of a route's services that may not get its flows, by reason: for the log of a refusal. */
-  countExclusions(route: Route, nowMs: number): ExclusionCounts {
-    const counts: Partial<Record<Exclusion, number>> = {};
+  /** Back ends of a route's services that their records exclude, by reason: for the log of a refusal. */
+  countRecordExclusions(route: Route, nowMs: number): ExclusionCounts {
+    const counts: Partial<Record<RecordExclusion, number>> = {};
     for (const { service } of route.targets) {
       for (const backend of this.options.knowledge.backends.ofService(service)) {
-        const exclusion = this.exclusionOf(backend, route, nowMs);
+        const exclusion = this.recordExclusionOf(backend, route, nowMs);
         if (exclusion) counts[exclusion] = (counts[exclusion] ?? 0) + 1;
       }
     }
     return counts;
   }
 
+  private admitsCold(backend: KnownBackend, nowMs: number): boolean {
+    const { knowledge, coldAdmission } = this.options;
+    const limit = knowledge.routes()?.coldRequestsPerSecondOf(backend.record.service);
+    return coldAdmission.admits(backend, limit, nowMs);
+  }
+
   private isInAllowedRegion(zone: string, { allowedRegions }: Route): boolean {
     if (!allowedRegions) return true;
     const region = this.options.regionOf(zone);
--- /dev/null
+++ b/src/cookie-edge/placement/backend-load.test.ts
@@ -0,0 +1,37 @@
+import test from 'ava';
+import { allBut, type Mechanism } from '../../common/mechanisms.js';
+import type { BackendState } from '../backend-health/backend-state.js';
+import { loadWithNewFlow } from './backend-load.js';
+import { stateOf } from './placement-test-support.js';
+
+const NOW_MS = 1_000;
+
+function withFlows(state: BackendState, open: number, closed = 0): BackendState {
+  state.openFlows = open + closed;
+  for (let flow = 0; flow < closed; flow += 1) state.noteClosed(NOW_MS);
+  return state;
+}
+
+const cold = { coldUntilMs: NOW_MS + 1 };
+const far = { zone: 'south' };
+
+/** What it is, its state, its load with one flow more, and a mechanism that is off. */
+const CASES: readonly (readonly [string, BackendState, number, Mechanism?])[] = [
+  ['empty', stateOf('a'), 1 / 2],
+  ['with three flows', withFlows(stateOf('a'), 3), 2],
+  ['with one open flow and two just closed', withFlows(stateOf('a'), 1, 2), 2],
+  ['with one open flow and two just closed', withFlows(stateOf('a'), 1, 2), 1, 'closed-flows'],
+  ['without a capacity', withFlows(stateOf('a', { capacity: 0 }), 1), 2],
+  ['in slow start', withFlows(stateOf('a', {}, cold), 1), 2],
+  ['in slow start', withFlows(stateOf('a', {}, cold), 1), 1, 'cold-share'],
+  ['past its slow start', withFlows(stateOf('a', {}, { coldUntilMs: NOW_MS }), 1), 1],
+  ['of another zone', withFlows(stateOf('a', far), 1), 1.5 + 0.25],
+];
+
+for (const [name, state, expected, off] of CASES) {
+  test(`a back end ${name} has the load ${expected}${off ? ` without ${off}` : ''}`, (t) => {
+    const isOn = allBut(off ? [off] : []);
+    const weights = { zone: 'north', zoneMargin: 0.25, zoneLoadFactor: 1.5, isOn };
+    t.is(loadWithNewFlow(state, NOW_MS, weights), expected);
+  });
+}
--- /dev/null
+++ b/src/cookie-edge/placement/candidate-classes.ts
@@ -0,0 +1,89 @@
+/**
+ * Rule: the class of each candidate for a new flow, by what this balancer knows of its health.
+ *
+ * Prevents new flows at back ends that probably do not answer while others do. Does no input or output.
+ *
+ * Inputs: the state of the back end, the current time and the slow handshake threshold in monotonic ms, the verdict of outlier
+ * detection. Order: a departed record is tested first, because it serves as a last resort only and only if alive; then liveness;
+ * the outlier test is last, because it applies to back ends that are alive otherwise. A back end of which nothing is known is alive.
+ */
+import type { BackendState, Liveness } from '../backend-health/backend-state.js';
+import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
+import type { KnownBackend } from '../routing/index.js';
+import { LAPSED_RECORD_MS } from './constants.js';
+
+/** `trial`: ejected, and due for a trial opening. `lapsed`: its record is gone, but packets show that it lives. */
+export type CandidateClass = Liveness | 'outlier' | 'lapsed';
+
+/** What the classification looks at. */
+export interface ClassificationRequest {
+  readonly backends: Iterable<KnownBackend>;
+  /** The state of a back end if it may get the flow; undefined when it is excluded. */
+  readonly eligibleStateOf: (backend: KnownBackend) => BackendState | undefined;
+  /** True for an outlier that may not get this flow, not even as an outlier trial. */
+  readonly isOutlier?: (state: BackendState) => boolean;
+  readonly nowMs: number;
+  /** A back end with a handshake pending longer than this, in ms, is suspect. */
+  readonly slowHandshakeMs: number;
+}
+
+/** Candidates by class, each in the order of the request. */
+export interface Candidates {
+  readonly alive: BackendState[];
+  readonly outlier: BackendState[];
+  readonly suspect: BackendState[];
+  /** Includes those that are due for a trial opening. */
+  readonly ejected: BackendState[];
+  readonly lapsed: BackendState[];
+  /** The first that is due for a trial opening. */
+  trial: BackendState | undefined;
+}
+
+/** Sorts back ends into classes. */
+export class CandidateClassifier {
+  constructor(private readonly isOn: MechanismCheck = ALL_MECHANISMS_ON) {}
+
+  /** The candidates among the back ends of a request. */
+  classify(request: ClassificationRequest): Candidates {
+    const candidates: Candidates = {
+      alive: [],
+      outlier: [],
+      suspect: [],
+      ejected: [],
+      lapsed: [],
+      trial: undefined,
+    };
+    for (const backend of request.backends) {
+      const state = request.eligibleStateOf(backend);
+      const candidateClass = state && this.classOf(state, request);
+      if (!candidateClass) continue;
+      if (candidateClass === 'trial') {
+        candidates.trial ??= state;
+        candidates.ejected.push(state);
+      } else candidates[candidateClass].push(state);
+    }
+    return candidates;
+  }
+
+  /** The class of a back end that may get the flow; undefined for a departed one that is no last resort. */
+  classOf(state: BackendState, request: ClassificationRequest): CandidateClass | undefined {
+    const liveness = this.livenessOf(state, request);
+    if (state.backend.departed)
+      return this.isLastResort(state, liveness, request.nowMs) ? 'lapsed' : undefined;
+    return liveness === 'alive' && request.isOutlier?.(state) ? 'outlier' : liveness;
+  }
+
+  private livenessOf(state: BackendState, { nowMs, slowHandshakeMs }: ClassificationRequest): Liveness {
+    const liveness = state.liveness(nowMs);
+    if (liveness === 'trial' && !this.isOn('trial-openings')) return 'alive';
+    if (liveness !== 'alive' || !this.isOn('slow-answer-avoidance')) return liveness;
+    return state.isSlowToAnswer(nowMs, slowHandshakeMs) ? 'suspect' : liveness;
+  }
+
+  /** A record that may only have lapsed serves for `LAPSED_RECORD_MS` if packets since then show that its back end lives. */
+  private isLastResort(state: BackendState, liveness: Liveness, nowMs: number): boolean {
+    const missedAtMs = state.backend.departedAtMs ?? 0;
+    if (nowMs - missedAtMs >= LAPSED_RECORD_MS || !this.isOn('lapsed-records')) return false;
+    return liveness === 'alive' && state.lastSignOfLifeMs > missedAtMs;
+  }
+}
--- /dev/null
+++ b/src/cookie-edge/placement/class-choice.ts
@@ -0,0 +1,48 @@
+/**
+ * Rule: which class of candidates a new flow is placed in.
+ *
+ * Prevents an outage by ejections: when too many candidates are ejected (`MAX_EJECTED_SHARE`), the balancer's own network is the
+ * likelier cause, and all recorded candidates serve (panic mode). Does no input or output.
+ *
+ * Inputs: the candidates by class. Order: the trial opening comes first, but only while another back end is alive, so that the
+ * caller's next attempt can succeed elsewhere; then panic mode; then the best class that is not empty. Panic mode also covers the
+ * case that only ejected candidates are left. Lapsed records count neither for nor against the panic threshold.
+ */
+import type { BackendState } from '../backend-health/backend-state.js';
+import type { Candidates } from './candidate-classes.js';
+import { MAX_EJECTED_SHARE } from './constants.js';
+
+/** Which candidates are weighed, from the trial opening to the last resort; `ejected-majority` is panic mode. */
+export type PlacementRule =
+  'trial' | 'ejected-majority' | 'least-flows' | 'outlier' | 'suspect' | 'lapsed-record';
+
+/** The rule for a new flow; undefined when there is no candidate at all. */
+export function choosePlacementRule(candidates: Candidates): PlacementRule | undefined {
+  const { alive, outlier, suspect, ejected, lapsed, trial } = candidates;
+  if (trial && alive.length > 0) return 'trial';
+  const recorded = alive.length + outlier.length + suspect.length + ejected.length;
+  if (ejected.length > recorded * MAX_EJECTED_SHARE) return 'ejected-majority';
+  if (alive.length > 0) return 'least-flows';
+  if (outlier.length > 0) return 'outlier';
+  if (suspect.length > 0) return 'suspect';
+  return lapsed.length > 0 ? 'lapsed-record' : undefined;
+}
+
+/** The candidates that are weighed under a rule other than the trial opening. */
+export function candidatesUnder(
+  rule: Exclude<PlacementRule, 'trial'>,
+  { alive, outlier, suspect, ejected, lapsed }: Candidates,
+): readonly BackendState[] {
+  switch (rule) {
+    case 'ejected-majority':
+      return [...alive, ...outlier, ...suspect, ...ejected];
+    case 'least-flows':
+      return alive;
+    case 'outlier':
+      return outlier;
+    case 'suspect':
+      return suspect;
+    case 'lapsed-record':
+      return lapsed;
+  }
+}
--- a/src/cookie-edge/placement/cold-admission.ts
+++ b/src/cookie-edge/placement/cold-admission.ts
@@ -1,26 +1,30 @@
 /**
- * Limits the new flows that all balancers together send to a back end while it is cold from its start. Each cold back end is
- * assigned to a few balancers by rendezvous hashing; only these send it flows, each at its part of the rate, evenly spaced. No
- * balancer needs to hear what the others sent, and after a whole zone came back nobody rushes to its empty back ends.
+ * Rule: whether a back end in slow start may get one more new flow from this balancer.
+ *
+ * Prevents that all balancers together exceed the rate which a cold back end bears, above all when a whole zone comes back and its
+ * empty back ends attract every new flow. Does no input or output.
+ *
+ * Each cold back end is assigned to `COLD_OWNERS` balancers by rendezvous hashing; only these send it flows, each at its part of
+ * the rate, evenly spaced. No balancer needs to hear what the others sent. Order: the spacing is tested before the ownership, since
+ * that costs a ranking of the fleet. A back end without a rate, or past its slow start, is not limited.
  */
 import type { KnownBackend } from '../routing/index.js';
-import { COLD_OWNERS, COLD_VIEWS } from '../forwarding/constants.js';
+import { COLD_OWNERS, COLD_VIEWS } from './constants.js';
 
 /** What the admission looks at. */
 export interface ColdAdmissionOptions {
-  /** Factor and addition by which a back end may get more than its rate in a second, as the deployment allows. */
+  /** Factor by which a cold back end's flows in a second may exceed its rate, as the deployment allows. */
   readonly overage: number;
+  /** Flows in a second that are allowed in addition. */
   readonly slack: number;
   /** True when this balancer is among the `count` that are assigned to a back end. */
   readonly isOwner: (backendId: string, count: number) => boolean;
 }
 
-/** In a second. */
-const MILLISECONDS = 1_000;
+const MILLISECONDS_A_SECOND = 1_000;
 
-/** See the module. Times are monotonic ms. */
+/** Owns the time of the last flow to each cold back end. Times are monotonic ms. */
 export class ColdAdmission {
-  /** When the last flow was sent to each cold back end. */
   private readonly admittedAtMs = new Map<KnownBackend, number>();
 
   constructor(private readonly options: ColdAdmissionOptions) {}
@@ -37,7 +41,7 @@
     return nowMs - admittedAtMs >= spacingMs && this.options.isOwner(backend.id, COLD_OWNERS);
   }
 
-  /** Notes that a new flow was sent to `backend`. */
+  /** Records that a new flow was sent to `backend`. */
   note(backend: KnownBackend, nowMs: number): void {
     if (nowMs < backend.coldUntilMs) this.admittedAtMs.set(backend, nowMs);
     else this.admittedAtMs.delete(backend);
@@ -49,13 +53,13 @@
   }
 
   /**
-   * Time between two flows of one owner. In any second an owner sends one flow more than its rate says; with that, the owners of
-   * `COLD_VIEWS` differing views of the fleet stay within the limit together.
+   * Time in ms between two flows of one owner. In any second an owner sends one flow more than its rate says; with that included,
+   * the owners of `COLD_VIEWS` differing views of the fleet stay within the limit together.
    */
   private spacingMs(requestsPerSecond: number): number {
     const { overage, slack } = this.options;
     const limit = requestsPerSecond * overage + slack;
     const rate = Math.min(requestsPerSecond, limit / COLD_VIEWS - COLD_OWNERS);
-    return rate > 0 ? (MILLISECONDS * COLD_OWNERS) / rate : Number.POSITIVE_INFINITY;
+    return rate > 0 ? (MILLISECONDS_A_SECOND * COLD_OWNERS) / rate : Number.POSITIVE_INFINITY;
   }
 }
--- a/src/cookie-edge/placement/load-balance.test.ts
+++ b/src/cookie-edge/placement/load-balance.test.ts
@@ -12,7 +12,7 @@
 import { BackendRegistry, type KnownBackend } from '../routing/index.js';
 import { backendAt } from '../routing/routing-test-support.js';
 import { BackendState } from '../backend-health/backend-state.js';
-import { placementQuestion } from '../forwarding/cookie-test-support.js';
+import { placementRequest } from '../forwarding/cookie-test-support.js';
 import { OpeningPlacement } from './opening-placement.js';
 
 const BALANCERS = 195;
@@ -102,7 +102,7 @@
   if (caller.state) caller.state.noteClosed(nowMs);
   const { placement, states } = balancers[Math.floor(random() * BALANCERS)] as Balancer;
   const flow = Math.floor(random() * 2 ** 32);
-  const choice = placement.choose({ ...placementQuestion(states, flow), nowMs });
+  const choice = placement.choose({ ...placementRequest(states, flow), nowMs });
   caller.state = choice!.state;
   caller.state.openFlows += 1;
   caller.opensAtMs = nowMs + exponential(FLOW_MEAN_MS, random);
--- /dev/null
+++ b/src/cookie-edge/placement/new-flow-rule.test.ts
@@ -0,0 +1,86 @@
+/** Each outcome for the first SYN of a flow. */
+import test from 'ava';
+import { BackendStates } from '../backend-health/backend-states.js';
+import { ForwarderHarness } from '../forwarding/cookie-test-support.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
+import { backendAt, SERVICE_ADDRESS, SERVICE_PORT } from '../routing/routing-test-support.js';
+import {
+  BackendEligibility,
+  ColdAdmission,
+  NewFlowRule,
+  OpeningPlacement,
+  TrafficSplitter,
+} from './index.js';
+import { eject } from './placement-test-support.js';
+
+const FLOW = {
+  sourceAddress: 1,
+  sourcePort: 2,
+  destinationAddress: SERVICE_ADDRESS,
+  destinationPort: SERVICE_PORT,
+};
+const NOW_MS = 1_200;
+
+function ruleFor(harness: ForwarderHarness) {
+  const { knowledge } = harness;
+  const states = new BackendStates(SILENT_EVENT_LOG, () => undefined);
+  const coldAdmission = new ColdAdmission({ overage: 2, slack: 10, isOwner: () => true });
+  const rule = new NewFlowRule({
+    knowledge,
+    coldAdmission,
+    splitter: new TrafficSplitter(() => 1 / 2),
+    eligibility: new BackendEligibility({
+      knowledge,
+      coldAdmission,
+      stateOf: (backend) => states.of(backend),
+      regionOf: () => undefined,
+    }),
+    placement: new OpeningPlacement({ zone: 'north', zoneMargin: 0, zoneLoadFactor: 1 }),
+    isOutlier: () => false,
+    slowHandshakeMs: () => 45,
+  });
+  return { rule, states };
+}
+
+test('without complete knowledge the SYN is dropped', (t) => {
+  const { rule } = ruleFor(new ForwarderHarness());
+  t.deepEqual(rule.decide(FLOW, NOW_MS), { kind: 'drop', reason: 'starting' });
+  t.is(rule.chooseAgain(FLOW, NOW_MS), undefined);
+});
+
+test('without a route the flow is refused', (t) => {
+  const { rule } = ruleFor(new ForwarderHarness().know([backendAt('a', 1)]));
+  const elsewhere = { ...FLOW, destinationPort: SERVICE_PORT + 1 };
+  t.deepEqual(rule.decide(elsewhere, NOW_MS), { kind: 'refuse', reason: 'no-route' });
+  t.is(rule.chooseAgain(elsewhere, NOW_MS), undefined);
+});
+
+test('without a candidate the flow is refused', (t) => {
+  const { rule } = ruleFor(new ForwarderHarness().know([backendAt('a', 1, { draining: true })]));
+  t.like(rule.decide(FLOW, NOW_MS), { kind: 'refuse', reason: 'no-backend', route: { name: 'route-1' } });
+  t.is(rule.chooseAgain(FLOW, NOW_MS), undefined);
+});
+
+test('with a candidate the flow is placed', (t) => {
+  const harness = new ForwarderHarness().know([backendAt('a', 1)]);
+  const { rule, states } = ruleFor(harness);
+  const placement = {
+    state: states.of(harness.knowledge.backends.get('a')!),
+    rule: 'least-flows',
+    candidates: 1,
+    passedOver: 0,
+  };
+  t.like(rule.decide(FLOW, NOW_MS), { kind: 'place', route: { name: 'route-1' } });
+  t.deepEqual(rule.chooseAgain(FLOW, NOW_MS) as unknown, placement);
+});
+
+test('a trial opening that was carried out is not chosen again', (t) => {
+  const harness = new ForwarderHarness().know([backendAt('a', 1), backendAt('b', 2)]);
+  const { rule, states } = ruleFor(harness);
+  eject(states.of(harness.knowledge.backends.get('a')!));
+  const trial = rule.chooseAgain(FLOW, NOW_MS)!;
+  t.is(trial.rule, 'trial');
+  t.is(rule.chooseAgain(FLOW, NOW_MS)?.rule, 'trial');
+  rule.notePlacement(trial, NOW_MS);
+  t.is(rule.chooseAgain(FLOW, NOW_MS)?.rule, 'least-flows');
+});
--- /dev/null
+++ b/src/cookie-edge/placement/new-flow-rule.ts
@@ -0,0 +1,111 @@
+/**
+ * Rule: whether a new flow is placed, refused at once, or left to its caller's retransmission.
+ *
+ * Prevents that a caller which cannot be served waits for its timeout: it is refused with a reset immediately. Does no input or
+ * output; the caller carries the outcome out and logs it.
+ *
+ * Inputs: routing knowledge, and what the rules of placement look at; times are monotonic ms. Order: without complete knowledge
+ * neither a refusal nor a choice would be justified, so the SYN is dropped and the retransmission finds this balancer ready or
+ * another one; then the route; then the service of its split; then the back end. Old knowledge is used as it is, whatever its age.
+ */
+import { combine32 } from '../../common/hash.js';
+import type { CookiePacket } from '../../fabric/cookie-edge.js';
+import type { BackendState } from '../backend-health/backend-state.js';
+import type { Route, RoutingKnowledge } from '../routing/index.js';
+import type { BackendEligibility } from './backend-eligibility.js';
+import type { ColdAdmission } from './cold-admission.js';
+import type { OpeningPlacement, Placement } from './opening-placement.js';
+import type { TrafficSplitter } from './traffic-splitter.js';
+
+/** The four-tuple of a flow. */
+export type FlowAddresses = Pick<
+  CookiePacket,
+  'sourceAddress' | 'sourcePort' | 'destinationAddress' | 'destinationPort'
+>;
+
+/** `starting`: routes, back ends or cordons are not known yet. */
+export type NewFlowOutcome =
+  | { readonly kind: 'drop'; readonly reason: 'starting' }
+  | { readonly kind: 'refuse'; readonly reason: 'no-route'; readonly route?: undefined }
+  | { readonly kind: 'refuse'; readonly reason: 'no-backend'; readonly route: Route }
+  | { readonly kind: 'place'; readonly route: Route; readonly placement: Placement };
+
+/** What the rule looks at. */
+interface NewFlowRuleOptions {
+  readonly knowledge: RoutingKnowledge;
+  readonly splitter: TrafficSplitter;
+  readonly eligibility: BackendEligibility;
+  readonly coldAdmission: ColdAdmission;
+  readonly placement: OpeningPlacement;
+  /** True for an outlier that may not get the flow with this hash. */
+  readonly isOutlier: (state: BackendState, flowHash: number, nowMs: number) => boolean;
+  /** A back end with a handshake pending longer than this, in ms, is suspect. */
+  readonly slowHandshakeMs: () => number;
+}
+
+const STARTING: NewFlowOutcome = { kind: 'drop', reason: 'starting' };
+const NO_ROUTE: NewFlowOutcome = { kind: 'refuse', reason: 'no-route' };
+
+/** Decides about new flows. */
+export class NewFlowRule {
+  constructor(private readonly options: NewFlowRuleOptions) {}
+
+  /** What becomes of the first SYN of a flow. A placement counts only after `notePlacement`. */
+  decide(flow: FlowAddresses, nowMs: number): NewFlowOutcome {
+    const { knowledge } = this.options;
+    const routes = knowledge.routes();
+    if (!routes || !knowledge.isComplete()) return STARTING;
+    const route = routes.find(flow.destinationAddress, flow.destinationPort);
+    if (!route) return NO_ROUTE;
+    const placement = this.choose(flow, route, nowMs);
+    return placement ? { kind: 'place', route, placement } : { kind: 'refuse', reason: 'no-backend', route };
+  }
+
+  /** The back end for a flow whose SYN was placed before; undefined without a route or a candidate. */
+  chooseAgain(flow: FlowAddresses, nowMs: number): Placement | undefined {
+    const route = this.options.knowledge.routes()?.find(flow.destinationAddress, flow.destinationPort);
+    return route && this.choose(flow, route, nowMs);
+  }
+
+  /** Records a choice, also one that leads back to the first back end: a trial opening and a cold flow count once. */
+  notePlacement({ rule, state }: Placement, nowMs: number): void {
+    if (rule === 'trial') state.noteTrial(nowMs);
+    this.options.coldAdmission.note(state.backend, nowMs);
+  }
+
+  private choose(flow: FlowAddresses, route: Route, nowMs: number): Placement | undefined {
+    const flowHash = hashFlow(flow);
+    const placements = new Map<string, Placement | undefined>();
+    const chosen = this.options.splitter.choose(route, (service) => {
+      const placement = this.chooseWithin(service, route, flowHash, nowMs);
+      placements.set(service, placement);
+      return placement !== undefined;
+    });
+    if (chosen === undefined) return undefined;
+    if (placements.has(chosen)) return placements.get(chosen);
+    return this.chooseWithin(chosen, route, flowHash, nowMs);
+  }
+
+  private chooseWithin(
+    service: string,
+    route: Route,
+    flowHash: number,
+    nowMs: number,
+  ): Placement | undefined {
+    const { knowledge, eligibility, placement, isOutlier, slowHandshakeMs } = this.options;
+    const maxConnections = knowledge.routes()?.maxConnectionsOf(service) ?? 0;
+    return placement.choose({
+      backends: knowledge.backends.ofService(service),
+      eligibleStateOf: (backend) => eligibility.eligibleStateOf(backend, route, maxConnections, nowMs),
+      isOutlier: (state) => isOutlier(state, flowHash, nowMs),
+      slowHandshakeMs: slowHandshakeMs(),
+      flowHash,
+      nowMs,
+    });
+  }
+}
+
+function hashFlow(flow: FlowAddresses): number {
+  const caller = combine32(flow.sourceAddress, flow.sourcePort);
+  return combine32(caller, combine32(flow.destinationAddress, flow.destinationPort));
+}
--- a/src/cookie-edge/placement/traffic-splitter.ts
+++ b/src/cookie-edge/placement/traffic-splitter.ts
@@ -1,16 +1,26 @@
-/** Deals the new flows of a route to its services by weight, so that short runs keep to the weights as well. */
+/**
+ * Rule: which service of a route's split gets a new flow.
+ *
+ * Prevents short runs that miss the configured weights, as choices by chance do. Does no input or output.
+ *
+ * Smooth weighted round robin: each flow credits every service with its share, and the service with the highest credit pays one
+ * flow. Order: services without a candidate are passed over; where no service has one, all stay in the choice, so that credits go
+ * on. Ties go to the first in the route. A route with new weights, or one met for the first time, starts with random credits, so
+ * that balancers with few flows each do not all begin with the same service.
+ */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { RandomSource } from '../../common/random.js';
 import type { Route, RouteTarget } from '../routing/index.js';
 
-/** What one target is still owed, in flows. */
+/** What one service is still owed, in flows. */
 interface TargetCredit {
   readonly service: string;
+  /** Its part of the route's flows, 0 to 1. */
   readonly share: number;
   credit: number;
 }
 
-/** Smooth weighted round robin for each route; a route whose targets change starts anew. */
+/** Owns the credits of all routes. */
 export class TrafficSplitter {
   private readonly credits = new Map<string, TargetCredit[]>();
 
@@ -19,28 +29,25 @@
     private readonly isOn: MechanismCheck = ALL_MECHANISMS_ON,
   ) {}
 
-  /** Service of the next flow of `route`. Services for which `isOpen` is false are passed over unless all are. */
-  choose(route: Route, isOpen: (service: string) => boolean): string | undefined {
-    const [only, ...others] = route.targets;
-    if (others.length === 0) return only?.service;
+  /**
+   * Service of the next flow of `route`; undefined for a route without services. `hasCandidate` is not asked where there is only
+   * one service.
+   */
+  choose(route: Route, hasCandidate: (service: string) => boolean): string | undefined {
+    if (route.targets.length <= 1) return route.targets[0]?.service;
     const credits = this.creditsOf(route);
     for (const target of credits) target.credit += target.share;
-    const open = credits.filter((target) => isOpen(target.service));
+    const open = credits.filter((target) => hasCandidate(target.service));
     const eligible = open.length > 0 ? open : credits;
-    const chosen = this.isOn('split-credit') ? highest(eligible) : byChance(eligible, this.random);
+    const chosen = this.isOn('split-credit') ? highestCredit(eligible) : byChance(eligible, this.random);
     if (chosen) chosen.credit -= 1;
     return chosen?.service;
   }
 
-  /** Forgets routes that are not in `names`. */
-  retain(names: ReadonlySet<string>): void {
-    for (const name of this.credits.keys()) if (!names.has(name)) this.credits.delete(name);
-  }
-
   private creditsOf(route: Route): TargetCredit[] {
     const known = this.credits.get(route.name);
     if (known && sameShares(known, route.targets)) return known;
-    const total = sum(route.targets);
+    const total = sumOfWeights(route.targets);
     const credits = route.targets.map(({ service, weight }) => ({
       service,
       share: weight / total,
@@ -51,27 +58,27 @@
   }
 }
 
-function sum(targets: readonly RouteTarget[]): number {
+function sumOfWeights(targets: readonly RouteTarget[]): number {
   return targets.reduce((total, { weight }) => total + weight, 0);
 }
 
 function sameShares(credits: readonly TargetCredit[], targets: readonly RouteTarget[]): boolean {
   if (credits.length !== targets.length) return false;
-  const total = sum(targets);
+  const total = sumOfWeights(targets);
   return credits.every(({ service, share }, index) => {
     const target = targets[index];
     return target?.service === service && target.weight / total === share;
   });
 }
 
-/** A target by its share alone. */
+/** A service by its share alone: what credits are measured against. */
 function byChance(credits: readonly TargetCredit[], random: RandomSource): TargetCredit | undefined {
   let rest = random() * credits.reduce((total, { share }) => total + share, 0);
   return credits.find(({ share }) => (rest -= share) < 0) ?? credits.at(-1);
 }
 
-function highest(credits: readonly TargetCredit[]): TargetCredit | undefined {
-  let best: TargetCredit | undefined;
-  for (const target of credits) if (!best || target.credit > best.credit) best = target;
-  return best;
+function highestCredit(credits: readonly TargetCredit[]): TargetCredit | undefined {
+  let highest: TargetCredit | undefined;
+  for (const target of credits) if (!highest || target.credit > highest.credit) highest = target;
+  return highest;
 }
