--- a/contract/surfaces/wire-packets.ts
+++ b/contract/surfaces/wire-packets.ts
@@ -38,15 +38,20 @@
   destinationAddress: 0x0ac80002,
   destinationPort: 80,
   acknowledgement: 0x05060708,
+  retransmissionCount: 0,
 };
 
 const BACKEND_IDS = ['', 'b-1', 'b-2', 'orders-00c0ffee', 'srv-0123456789abcdef', 'überlast', 'x'.repeat(64)];
 const TARGET_IDS = [...BACKEND_IDS, 'srv-ABCDEF', 'srv-f0123456789abcdef', 'none-zzz'];
 
+/** What a caller's packet holds; the count in a SYN is recorded by the name of its place on the wire. */
 function decodeCallerPacket(digits: string): unknown {
   const view = emptyPacket();
   const dropped = decodePlatformPacket(fromHex(digits), view);
-  return { hex: toHex(fromHex(digits)), ...(dropped === undefined ? { decoded: view } : { dropped }) };
+  if (dropped !== undefined) return { hex: toHex(fromHex(digits)), dropped };
+  const { retransmissionCount, ...fields } = view;
+  const decoded = { ...fields, acknowledgement: fields.acknowledgement || retransmissionCount };
+  return { hex: toHex(fromHex(digits)), decoded };
 }
 
 function packetWithCookie(): string {
--- a/src/cookie-edge/daemon/startup-buffer.test.ts
+++ b/src/cookie-edge/daemon/startup-buffer.test.ts
@@ -16,6 +16,7 @@
   rst: false,
   sequence: 1,
   acknowledgement: 0,
+  retransmissionCount: 0,
   payloadBytes: 0,
   cookie: 7,
 };
--- a/src/cookie-edge/daemon/startup-buffer.ts
+++ b/src/cookie-edge/daemon/startup-buffer.ts
@@ -80,7 +80,7 @@
       return;
     }
     this.held.push({
-      synCopy: packet.syn && !packet.ack ? packet.acknowledgement : undefined,
+      synCopy: packet.syn && !packet.ack ? packet.retransmissionCount : undefined,
       readAtMs: this.options.clock.now(),
       deliver: this.edge.keepPacket(),
     });
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -147,9 +147,9 @@
     return this.sent[before];
   }
 
-  /** Delivers the SYN of a caller's flow; `copy` counts its repetitions. */
-  open(port: number, copy = 0): SentPacket | undefined {
-    return this.deliver({ sourcePort: port, syn: true, acknowledgement: copy });
+  /** Delivers the SYN of a caller's flow. */
+  open(port: number, retransmissionCount = 0): SentPacket | undefined {
+    return this.deliver({ sourcePort: port, syn: true, retransmissionCount });
   }
 
   /** Opens a flow and lets the caller go on with it. */
@@ -186,6 +186,7 @@
   rst: false,
   sequence: 1,
   acknowledgement: 0,
+  retransmissionCount: 0,
   payloadBytes: 0,
   cookie: 0,
 };
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -14,6 +14,8 @@
 export interface Flow {
   readonly callerKey: number;
   readonly serviceKey: number;
+  /** Retransmission count of the first SYN that was seen; 0 for a flow that was taken over. */
+  readonly retransmissionCount: number;
   state: BackendState;
   phase: FlowPhase;
   openedAtMs: number;
@@ -55,6 +57,7 @@
     const flow: Flow = {
       callerKey,
       serviceKey,
+      retransmissionCount: packet.retransmissionCount,
       state,
       phase,
       openedAtMs: nowMs,
--- a/src/cookie-edge/forwarding/forwarding-parts.ts
+++ b/src/cookie-edge/forwarding/forwarding-parts.ts
@@ -35,10 +35,17 @@
 }
 
 /** The caller of a flow as a reset names it. */
-export function resetTargetOf({ callerKey, serviceKey, acknowledgement }: Flow): ResetTarget {
-  const [sourceAddress, sourcePort] = splitAddressKey(callerKey);
-  const [destinationAddress, destinationPort] = splitAddressKey(serviceKey);
-  return { sourceAddress, sourcePort, destinationAddress, destinationPort, acknowledgement };
+export function resetTargetOf(flow: Flow): ResetTarget {
+  const [sourceAddress, sourcePort] = splitAddressKey(flow.callerKey);
+  const [destinationAddress, destinationPort] = splitAddressKey(flow.serviceKey);
+  return {
+    sourceAddress,
+    sourcePort,
+    destinationAddress,
+    destinationPort,
+    acknowledgement: flow.acknowledgement,
+    retransmissionCount: flow.phase === 'opening' ? flow.retransmissionCount : 0,
+  };
 }
 
 /** Counts once against the flow's back end in each phase of the flow; the failure began at `sinceMs`. */
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -106,7 +106,7 @@
       candidates: placement.candidates,
       flowsThere: placement.state.openFlows,
       passedOver: placement.passedOver,
-      copy: packet.acknowledgement,
+      copy: packet.retransmissionCount,
       version: knowledge.routes()?.table.version,
       knowledgeAgeMs: Math.round(knowledge.age()),
     });
@@ -115,5 +115,5 @@
 
 /** True for the first SYN of a caller that uses the ports of a flow again which it had closed. */
 function isAnew(packet: CookiePacket, flow: Flow): boolean {
-  return flow.phase === 'closing' && packet.acknowledgement === 0;
+  return flow.phase === 'closing' && packet.retransmissionCount === 0;
 }
--- a/src/fabric/cookie-edge.ts
+++ b/src/fabric/cookie-edge.ts
@@ -16,19 +16,27 @@
   ack: boolean;
   fin: boolean;
   rst: boolean;
-  /** Sequence and acknowledgement numbers, unsigned 32-bit. A caller counts the copies of its SYN in the latter. */
+  /** Sequence number, unsigned 32-bit. */
   sequence: number;
+  /** Acknowledgement number, unsigned 32-bit; 0 in a SYN. */
   acknowledgement: number;
-  /** Bytes of data. */
+  /** How many times the caller had sent this SYN before, as it says; 0 in any other packet. */
+  retransmissionCount: number;
+  /** Length of the data in bytes. */
   payloadBytes: number;
-  /** 0: none yet. */
+  /** Connection cookie; 0 while the caller has none. */
   cookie: number;
 }
 
-/** Names a caller's flow in a reset; the packet fields of its last packet. */
+/** What a reset needs of the last packet of a caller's flow. */
 export type ResetTarget = Pick<
   CookiePacket,
-  'sourceAddress' | 'sourcePort' | 'destinationAddress' | 'destinationPort' | 'acknowledgement'
+  | 'sourceAddress'
+  | 'sourcePort'
+  | 'destinationAddress'
+  | 'destinationPort'
+  | 'acknowledgement'
+  | 'retransmissionCount'
 >;
 
 /** Receives what arrives at the edge. */
@@ -37,14 +45,14 @@
   onDrop(reason: EdgeDropReason): void;
 }
 
-/** The balancer's data socket. All calls but `sendResetTo` speak of the packet that is being handled. */
+/** The balancer's data socket. All calls but `sendResetTo` refer to the packet that is being handled. */
 export interface CookieEdgePort {
   /** Sends the packet with `cookie` to the start `backendId` of a back end, and to no other process at `endpoint`. */
   sendToBackend(backendId: string, endpoint: Endpoint, cookie: number): void;
-  /** Answers the caller with a reset of this balancer's own. */
+  /** Answers the caller with a reset. */
   sendReset(): void;
-  /** Sends a reset to the caller of another packet's flow. */
+  /** Sends a reset to the caller of any flow. */
   sendResetTo(target: ResetTarget): void;
-  /** Keeps the packet; the function that is returned hands it to the handler anew. */
+  /** Copies the packet; the returned function delivers it to the handler again. */
   keepPacket(): () => void;
 }
