--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -4,8 +4,11 @@
  * nothing: a busy back end acknowledges late. The proofs are connections that are refused, or that stay unanswered while other back
  * ends give signs of life; and another start recorded at the same address, where only one process can listen.
  */
+import type { MechanismCheck } from '../../common/mechanisms.js';
 import { pause } from '../../common/pause.js';
 import { formatEndpoint } from '../../common/types.js';
+import type { CookieEdgePort } from '../../fabric/cookie-edge.js';
+import type { EventLog } from '../../observability/event.js';
 import type { KnownBackend } from '../routing/index.js';
 import {
   BackendProber,
@@ -14,6 +17,7 @@
   type ProbeOutcome,
 } from './backend-prober.js';
 import type { BackendState } from './backend-state.js';
+import type { BackendStates } from './backend-states.js';
 import {
   DEAD_IN_ZONE_MS,
   DEAD_RECHECK_MS,
@@ -24,7 +28,9 @@
 } from '../forwarding/constants.js';
 import { COOKIE_FLOW_EVENTS } from '../forwarding/events.js';
 import { formatFlowId } from '../forwarding/flow-id.js';
-import { resetTargetOf, type ForwardingParts } from '../forwarding/forwarding-parts.js';
+import type { CookieStatistics } from '../forwarding/cookie-statistics.js';
+import type { FlowCache } from '../forwarding/flow-cache.js';
+import { resetTargetOf } from '../forwarding/reset-target.js';
 
 /** What probes find at a back end that may be dead. */
 type DeathFinding = Exclude<ProbeOutcome, 'answered'>;
@@ -32,6 +38,16 @@
 /** Why a back end is held dead. */
 type DeathProof = DeathFinding | 'superseded';
 
+/** The parts of forwarding that a dead verdict reads and changes. */
+interface DeadBackendsParts {
+  readonly isOn: MechanismCheck;
+  readonly states: BackendStates;
+  readonly cache: FlowCache;
+  readonly edge: CookieEdgePort;
+  readonly statistics: CookieStatistics;
+  readonly events: EventLog;
+}
+
 /** What the decision needs, beside the shared parts. */
 interface DeadBackendsOptions extends BackendProberOptions {
   /** Called with each back end that is found dead, or that may be, to tell other balancers: those with flows there probe it too. */
@@ -53,7 +69,7 @@
   private readonly prober: BackendProber;
 
   constructor(
-    private readonly parts: ForwardingParts,
+    private readonly parts: DeadBackendsParts,
     private readonly options: DeadBackendsOptions,
   ) {
     this.prober = new BackendProber(options);
--- a/src/cookie-edge/daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -4,10 +4,9 @@
 import { allBut } from '../../common/mechanisms.js';
 import type { RandomSource } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
-import { CookieForwarder } from '../forwarding/cookie-forwarder.js';
+import { createCookieForwarder, TICK_MS, type CookieForwarder } from '../forwarding/index.js';
 import type { EventLog } from '../../observability/event.js';
 import { PauseDetector } from '../../common/pause-detector.js';
-import { TICK_MS } from '../forwarding/constants.js';
 import { LOAD_MIN_DAEMONS, LoadReader, LoadView } from '../load/index.js';
 import { freshnessTimings, ProblemLog, RoutingKnowledge, SourceCircuit } from '../routing/index.js';
 import { NetworkTransport, Spreader } from '../spreading/index.js';
@@ -101,7 +100,7 @@
     applyEjectionReport: ({ backendId, atMs }) => forwarder.applyEjectionReport(backendId, atMs),
   });
   circuit.retryNoSoonerThan(() => spreader.minimumRetryDelayMs());
-  const forwarder: CookieForwarder = new CookieForwarder({
+  const forwarder: CookieForwarder = createCookieForwarder({
     clock,
     random,
     events,
--- a/src/cookie-edge/forwarding/constants.ts
+++ b/src/cookie-edge/forwarding/constants.ts
@@ -1,9 +1,15 @@
 /** Times and sizes of cookie forwarding. */
 
-/** Housekeeping: pending openings, pauses and expiry are looked at this often. */
+/**
+ * Period of the housekeeping, in ms: pending openings, pauses, ejections and expiry. Not measured; chosen to be at most the time after
+ * which an opening is unanswered (`OPENING_ANSWER_MS`).
+ */
 export const TICK_MS = 150;
 
-/** An opening that its caller does not go on with after this long, in ms, is unanswered: callers repeat a SYN after 200 ms. */
+/**
+ * An opening that its caller does not go on with within this time, in ms, is unanswered. Derived: callers retransmit a SYN after
+ * 200 ms, less 50 ms.
+ */
 export const OPENING_ANSWER_MS = 150;
 
 /** Unanswered openings and repeated data in a row, without any sign of life, after which a back end is ejected: one may be a lost packet. */
@@ -19,13 +25,22 @@
 /** A back end that another balancer ejected is avoided this long, in ms, where there are others, unless it gives signs of life. */
 export const SHARED_SUSPECT_MS = 2_000;
 
-/** Data repeated earlier than this, in ms, is a duplicate of the network: callers repeat after 200 ms at the earliest. */
+/**
+ * Data repeated sooner than this, in ms, is a duplicate made by the network. Derived: callers retransmit after 200 ms at the
+ * earliest, less 50 ms.
+ */
 export const REPETITION_MIN_MS = 150;
 
-/** A flow is kept this long, in ms, after its caller closed it, for the last packets. */
+/**
+ * A flow that is closed or still opening is remembered this long after its last packet, in ms. Not measured; chosen to outlast a
+ * caller's attempt to open a flow, which ends after 1,400 ms.
+ */
 export const CLOSING_MS = 3_000;
 
-/** Time in ms between two sweeps of the flow cache for expired flows. */
+/**
+ * Time in ms between two sweeps of the flow cache. Not measured; chosen to be short beside idle timeouts, and long enough that a
+ * sweep of the whole cache is rare.
+ */
 export const EXPIRY_INTERVAL_MS = 1_000;
 
 /**
--- a/src/cookie-edge/forwarding/cookie-forwarder.test.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.test.ts
@@ -58,7 +58,7 @@
   harness.stop();
   harness.clock.advance(5_000);
   t.is(harness.open(2), undefined);
-  t.true(harness.events().includes(COOKIE_FLOW_EVENTS.oldOpening.number));
+  t.true(harness.events().includes(COOKIE_FLOW_EVENTS.staleSyn.number));
   t.truthy(harness.goOn(1, opened.cookie), 'open flows go on');
 });
 
--- a/src/cookie-edge/forwarding/cookie-registry.ts
+++ b/src/cookie-edge/forwarding/cookie-registry.ts
@@ -1,6 +1,6 @@
 /**
- * Which cookie names which back end. A cookie is a hash of the back end's id, so that every balancer finds it alone. Where
- * two ids have the same hash, the back end that was recorded later takes a second hash; both are understood.
+ * Which connection cookie names which back end. A cookie is a hash of the back end's id, so that all balancers compute the same
+ * without coordination. Where two ids have the same hash, the back end that was recorded later gets a second hash; both are accepted.
  */
 import { hashString } from '../../common/hash.js';
 import type { KnownBackend } from '../routing/index.js';
@@ -13,7 +13,7 @@
   return hashString(text) || 1;
 }
 
-/** See the module. */
+/** Owns the cookies of all back ends that are known. */
 export class CookieRegistry {
   private readonly primary = new Map<number, KnownBackend>();
   private readonly secondary = new Map<number, KnownBackend>();
@@ -24,7 +24,7 @@
     return this.collisionCount;
   }
 
-  /** Makes a back end's cookies known. */
+  /** Registers a back end's cookies. */
   add(backend: KnownBackend): void {
     const [first, second] = cookiesOf(backend.id);
     const holder = this.primary.get(first);
--- a/src/cookie-edge/forwarding/cookie-statistics.ts
+++ b/src/cookie-edge/forwarding/cookie-statistics.ts
@@ -1,14 +1,19 @@
 /** Counters of cookie forwarding since start. */
 import { LatencyHistogram } from '../../observability/latency-histogram.js';
 
-/** Numbers that only rise, read by the metrics page and the stop event. */
+/** Counters that never decrease, read by the metrics page and the stop event. */
 export class CookieStatistics {
+  /** Packets from callers that could be decoded. */
   packets = 0;
+  /** Packets sent to back ends. */
   forwarded = 0;
+  /** New flows placed. */
   opened = 0;
+  /** Retransmitted SYNs that were sent to another back end than the first. */
   placedAnew = 0;
   /** Open flows that were reset because their back end was dead. */
   resets = 0;
+  /** Flows met in mid-life: placed by another balancer, or by this one before its start. */
   takenOver = 0;
   /** Milliseconds from the SYN to the caller's next packet. */
   readonly handshake = new LatencyHistogram();
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -23,7 +23,8 @@
 } from '../routing/routing-test-support.js';
 import type { BackendState } from '../backend-health/backend-state.js';
 import { TICK_MS } from './constants.js';
-import { CookieForwarder } from './cookie-forwarder.js';
+import type { CookieForwarder } from './cookie-forwarder.js';
+import { createCookieForwarder } from './create-cookie-forwarder.js';
 import type { ConnectProbe } from '../backend-health/backend-prober.js';
 import type { PlacementRequest } from '../placement/index.js';
 
@@ -80,7 +81,7 @@
       sendResetTo: (target) => this.resets.push(target),
       keepPacket: () => () => undefined,
     };
-    this.forwarder = new CookieForwarder({
+    this.forwarder = createCookieForwarder({
       clock,
       events,
       knowledge: this.knowledge,
@@ -175,7 +176,8 @@
   }
 }
 
-const EMPTY_PACKET: CookiePacket = {
+/** A packet without flags, cookie and data from a caller to the service `alpha`. */
+export const EMPTY_PACKET: CookiePacket = {
   sourceAddress: 0x64400007,
   sourcePort: 40_001,
   destinationAddress: SERVICE_ADDRESS,
--- /dev/null
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -0,0 +1,215 @@
+/** Wires a cookie forwarder: each part is created after those that it needs. */
+import type { Clock } from '../../common/clock.js';
+import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
+import type { PauseDetector } from '../../common/pause-detector.js';
+import type { RandomSource } from '../../common/random.js';
+import type { CookieEdgePort } from '../../fabric/cookie-edge.js';
+import type { EventLog } from '../../observability/event.js';
+import type { ConnectProbe } from '../backend-health/backend-prober.js';
+import { BackendStates } from '../backend-health/backend-states.js';
+import { DeadBackends } from '../backend-health/dead-backends.js';
+import type { LoadLevels } from '../load/index.js';
+import {
+  AnswerTracker,
+  DEFAULT_OUTLIER_OPTIONS,
+  OutlierDetector,
+  type BadAnswerReport,
+  type OutlierOptions,
+} from '../outliers/index.js';
+import {
+  BackendEligibility,
+  ColdAdmission,
+  NewFlowRule,
+  OpeningPlacement,
+  TrafficSplitter,
+  type ColdAdmissionOptions,
+} from '../placement/index.js';
+import type { RoutingKnowledge } from '../routing/index.js';
+import { CookieForwarder } from './cookie-forwarder.js';
+import { CookieRegistry } from './cookie-registry.js';
+import { CookieStatistics } from './cookie-statistics.js';
+import { FlowCache } from './flow-cache.js';
+import { FlowExpiry } from './flow-expiry.js';
+import { FlowFailures } from './flow-failures.js';
+import { FlowFollower } from './flow-follower.js';
+import { Housekeeping } from './housekeeping.js';
+import { MidFlowHandler } from './mid-flow-handler.js';
+import { OpeningHandler } from './opening-handler.js';
+import { OpeningLog } from './opening-log.js';
+import { PacketSender } from './packet-sender.js';
+import { PendingOpenings } from './pending-openings.js';
+
+/** What a cookie forwarder needs. */
+interface CookieForwarderEnvironment {
+  readonly clock: Clock;
+  readonly random: RandomSource;
+  readonly events: EventLog;
+  readonly knowledge: RoutingKnowledge;
+  readonly edge: CookieEdgePort;
+  /** Ticked by the forwarder every `TICK_MS`. */
+  readonly pauses: PauseDetector;
+  readonly zone: string;
+  /** Flows for each unit of capacity that a back end of another zone must have less. */
+  readonly zoneMargin: number;
+  /** Factor of the load of back ends of other zones, 1 or more. */
+  readonly zoneLoadFactor: number;
+  /** Region of a zone; undefined when it is not configured. */
+  readonly regionOf: (zone: string) => string | undefined;
+  readonly cold: ColdAdmissionOptions;
+  /** Tries whether a back end can be reached. */
+  readonly probe: ConnectProbe;
+  /** Longest life of a flow, in ms. */
+  readonly maxFlowAgeMs: number;
+  /** Flows that are remembered at once. */
+  readonly maxFlows: () => number;
+  /** Load reports of other balancers; none unless given. */
+  readonly loads?: LoadLevels;
+  /** Mechanisms that are on; all unless given. */
+  readonly isOn?: MechanismCheck;
+  /** Names this balancer in its reports. */
+  readonly observer?: number;
+  readonly outliers?: OutlierOptions;
+  /** Called with each bad answer that this balancer noticed, to gossip it. */
+  readonly onBadAnswer?: (report: BadAnswerReport) => void;
+  /** Called with each back end that is ejected, found dead or in doubt, to gossip it. */
+  readonly onEject?: (backendId: string, nowMs: number) => void;
+}
+
+/** The parts that several others share. */
+interface SharedParts {
+  readonly isOn: MechanismCheck;
+  readonly statistics: CookieStatistics;
+  readonly cookies: CookieRegistry;
+  readonly cache: FlowCache;
+  readonly states: BackendStates;
+  readonly dead: DeadBackends;
+  readonly pending: PendingOpenings;
+  readonly answers: AnswerTracker;
+  readonly outliers: OutlierDetector;
+  readonly failures: FlowFailures;
+  readonly sender: PacketSender;
+  readonly coldAdmission: ColdAdmission;
+}
+
+/** Creates a forwarder; it handles packets at once, and its timer begins with `start`. */
+export function createCookieForwarder(environment: CookieForwarderEnvironment): CookieForwarder {
+  const { clock, events, knowledge, pauses } = environment;
+  const shared = createSharedParts(environment);
+  const { statistics, cookies, cache, states, pending, answers, outliers, failures, sender } = shared;
+  return new CookieForwarder({
+    ...shared,
+    clock,
+    pauses,
+    knowledge,
+    openings: createOpeningHandler(environment, shared),
+    midFlow: new MidFlowHandler({
+      events,
+      knowledge,
+      cookies,
+      states,
+      cache,
+      sender,
+      statistics,
+      follower: new FlowFollower({
+        cache,
+        states,
+        pending,
+        answers,
+        failures,
+        statistics,
+        isOn: shared.isOn,
+      }),
+    }),
+    housekeeping: new Housekeeping({
+      clock,
+      events,
+      pauses,
+      pending,
+      answers,
+      states,
+      outliers,
+      failures,
+      expiry: new FlowExpiry({ knowledge, cache, maxFlowAgeMs: environment.maxFlowAgeMs }),
+    }),
+  });
+}
+
+function createSharedParts(environment: CookieForwarderEnvironment): SharedParts {
+  const { clock, events, edge, pauses, probe } = environment;
+  const isOn = environment.isOn ?? ALL_MECHANISMS_ON;
+  const onEject = isOn('shared-ejections') ? environment.onEject : undefined;
+  const gossipEjection = (backendId: string, nowMs: number): void => onEject?.(backendId, nowMs);
+  const statistics = new CookieStatistics();
+  const cookies = new CookieRegistry();
+  const cache = new FlowCache(environment.maxFlows);
+  const states = new BackendStates(events, ({ backend }, nowMs) => gossipEjection(backend.id, nowMs), isOn);
+  const dead = new DeadBackends(
+    { isOn, states, cache, edge, statistics, events },
+    { clock, pauses, probe, onSuspect: gossipEjection },
+  );
+  const outliers = createOutlierDetector(environment);
+  return {
+    isOn,
+    statistics,
+    cookies,
+    cache,
+    states,
+    dead,
+    outliers,
+    pending: new PendingOpenings(),
+    answers: new AnswerTracker({
+      slowFactor: (environment.outliers ?? DEFAULT_OUTLIER_OPTIONS).slowFactor,
+      onBadAnswer: (badAnswer) => outliers.noteOwn(badAnswer),
+    }),
+    failures: new FlowFailures({ states, dead, isOn }),
+    sender: new PacketSender({ edge, cookies, statistics }),
+    coldAdmission: new ColdAdmission(environment.cold),
+  };
+}
+
+function createOutlierDetector(environment: CookieForwarderEnvironment): OutlierDetector {
+  const { clock, events, knowledge, observer, outliers, onBadAnswer } = environment;
+  const { backends } = knowledge;
+  return new OutlierDetector(
+    {
+      ...(outliers ?? DEFAULT_OUTLIER_OPTIONS),
+      events,
+      self: observer ?? 0,
+      serviceOf: (backendId) => backends.get(backendId)?.record.service,
+      countBackends: (service) => backends.countRecorded(service),
+      onReport: (report) => onBadAnswer?.(report),
+    },
+    clock.now(),
+  );
+}
+
+function createOpeningHandler(environment: CookieForwarderEnvironment, shared: SharedParts): OpeningHandler {
+  const { random, events, knowledge, pauses, zone, zoneMargin, zoneLoadFactor, loads } = environment;
+  const { isOn, states, outliers, pending, coldAdmission } = shared;
+  const eligibility = new BackendEligibility({
+    knowledge,
+    coldAdmission,
+    regionOf: environment.regionOf,
+    stateOf: (backend) => states.of(backend),
+  });
+  const newFlows = new NewFlowRule({
+    knowledge,
+    eligibility,
+    coldAdmission,
+    splitter: new TrafficSplitter(random, isOn),
+    placement: new OpeningPlacement({ zone, zoneMargin, zoneLoadFactor, isOn, loads }),
+    isOutlier: ({ backend, idHash }, flowHash, nowMs) =>
+      outliers.isAvoided(backend.id, idHash, flowHash, nowMs),
+    slowHandshakeMs: () => pending.usualMs,
+  });
+  return new OpeningHandler({
+    newFlows,
+    cache: shared.cache,
+    pending,
+    failures: shared.failures,
+    sender: shared.sender,
+    statistics: shared.statistics,
+    log: new OpeningLog({ events, knowledge, eligibility }),
+    mayHaveWaited: (nowMs) => isOn('old-opening-guard') && pauses.mayBeOld(nowMs),
+  });
+}
--- a/src/cookie-edge/forwarding/events.ts
+++ b/src/cookie-edge/forwarding/events.ts
@@ -27,7 +27,7 @@
     message: 'Packet dropped: its connection cookie matches no known back end',
     action: 'Check whether this balancer knows all back ends; see knowledgeAgeMs',
   },
-  oldOpening: {
+  staleSyn: {
     number: 1255,
     level: 'warn',
     message: 'SYN dropped: it may have been queued while this process was paused',
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -1,6 +1,7 @@
 /**
- * The flows that this balancer has met. Forwarding does not depend on it, since packets carry cookies: it tells copies of a
- * SYN from new ones, counts open flows, and lets a flow's packets be compared with its earlier ones.
+ * The flows that this balancer has met. Forwarding does not depend on it, since packets carry cookies: it tells retransmissions of a
+ * SYN from new flows, counts open flows, and lets a flow's packets be compared with its earlier ones. Owns the flows, and with them
+ * the number of open flows at each back end.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { OutstandingRequest } from '../outliers/index.js';
@@ -8,7 +9,7 @@
 import type { BackendState } from '../backend-health/backend-state.js';
 
 /** opening: nothing but SYNs yet. open: the caller went on. closing: the caller closed or reset it. */
-type FlowPhase = 'opening' | 'open' | 'closing';
+export type FlowPhase = 'opening' | 'open' | 'closing';
 
 /** One flow from a caller to a service address. */
 export interface Flow {
@@ -18,21 +19,25 @@
   readonly retransmissionCount: number;
   state: BackendState;
   phase: FlowPhase;
+  /** Monotonic ms at which its SYN was sent to its present back end. */
   openedAtMs: number;
+  /** Monotonic ms of the caller's last packet. */
   lastPacketMs: number;
-  /** Highest data sequence number seen, its time, and the last acknowledgement. */
+  /** Highest data sequence number seen; -1 before the first data. */
   dataSequence: number;
+  /** Monotonic ms at which data with that sequence number came first. */
   dataAtMs: number;
+  /** The caller's last acknowledgement number; 0 while it is opening. */
   acknowledgement: number;
-  /** True when the present phase has counted against the back end already. */
-  failureNoted: boolean;
+  /** True when the opening, or the newest data, has counted as a failure of the back end already. */
+  failureCounted: boolean;
   /** True from the SYN until the caller goes on or the opening counts as failed; kept by `PendingOpenings`. */
   awaitsAnswer: boolean;
   /** The request that its caller has sent, until answer data is acknowledged. */
   request: OutstandingRequest | undefined;
 }
 
-/** Flows by service address and caller. */
+/** Holds up to `maxFlows` flows by service address and caller. */
 export class FlowCache {
   private readonly services = new Map<number, Map<number, Flow>>();
   private count = 0;
@@ -40,16 +45,18 @@
 
   constructor(private readonly maxFlows: () => number) {}
 
+  /** Flows remembered now, closed ones included. */
   get size(): number {
     return this.count;
   }
 
+  /** The flow with a packet's addresses. */
   find(packet: CookiePacket): Flow | undefined {
     const flows = this.services.get(addressKey(packet.destinationAddress, packet.destinationPort));
     return flows?.get(addressKey(packet.sourceAddress, packet.sourcePort));
   }
 
-  /** Adds the flow of `packet`; undefined when the cache is full, which only costs what it is for. */
+  /** Adds the flow of `packet`; undefined when the cache is full. */
   add(packet: CookiePacket, state: BackendState, phase: FlowPhase, nowMs: number): Flow | undefined {
     if (this.count >= this.maxFlows()) return undefined;
     const serviceKey = addressKey(packet.destinationAddress, packet.destinationPort);
@@ -65,7 +72,7 @@
       dataSequence: -1,
       dataAtMs: 0,
       acknowledgement: packet.acknowledgement,
-      failureNoted: false,
+      failureCounted: false,
       awaitsAnswer: false,
       request: undefined,
     };
@@ -75,7 +82,7 @@
     return flow;
   }
 
-  /** Makes a flow count at another back end. */
+  /** Moves a flow to another back end, whose open flows it counts among from now on. */
   move(flow: Flow, state: BackendState): void {
     if (flow.state === state) return;
     if (flow.phase !== 'closing') {
@@ -85,14 +92,14 @@
     flow.state = state;
   }
 
-  /** Ends the flow's count at its back end, since its caller closed it; it is still found until it expires. */
+  /** Records that its caller closed the flow: it is no open flow any more, and is found until it expires. */
   close(flow: Flow, nowMs: number): void {
     if (flow.phase === 'closing') return;
     flow.phase = 'closing';
     flow.state.noteClosed(nowMs);
   }
 
-  /** Flows at a back end that their callers have not closed. */
+  /** The open flows at a back end. */
   flowsAt(state: BackendState): Flow[] {
     if (state.openFlows === 0) return [];
     return [...this.all()].filter((flow) => flow.state === state && flow.phase !== 'closing');
@@ -108,10 +115,10 @@
     if (flows.size === 0) this.services.delete(flow.serviceKey);
   }
 
-  /** Looks at up to `limit` flows, going on where the last call ended, and removes those that `isExpired`. */
+  /** Tests up to `limit` flows, continuing where the last call ended, and removes those that `isExpired`. */
   expire(limit: number, isExpired: (flow: Flow) => boolean): void {
     this.sweep ??= this.all();
-    for (let looked = 0; looked < limit; looked += 1) {
+    for (let tested = 0; tested < limit; tested += 1) {
       const next = this.sweep.next();
       if (next.done) {
         this.sweep = undefined;
--- /dev/null
+++ b/src/cookie-edge/forwarding/flow-failures.ts
@@ -0,0 +1,33 @@
+/**
+ * Reports failures of flows: unanswered openings and repeated data that nobody acknowledged. Relies on `BackendStates` for the
+ * ejection and on `DeadBackends` for the probes that a failure starts.
+ */
+import type { MechanismCheck } from '../../common/mechanisms.js';
+import type { BackendStates } from '../backend-health/backend-states.js';
+import type { DeadBackends } from '../backend-health/dead-backends.js';
+import type { Flow } from './flow-cache.js';
+
+/** What reporting needs. */
+interface FlowFailuresOptions {
+  readonly states: BackendStates;
+  readonly dead: DeadBackends;
+  readonly isOn: MechanismCheck;
+}
+
+/** Counts failures against back ends. */
+export class FlowFailures {
+  constructor(private readonly options: FlowFailuresOptions) {}
+
+  /**
+   * Counts a failure that began at `sinceMs` against the flow's back end, once for each opening and each piece of data: a caller
+   * that repeats often must not eject a back end alone.
+   */
+  report(flow: Flow, sinceMs: number, nowMs: number): void {
+    const { states, dead, isOn } = this.options;
+    if (flow.failureCounted) return;
+    flow.failureCounted = true;
+    if (!isOn('passive-health')) return;
+    states.noteFailure(flow.state, sinceMs, nowMs);
+    dead.suspect(flow.state);
+  }
+}
--- /dev/null
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -0,0 +1,74 @@
+/**
+ * The periodic work of forwarding: pauses of the process, unanswered openings, ejections, outliers and expiry. Owns the timer; what is
+ * checked belongs to the collaborators.
+ */
+import type { Clock, TimerHandle } from '../../common/clock.js';
+import type { PauseDetector } from '../../common/pause-detector.js';
+import type { EventLog } from '../../observability/event.js';
+import type { BackendStates } from '../backend-health/backend-states.js';
+import type { PendingOpenings } from './pending-openings.js';
+import type { AnswerTracker, OutlierDetector } from '../outliers/index.js';
+import { OPENING_ANSWER_MS, TICK_MS } from './constants.js';
+import { COOKIE_FLOW_EVENTS } from './events.js';
+import type { FlowExpiry } from './flow-expiry.js';
+import type { FlowFailures } from './flow-failures.js';
+
+/** What the housekeeping checks. */
+interface HousekeepingOptions {
+  readonly clock: Clock;
+  readonly events: EventLog;
+  readonly pauses: PauseDetector;
+  readonly pending: PendingOpenings;
+  readonly answers: AnswerTracker;
+  readonly states: BackendStates;
+  readonly outliers: OutlierDetector;
+  readonly failures: FlowFailures;
+  readonly expiry: FlowExpiry;
+}
+
+/** Runs every `TICK_MS`. Times are monotonic ms. */
+export class Housekeeping {
+  constructor(private readonly options: HousekeepingOptions) {}
+
+  /** Runs until `signal` aborts. */
+  start(signal: AbortSignal): void {
+    let timer: TimerHandle;
+    const arm = (): void => {
+      timer = this.options.clock.schedule(TICK_MS, () => {
+        this.tick();
+        arm();
+      });
+    };
+    arm();
+    signal.addEventListener('abort', () => timer.cancel());
+  }
+
+  private tick(): void {
+    const { clock, states, answers, outliers, expiry } = this.options;
+    const nowMs = clock.now();
+    this.checkPause(nowMs);
+    this.failUnanswered(nowMs);
+    states.judgeFailing(nowMs);
+    answers.check(nowMs);
+    outliers.check(nowMs);
+    expiry.check(nowMs);
+  }
+
+  /** After a pause answers may have arrived unseen, so missing ones prove nothing. */
+  private checkPause(nowMs: number): void {
+    const { pauses, events, pending, answers } = this.options;
+    const pausedMs = pauses.noteTick(nowMs);
+    if (pausedMs === 0) return;
+    events.emit(COOKIE_FLOW_EVENTS.paused, { pausedMs: Math.round(pausedMs) });
+    pending.clear();
+    answers.clear();
+  }
+
+  private failUnanswered(nowMs: number): void {
+    const { pending, failures } = this.options;
+    for (const flow of pending.takeOlder(nowMs - OPENING_ANSWER_MS)) {
+      pending.settle(flow);
+      failures.report(flow, flow.openedAtMs, nowMs);
+    }
+  }
+}
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -1,122 +1,81 @@
 /**
- * Handles packets of flows that their callers have opened: the cookie names the back end, and what the caller acknowledges or
- * repeats tells whether that back end lives.
+ * Handles packets that are no SYN. The connection cookie names the back end; without one, the flow cache does. Drops packets whose
+ * back end is unknown: forwarding them to a guess could reach the wrong service. Owns no state.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
-import type { KnownBackend } from '../routing/index.js';
-import { REPETITION_MIN_MS } from './constants.js';
+import type { EventLog } from '../../observability/event.js';
 import type { BackendState } from '../backend-health/backend-state.js';
+import type { BackendStates } from '../backend-health/backend-states.js';
+import type { KnownBackend, RoutingKnowledge } from '../routing/index.js';
+import type { CookieRegistry } from './cookie-registry.js';
+import type { CookieStatistics } from './cookie-statistics.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
-import type { Flow } from './flow-cache.js';
+import type { Flow, FlowCache } from './flow-cache.js';
+import type { FlowFollower } from './flow-follower.js';
 import { formatFlowId } from './flow-id.js';
-import { forwardTo, noteFailure, type ForwardingParts } from './forwarding-parts.js';
+import type { PacketSender } from './packet-sender.js';
 
-/** See the module. */
+/** What handling packets of open flows needs. */
+interface MidFlowHandlerOptions {
+  readonly events: EventLog;
+  readonly knowledge: RoutingKnowledge;
+  readonly cookies: CookieRegistry;
+  readonly states: BackendStates;
+  readonly cache: FlowCache;
+  readonly follower: FlowFollower;
+  readonly sender: PacketSender;
+  readonly statistics: CookieStatistics;
+}
+
+/** Forwards packets of open flows. Times are monotonic ms. */
 export class MidFlowHandler {
-  constructor(private readonly parts: ForwardingParts) {}
+  constructor(private readonly options: MidFlowHandlerOptions) {}
 
-  /** Handles a packet that is no SYN; `flow` is what is remembered of its ports. */
+  /** Handles a packet that is no SYN; `flow` is what is remembered of its addresses. */
   onMidFlow(packet: CookiePacket, flow: Flow | undefined, nowMs: number): void {
-    const named = packet.cookie === 0 ? undefined : this.parts.cookies.backendOf(packet.cookie);
+    const { cookies, states, follower, sender } = this.options;
+    const named = packet.cookie === 0 ? undefined : cookies.backendOf(packet.cookie);
     const backend = named ?? flow?.state.backend;
     if (!backend) return this.dropUnknown(packet);
-    const state = this.parts.states.of(backend);
+    const state = states.of(backend);
     if (state.isDead(nowMs)) return this.resetAtDead(packet, flow, state);
     const known = flow ?? this.takeOver(packet, backend, nowMs);
-    if (known) this.follow(packet, known, backend, nowMs);
-    forwardTo(this.parts, backend);
-  }
-
-  /** Compares a packet with what the flow's earlier ones said. */
-  private follow(packet: CookiePacket, flow: Flow, backend: KnownBackend, nowMs: number): void {
-    this.parts.pending.settle(flow);
-    if (flow.state.backend !== backend) this.parts.cache.move(flow, this.parts.states.of(backend));
-    flow.lastPacketMs = nowMs;
-    if (flow.phase === 'opening') {
-      flow.phase = 'open';
-      flow.acknowledgement = packet.acknowledgement;
-      this.parts.statistics.handshake.observe(nowMs - flow.openedAtMs);
-      this.parts.pending.noteAnswer(nowMs - flow.openedAtMs);
-      this.parts.states.noteSignOfLife(flow.state, nowMs);
-    } else if (packet.ack && isAfter(packet.acknowledgement, flow.acknowledgement)) {
-      const bytes = (packet.acknowledgement - flow.acknowledgement) >>> 0;
-      flow.acknowledgement = packet.acknowledgement;
-      this.parts.states.noteSignOfLife(flow.state, nowMs);
-      this.endRequest(flow, bytes, nowMs);
-    }
-    if (packet.payloadBytes > 0) this.followData(packet, flow, nowMs);
-    if (packet.fin || packet.rst) this.close(flow, nowMs);
-  }
-
-  private followData(packet: CookiePacket, flow: Flow, nowMs: number): void {
-    if (flow.dataSequence < 0 || isAfter(packet.sequence, flow.dataSequence)) {
-      flow.dataSequence = packet.sequence;
-      flow.dataAtMs = nowMs;
-      flow.failureNoted = false;
-      this.beginRequest(flow, nowMs);
-    } else if (packet.sequence === flow.dataSequence && nowMs - flow.dataAtMs >= REPETITION_MIN_MS) {
-      noteFailure(this.parts, flow, flow.dataAtMs, nowMs);
-    }
-  }
-
-  /** New data while nothing is outstanding is the begin of a request; its further packets follow at once. */
-  private beginRequest(flow: Flow, nowMs: number): void {
-    if (flow.request || !this.parts.isOn('outlier-detection')) return;
-    const { id, record } = flow.state.backend;
-    flow.request = {
-      backendId: id,
-      service: record.service,
-      routeKey: flow.serviceKey,
-      sentAtMs: nowMs,
-    };
-    this.parts.answers.begin(flow.request);
-  }
-
-  private endRequest(flow: Flow, bytes: number, nowMs: number): void {
-    if (!flow.request) return;
-    this.parts.answers.answer(flow.request, bytes, nowMs);
-    flow.request = undefined;
-  }
-
-  private close(flow: Flow, nowMs: number): void {
-    if (flow.request) this.parts.answers.abandon(flow.request);
-    flow.request = undefined;
-    this.parts.cache.close(flow, nowMs);
+    if (known) follower.follow(packet, known, backend, nowMs);
+    sender.forward(backend);
   }
 
+  /** Remembers a flow that another balancer placed, or this one before its start; undefined when the cache is full. */
   private takeOver(packet: CookiePacket, backend: KnownBackend, nowMs: number): Flow | undefined {
-    this.parts.statistics.takenOver += 1;
-    this.parts.events.emit(COOKIE_FLOW_EVENTS.takenOver, {
+    const { statistics, events, cache, states } = this.options;
+    statistics.takenOver += 1;
+    events.emit(COOKIE_FLOW_EVENTS.takenOver, {
       flow: formatFlowId(packet),
       backend: backend.id,
       service: backend.record.service,
       departed: backend.departed,
     });
-    return this.parts.cache.add(packet, this.parts.states.of(backend), 'open', nowMs);
+    return cache.add(packet, states.of(backend), 'open', nowMs);
   }
 
-  /** Answers at once for a back end that cannot, so that the caller need not wait for its deadline. */
+  /** Resets a flow at a dead back end immediately instead of letting its caller wait for its timeout. */
   private resetAtDead(packet: CookiePacket, flow: Flow | undefined, { backend }: BackendState): void {
-    if (flow) this.parts.cache.remove(flow);
-    this.parts.statistics.resets += 1;
-    this.parts.events.emit(COOKIE_FLOW_EVENTS.flowReset, {
+    const { cache, statistics, events, sender } = this.options;
+    if (flow) cache.remove(flow);
+    statistics.resets += 1;
+    events.emit(COOKIE_FLOW_EVENTS.flowReset, {
       flow: formatFlowId(packet),
       backend: backend.id,
     });
-    if (!packet.rst) this.parts.edge.sendReset();
+    if (!packet.rst) sender.reset();
   }
 
   private dropUnknown(packet: CookiePacket): void {
-    this.parts.statistics.countDrop('unknown-cookie');
-    this.parts.events.emit(COOKIE_FLOW_EVENTS.unknownCookie, {
+    const { statistics, events, knowledge } = this.options;
+    statistics.countDrop('unknown-cookie');
+    events.emit(COOKIE_FLOW_EVENTS.unknownCookie, {
       flow: formatFlowId(packet),
       cookie: packet.cookie,
-      knowledgeAgeMs: Math.round(this.parts.knowledge.age()),
+      knowledgeAgeMs: Math.round(knowledge.age()),
     });
   }
 }
-
-/** True when sequence number `left` comes after `right`, modulo 2^32. */
-function isAfter(left: number, right: number): boolean {
-  return ((left - right) | 0) > 0;
-}
--- /dev/null
+++ b/src/cookie-edge/forwarding/opening-log.ts
@@ -0,0 +1,71 @@
+/** Log events about SYNs: what became of each, and what this balancer knew at that time. */
+import type { CookiePacket } from '../../fabric/cookie-edge.js';
+import type { EventLog } from '../../observability/event.js';
+import type { BackendEligibility, Placement } from '../placement/index.js';
+import type { Route, RoutingKnowledge } from '../routing/index.js';
+import { COOKIE_FLOW_EVENTS } from './events.js';
+import type { Flow } from './flow-cache.js';
+import { formatFlowId } from './flow-id.js';
+
+/** What the log needs. */
+interface OpeningLogOptions {
+  readonly events: EventLog;
+  readonly knowledge: RoutingKnowledge;
+  readonly eligibility: BackendEligibility;
+}
+
+/** Writes the events 1250, 1251, 1252 and 1255. */
+export class OpeningLog {
+  constructor(private readonly options: OpeningLogOptions) {}
+
+  /** A new flow was placed. */
+  placed(packet: CookiePacket, route: Route, placement: Placement): void {
+    const { events, knowledge } = this.options;
+    events.emit(COOKIE_FLOW_EVENTS.opened, {
+      flow: formatFlowId(packet),
+      route: route.name,
+      service: placement.state.backend.record.service,
+      backend: placement.state.backend.id,
+      rule: placement.rule,
+      candidates: placement.candidates,
+      flowsThere: placement.state.openFlows,
+      passedOver: placement.passedOver,
+      copy: packet.retransmissionCount,
+      version: knowledge.routes()?.table.version,
+      knowledgeAgeMs: Math.round(knowledge.age()),
+    });
+  }
+
+  /** A retransmitted SYN is about to leave the back end of its flow. */
+  placedAnew(packet: CookiePacket, flow: Flow, placement: Placement): void {
+    this.options.events.emit(COOKIE_FLOW_EVENTS.placedAnew, {
+      flow: formatFlowId(packet),
+      before: flow.state.backend.id,
+      backend: placement.state.backend.id,
+      failures: flow.state.failuresInRow,
+    });
+  }
+
+  /** A new flow was refused; `route` is undefined when there is none. */
+  refused(
+    packet: CookiePacket,
+    reason: 'no-route' | 'no-backend',
+    route: Route | undefined,
+    nowMs: number,
+  ): void {
+    const { events, knowledge, eligibility } = this.options;
+    events.emit(COOKIE_FLOW_EVENTS.refused, {
+      flow: formatFlowId(packet),
+      reason,
+      route: route?.name,
+      excluded: route && JSON.stringify(eligibility.countRecordExclusions(route, nowMs)),
+      version: knowledge.routes()?.table.version,
+      knowledgeAgeMs: Math.round(knowledge.age()),
+    });
+  }
+
+  /** A SYN was dropped because it may have waited through a pause. */
+  droppedStale(packet: CookiePacket): void {
+    this.options.events.emit(COOKIE_FLOW_EVENTS.staleSyn, { flow: formatFlowId(packet) });
+  }
+}
--- /dev/null
+++ b/src/cookie-edge/forwarding/syn-rule.test.ts
@@ -0,0 +1,22 @@
+import test from 'ava';
+import type { FlowPhase } from './flow-cache.js';
+import { classifySyn, type SynKind } from './syn-rule.js';
+
+/** Retransmission count, phase of the remembered flow, whether it may have waited through a pause; what the SYN is. */
+const CASES: readonly (readonly [number, FlowPhase | undefined, boolean, SynKind])[] = [
+  [0, undefined, true, 'stale'],
+  [1, 'opening', true, 'stale'],
+  [0, undefined, false, 'new-flow'],
+  [2, undefined, false, 'new-flow'],
+  [0, 'opening', false, 'retransmission'],
+  [1, 'opening', false, 'retransmission'],
+  [0, 'open', false, 'retransmission'],
+  [0, 'closing', false, 'new-flow'],
+  [1, 'closing', false, 'retransmission'],
+];
+
+for (const [count, phase, mayHaveWaited, expected] of CASES) {
+  test(`SYN ${count} of a flow that is ${phase ?? 'unknown'}, ${mayHaveWaited ? 'after' : 'without'} a pause: ${expected}`, (t) => {
+    t.is(classifySyn(count, phase, mayHaveWaited), expected);
+  });
+}
--- a/src/cookie-edge/placement/index.ts
+++ b/src/cookie-edge/placement/index.ts
@@ -6,6 +6,6 @@
  */
 export { BackendEligibility } from './backend-eligibility.js';
 export { ColdAdmission, type ColdAdmissionOptions } from './cold-admission.js';
-export { NewFlowRule, type FlowAddresses, type NewFlowOutcome } from './new-flow-rule.js';
+export { NewFlowRule, type NewFlowOutcome } from './new-flow-rule.js';
 export { OpeningPlacement, type Placement, type PlacementRequest } from './opening-placement.js';
 export { TrafficSplitter } from './traffic-splitter.js';
--- a/src/cookie-edge/placement/new-flow-rule.ts
+++ b/src/cookie-edge/placement/new-flow-rule.ts
@@ -18,7 +18,7 @@
 import type { TrafficSplitter } from './traffic-splitter.js';
 
 /** The four-tuple of a flow. */
-export type FlowAddresses = Pick<
+type FlowAddresses = Pick<
   CookiePacket,
   'sourceAddress' | 'sourcePort' | 'destinationAddress' | 'destinationPort'
 >;
