--- a/src/cookie-edge/forwarding/constants.ts
+++ b/src/cookie-edge/forwarding/constants.ts
@@ -7,8 +7,8 @@
 export const TICK_MS = 150;
 
 /**
- * An opening that its caller does not go on with within this time, in ms, is unanswered. Derived: callers retransmit a SYN after
- * 200 ms, less 50 ms.
+ * An opening that its caller does not go on with within this time, in ms, is unanswered. Source: callers retransmit a SYN
+ * after 200 ms; 50 ms less as a margin, which is not measured.
  */
 export const OPENING_ANSWER_MS = 150;
 
@@ -26,8 +26,8 @@
 export const SHARED_SUSPECT_MS = 2_000;
 
 /**
- * Data repeated sooner than this, in ms, is a duplicate made by the network. Derived: callers retransmit after 200 ms at the
- * earliest, less 50 ms.
+ * Data repeated sooner than this, in ms, is a duplicate made by the network. Source: callers retransmit after 200 ms at the
+ * earliest; 50 ms less as a margin, which is not measured.
  */
 export const REPETITION_MIN_MS = 150;
 
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -1,4 +1,4 @@
-/** A cookie forwarder on a virtual clock, with an edge that only notes what is sent. */
+/** A cookie forwarder on a virtual clock, with an edge that records what is sent. */
 import { allBut, type Mechanism } from '../../common/mechanisms.js';
 import { VirtualClock } from '../../common/clock.js';
 import { combine32 } from '../../common/hash.js';
@@ -36,17 +36,17 @@
   readonly cookie: number;
 }
 
-/** What a balancer under test finds around it. */
+/** The environment of a balancer under test. */
 export interface HarnessSurroundings {
   /** Region of each zone. */
   readonly regions?: Readonly<Record<string, string>>;
   /** Whether it is among the owners of a cold back end; always unless given. */
   readonly isOwner?: (backendId: string) => boolean;
-  /** What a connection to a back end meets; an answer unless given. */
+  /** Outcome of a probe; answered unless given. */
   readonly probe?: ConnectProbe;
-  /** Names it in what it tells other balancers. */
+  /** Names it in its reports to other balancers. */
   readonly observer?: number;
-  /** Called with what it tells other balancers of bad answers. */
+  /** Called with its reports of bad answers. */
   readonly onBadAnswer?: (report: BadAnswerReport) => void;
 }
 
@@ -55,7 +55,7 @@
   readonly sent: SentPacket[] = [];
   /** Resets of flows other than that of the packet being handled. */
   readonly resets: ResetTarget[] = [];
-  /** Back ends of which other balancers are told that they may be dead. */
+  /** Back ends that it reported as ejected, dead or in doubt. */
   readonly told: string[] = [];
   readonly logged: { readonly event: EventDefinition; readonly fields: EventFields }[] = [];
   readonly knowledge: RoutingKnowledge;
@@ -104,7 +104,7 @@
     this.forwarder.start(this.abort.signal);
   }
 
-  /** The process stands still for `milliseconds`; then its timers go on with a late tick. */
+  /** Pauses the process for `milliseconds`; its timers continue with a late tick. */
   standStill(milliseconds: number): void {
     this.stop();
     this.clock.advance(milliseconds);
@@ -118,7 +118,7 @@
     for (const callback of this.turns.splice(0)) callback();
   }
 
-  /** Makes a complete list of back ends known, as of the highest revision so far. */
+  /** Applies a complete list of back ends, routes and cordons as of `revision`. */
   know(backends: readonly RoutedBackend[], table: Partial<RouteTable> = {}, revision = 10): this {
     const origin = { since: -1, confirmedAtMs: this.clock.now(), mayHaveLapsed: false };
     const tables = [tableAt(revision, table)];
@@ -153,7 +153,7 @@
     return this.deliver({ sourcePort: port, syn: true, retransmissionCount });
   }
 
-  /** Opens a flow and lets the caller go on with it. */
+  /** Opens a flow and completes its handshake. */
   establish(port: number): SentPacket {
     const opened = this.open(port);
     if (!opened?.backend) throw new Error('the opening was not placed');
@@ -216,7 +216,7 @@
   );
 }
 
-/** Opens flows that nobody goes on with, until `count` went to `backend`. */
+/** Opens flows until `count` of them went to `backend`; those are left unanswered. */
 export function failOpenings(
   harness: ForwarderHarness,
   backend: string,
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -95,31 +95,14 @@
 export function createCookieForwarder(environment: CookieForwarderEnvironment): CookieForwarder {
   const { clock, events, knowledge, pauses } = environment;
   const shared = createSharedParts(environment);
-  const { statistics, cookies, cache, states, pending, answers, outliers, failures, sender } = shared;
+  const { cache, states, pending, answers, outliers, failures } = shared;
   return new CookieForwarder({
     ...shared,
     clock,
     pauses,
     knowledge,
     openings: createOpeningHandler(environment, shared),
-    midFlow: new MidFlowHandler({
-      events,
-      knowledge,
-      cookies,
-      states,
-      cache,
-      sender,
-      statistics,
-      follower: new FlowFollower({
-        cache,
-        states,
-        pending,
-        answers,
-        failures,
-        statistics,
-        isOn: shared.isOn,
-      }),
-    }),
+    midFlow: createMidFlowHandler(environment, shared),
     housekeeping: new Housekeeping({
       clock,
       events,
@@ -213,3 +196,21 @@
     mayHaveWaited: (nowMs) => isOn('old-opening-guard') && pauses.mayBeOld(nowMs),
   });
 }
+
+function createMidFlowHandler(
+  { events, knowledge }: CookieForwarderEnvironment,
+  shared: SharedParts,
+): MidFlowHandler {
+  const { isOn, statistics, cookies, cache, states, pending, answers, failures, sender } = shared;
+  const follower = new FlowFollower({ cache, states, pending, answers, failures, statistics, isOn });
+  return new MidFlowHandler({
+    events,
+    knowledge,
+    cookies,
+    states,
+    cache,
+    follower,
+    sender,
+    statistics,
+  });
+}
--- a/src/cookie-edge/forwarding/flow-failures.ts
+++ b/src/cookie-edge/forwarding/flow-failures.ts
@@ -1,5 +1,5 @@
 /**
- * Reports failures of flows: unanswered openings and repeated data that nobody acknowledged. Relies on `BackendStates` for the
+ * Reports failures of flows: unanswered openings and retransmitted data. Relies on `BackendStates` for the
  * ejection and on `DeadBackends` for the probes that a failure starts.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -54,7 +54,7 @@
     expiry.check(nowMs);
   }
 
-  /** After a pause answers may have arrived unseen, so missing ones prove nothing. */
+  /** Discards pending openings and requests after a pause: with packets unread, answered ones look unanswered. */
   private checkPause(nowMs: number): void {
     const { pauses, events, pending, answers } = this.options;
     const pausedMs = pauses.noteTick(nowMs);
--- a/src/cookie-edge/forwarding/retransmission-rule.ts
+++ b/src/cookie-edge/forwarding/retransmission-rule.ts
@@ -13,7 +13,7 @@
 import type { FlowPhase } from './flow-cache.js';
 
 /** Where the SYN goes. */
-export type RetransmissionOutcome = 'first-back-end' | 'another-back-end';
+type RetransmissionOutcome = 'first-back-end' | 'another-back-end';
 
 /** True when another back end is worth choosing; a dead verdict counts as an ejection here. */
 export function mayLeaveFirstBackend(phase: FlowPhase, liveness: Liveness): boolean {
--- a/src/cookie-edge/placement/equal-candidates.ts
+++ b/src/cookie-edge/placement/equal-candidates.ts
@@ -14,7 +14,7 @@
 import { LOAD_CHOICES, LOAD_MAX_OWN_SHARE } from './constants.js';
 
 /** A candidate with its rank in the order of the flow; the highest goes first. */
-export interface RankedState {
+interface RankedState {
   readonly state: BackendState;
   readonly rank: number;
 }
--- a/src/cookie-edge/placement/replayed-load.ts
+++ b/src/cookie-edge/placement/replayed-load.ts
@@ -1,7 +1,7 @@
 /**
- * A load replayed against balancers on a virtual clock, for tests of placement: callers that open a flow for each request, and callers
- * that keep one with pauses; back ends with slots and a queue, of which some are slow or never answer. Balancers hear of each other's
- * bad answers a moment later.
+ * Replays a load against balancers on a virtual clock, for tests: callers that open a flow for each request, and callers that keep one
+ * with pauses; back ends with slots and a queue, of which some are slow or never answer. Reports of bad answers reach the other
+ * balancers after a delay.
  */
 import { VirtualClock } from '../../common/clock.js';
 import type { Mechanism } from '../../common/mechanisms.js';
@@ -42,13 +42,13 @@
 const SLOTS = 2;
 /** Standard deviation of the logarithm of the work. */
 const WORK_SPREAD = 0.5;
-/** Time in which what one balancer tells reaches the others. */
+/** Time in ms in which a report reaches the other balancers. Not measured; chosen as two to three messages, 150 ms apart. */
 const GOSSIP_MS = 400;
-/** A caller closes the flow of a request that takes longer. */
+/** A caller closes the flow of a request that takes longer than this, in ms. */
 const DEADLINE_MS = 2_000;
 const SECOND_MS = 1_000;
 
-/** See the module. */
+/** Callers, balancers and back ends of one replayed day. */
 export class ReplayedLoad {
   readonly clock = new VirtualClock();
   readonly requests: ReplayedRequest[] = [];
