--- a/src/cookie-edge/forwarding/constants.ts
+++ b/src/cookie-edge/forwarding/constants.ts
@@ -1,8 +1,8 @@
-/** Times and sizes of cookie forwarding. */
+/** Times of cookie forwarding. */
 
 /**
- * Period of the housekeeping, in ms: pending openings, pauses, ejections and expiry. Not measured; chosen to be at most the time after
- * which an opening is unanswered (`OPENING_ANSWER_MS`).
+ * Period of the housekeeping, in ms: pending openings, pauses, ejections and expiry. Not measured; chosen to be at most
+ * the 150 ms after which an opening is unanswered.
  */
 export const TICK_MS = 150;
 
@@ -32,14 +32,15 @@
 export const REPETITION_MIN_MS = 150;
 
 /**
- * A flow that is closed or still opening is remembered this long after its last packet, in ms. Not measured; chosen to outlast a
- * caller's attempt to open a flow, which ends after 1,400 ms.
+ * A flow that is closed or still opening is remembered this long after its last packet, in ms, so that its last packets and the
+ * retransmissions of its SYN are attributed. Not measured; chosen to outlast a caller's attempt to open a flow, which ends after
+ * 1,400 ms.
  */
 export const CLOSING_MS = 3_000;
 
 /**
- * Time in ms between two sweeps of the flow cache. Not measured; chosen to be short beside idle timeouts, and long enough that a
- * sweep of the whole cache is rare.
+ * Time in ms between two sweeps of the flow cache. Not measured; chosen because a flow that expires up to 1 s late does no
+ * harm, and each sweep visits every flow.
  */
 export const EXPIRY_INTERVAL_MS = 1_000;
 
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -30,7 +30,7 @@
   /** The caller's last acknowledgement number; 0 while it is opening. */
   acknowledgement: number;
   /** True when the opening, or the newest data, has counted as a failure of the back end already. */
-  failureCounted: boolean;
+  isFailureCounted: boolean;
   /** True from the SYN until the caller goes on or the opening counts as failed; kept by `PendingOpenings`. */
   awaitsAnswer: boolean;
   /** The request that its caller has sent, until answer data is acknowledged. */
@@ -72,7 +72,7 @@
       dataSequence: -1,
       dataAtMs: 0,
       acknowledgement: packet.acknowledgement,
-      failureCounted: false,
+      isFailureCounted: false,
       awaitsAnswer: false,
       request: undefined,
     };
--- a/src/cookie-edge/forwarding/flow-failures.ts
+++ b/src/cookie-edge/forwarding/flow-failures.ts
@@ -24,8 +24,8 @@
    */
   report(flow: Flow, sinceMs: number, nowMs: number): void {
     const { states, dead, isOn } = this.options;
-    if (flow.failureCounted) return;
-    flow.failureCounted = true;
+    if (flow.isFailureCounted) return;
+    flow.isFailureCounted = true;
     if (!isOn('passive-health')) return;
     states.noteFailure(flow.state, sinceMs, nowMs);
     dead.suspect(flow.state);
--- a/src/cookie-edge/forwarding/flow-follower.ts
+++ b/src/cookie-edge/forwarding/flow-follower.ts
@@ -62,7 +62,7 @@
     if (flow.dataSequence < 0 || isAfter(packet.sequence, flow.dataSequence)) {
       flow.dataSequence = packet.sequence;
       flow.dataAtMs = nowMs;
-      flow.failureCounted = false;
+      flow.isFailureCounted = false;
       this.beginRequest(flow, nowMs);
     } else if (packet.sequence === flow.dataSequence && nowMs - flow.dataAtMs >= REPETITION_MIN_MS) {
       this.options.failures.report(flow, flow.dataAtMs, nowMs);
@@ -96,7 +96,7 @@
   }
 }
 
-/** True when sequence number `left` comes after `right`, modulo 2^32. */
+/** True when sequence number `left` comes after `right` in arithmetic modulo 2^32. */
 function isAfter(left: number, right: number): boolean {
   return ((left - right) | 0) > 0;
 }
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -94,7 +94,7 @@
     pending.settle(flow);
     cache.move(flow, placement.state);
     flow.openedAtMs = nowMs;
-    flow.failureCounted = false;
+    flow.isFailureCounted = false;
     pending.add(flow);
   }
 }
