--- a/src/cookie-edge/backend-health/backend-states.ts
+++ b/src/cookie-edge/backend-health/backend-states.ts
@@ -26,15 +26,11 @@
   private newestOfOthersMs = Number.NEGATIVE_INFINITY;
   private ejectionCount = 0;
 
-  /**
-   * @param onEject called with each back end that is ejected
-   * @param onFailure called with a back end after each failure
-   */
+  /** @param onEject called with each back end that is ejected */
   constructor(
     private readonly events: EventLog,
     private readonly onEject: (state: BackendState, nowMs: number) => void,
     private readonly isOn: MechanismCheck = ALL_MECHANISMS_ON,
-    private readonly onFailure: (state: BackendState) => void = () => undefined,
   ) {}
 
   /** Ejections since start. */
@@ -82,7 +78,6 @@
     state.noteFailure(nowMs, sinceMs);
     this.failing.add(state);
     this.judge(state, nowMs);
-    this.onFailure(state);
   }
 
   /** Judges again all back ends with failures, because others may have given signs of life since. */
--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -3,11 +3,15 @@
  * Owns the probes under way, the verdicts that are renewed, and the newest back end at each address. Relies on `BackendStates` for signs
  * of life, and on the flow cache to find a back end's flows.
  */
+import type { MechanismCheck } from '../../common/mechanisms.js';
 import { pause } from '../../common/pause.js';
 import { formatEndpoint } from '../../common/types.js';
+import type { CookieEdgePort } from '../../fabric/cookie-edge.js';
+import type { EventLog } from '../../observability/event.js';
 import type { KnownBackend } from '../routing/index.js';
 import { BackendProber, type BackendProberOptions, type ProbeFinding } from './backend-prober.js';
 import type { BackendState } from './backend-state.js';
+import type { BackendStates } from './backend-states.js';
 import { DEAD_RECHECK_MS, DEAD_VERDICT_MS, MAX_PROBE_PAIRS } from './constants.js';
 import {
   decideProbe,
@@ -21,9 +25,21 @@
 } from './dead-verdict.js';
 import { COOKIE_FLOW_EVENTS } from '../forwarding/events.js';
 import { formatFlowId } from '../forwarding/flow-id.js';
-import { resetTargetOf, type ForwardingParts } from '../forwarding/forwarding-parts.js';
+import type { CookieStatistics } from '../forwarding/cookie-statistics.js';
+import type { FlowCache } from '../forwarding/flow-cache.js';
+import { resetTargetOf } from '../forwarding/reset-target.js';
+
+/** The parts of forwarding that a dead verdict reads and changes. */
+interface DeadBackendsParts {
+  readonly isOn: MechanismCheck;
+  readonly states: BackendStates;
+  readonly cache: FlowCache;
+  readonly edge: CookieEdgePort;
+  readonly statistics: CookieStatistics;
+  readonly events: EventLog;
+}
 
-/** What it needs beside the shared parts. */
+/** What it needs beside those parts. */
 interface DeadBackendsOptions extends BackendProberOptions {
   /** Called with each back end that is or may be dead, to gossip it: other daemons with flows there probe it too. */
   readonly onDoubt: (backendId: string, nowMs: number) => void;
@@ -44,7 +60,7 @@
   private readonly prober: BackendProber;
 
   constructor(
-    private readonly parts: ForwardingParts,
+    private readonly parts: DeadBackendsParts,
     private readonly options: DeadBackendsOptions,
   ) {
     this.prober = new BackendProber(options);
--- a/src/cookie-edge/forwarding/cookie-forwarder.test.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.test.ts
@@ -1,7 +1,8 @@
 import test from 'ava';
 import { backendAt, SERVICE_PORT } from '../routing/routing-test-support.js';
 import { READS_A_TURN } from '../../common/pause-detector.js';
-import { LAPSED_RECORD_MS, TICK_MS } from './constants.js';
+import { LAPSED_RECORD_MS } from '../placement/constants.js';
+import { TICK_MS } from './constants.js';
 import { backends, failOpenings, ForwarderHarness } from './cookie-test-support.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 
@@ -57,7 +58,7 @@
   harness.stop();
   harness.clock.advance(5_000);
   t.is(harness.open(2), undefined);
-  t.true(harness.events().includes(COOKIE_FLOW_EVENTS.oldOpening.number));
+  t.true(harness.events().includes(COOKIE_FLOW_EVENTS.staleSyn.number));
   t.truthy(harness.goOn(1, opened.cookie), 'open flows go on');
 });
 
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -1,4 +1,4 @@
-/** A cookie forwarder on a virtual clock, with an edge that only notes what is sent. */
+/** A cookie forwarder on a virtual clock, with an edge that records what is sent. */
 import { allBut, type Mechanism } from '../../common/mechanisms.js';
 import { VirtualClock } from '../../common/clock.js';
 import { combine32 } from '../../common/hash.js';
@@ -23,9 +23,10 @@
 } from '../routing/routing-test-support.js';
 import type { BackendState } from '../backend-health/backend-state.js';
 import { TICK_MS } from './constants.js';
-import { CookieForwarder } from './cookie-forwarder.js';
+import type { CookieForwarder } from './cookie-forwarder.js';
+import { createCookieForwarder } from './create-cookie-forwarder.js';
 import type { ConnectProbe } from '../backend-health/backend-prober.js';
-import type { PlacementRequest } from '../placement/opening-placement.js';
+import type { PlacementRequest } from '../placement/index.js';
 
 /** What the edge was asked to send. */
 export interface SentPacket {
@@ -35,17 +36,17 @@
   readonly cookie: number;
 }
 
-/** What a balancer under test finds around it. */
+/** The environment of a balancer under test. */
 export interface HarnessSurroundings {
   /** Region of each zone. */
   readonly regions?: Readonly<Record<string, string>>;
   /** Whether it is among the owners of a cold back end; always unless given. */
   readonly isOwner?: (backendId: string) => boolean;
-  /** What a connection to a back end meets; an answer unless given. */
+  /** Outcome of a probe; answered unless given. */
   readonly probe?: ConnectProbe;
-  /** Names it in what it tells other balancers. */
+  /** Names it in its reports to other balancers. */
   readonly observer?: number;
-  /** Called with what it tells other balancers of bad answers. */
+  /** Called with its reports of bad answers. */
   readonly onBadAnswer?: (report: BadAnswerReport) => void;
 }
 
@@ -54,7 +55,7 @@
   readonly sent: SentPacket[] = [];
   /** Resets of flows other than that of the packet being handled. */
   readonly resets: ResetTarget[] = [];
-  /** Back ends of which other balancers are told that they may be dead. */
+  /** Back ends that it reported as ejected, dead or in doubt. */
   readonly told: string[] = [];
   readonly logged: { readonly event: EventDefinition; readonly fields: EventFields }[] = [];
   readonly knowledge: RoutingKnowledge;
@@ -80,7 +81,7 @@
       sendResetTo: (target) => this.resets.push(target),
       keepPacket: () => () => undefined,
     };
-    this.forwarder = new CookieForwarder({
+    this.forwarder = createCookieForwarder({
       clock,
       events,
       knowledge: this.knowledge,
@@ -103,7 +104,7 @@
     this.forwarder.start(this.abort.signal);
   }
 
-  /** The process stands still for `milliseconds`; then its timers go on with a late tick. */
+  /** Pauses the process for `milliseconds`; its timers continue with a late tick. */
   standStill(milliseconds: number): void {
     this.stop();
     this.clock.advance(milliseconds);
@@ -117,7 +118,7 @@
     for (const callback of this.turns.splice(0)) callback();
   }
 
-  /** Makes a complete list of back ends known, as of the highest revision so far. */
+  /** Applies a complete list of back ends, routes and cordons as of `revision`. */
   know(backends: readonly RoutedBackend[], table: Partial<RouteTable> = {}, revision = 10): this {
     const origin = { since: -1, confirmedAtMs: this.clock.now(), mayHaveLapsed: false };
     const tables = [tableAt(revision, table)];
@@ -147,12 +148,12 @@
     return this.sent[before];
   }
 
-  /** Delivers the SYN of a caller's flow; `copy` counts its repetitions. */
-  open(port: number, copy = 0): SentPacket | undefined {
-    return this.deliver({ sourcePort: port, syn: true, acknowledgement: copy });
+  /** Delivers the SYN of a caller's flow. */
+  open(port: number, retransmissionCount = 0): SentPacket | undefined {
+    return this.deliver({ sourcePort: port, syn: true, retransmissionCount });
   }
 
-  /** Opens a flow and lets the caller go on with it. */
+  /** Opens a flow and completes its handshake. */
   establish(port: number): SentPacket {
     const opened = this.open(port);
     if (!opened?.backend) throw new Error('the opening was not placed');
@@ -175,7 +176,8 @@
   }
 }
 
-const EMPTY_PACKET: CookiePacket = {
+/** A packet without flags, cookie and data from a caller to the service `alpha`. */
+export const EMPTY_PACKET: CookiePacket = {
   sourceAddress: 0x64400007,
   sourcePort: 40_001,
   destinationAddress: SERVICE_ADDRESS,
@@ -186,23 +188,22 @@
   rst: false,
   sequence: 1,
   acknowledgement: 0,
+  retransmissionCount: 0,
   payloadBytes: 0,
   cookie: 0,
 };
 
-/** A question in which nothing but load decides, at time 0, for a flow that is told from others by `flow`. */
-export function placementQuestion(
+/** A request in which nothing but load decides, at time 0, for a flow that is told from others by `flow`. */
+export function placementRequest(
   states: ReadonlyMap<KnownBackend, BackendState>,
   flow: number,
 ): PlacementRequest {
   return {
     backends: states.keys(),
-    stateOf: (backend) => states.get(backend)!,
-    exclusionOf: () => undefined,
-    maxConnections: 1_000,
+    eligibleStateOf: (backend) => states.get(backend),
     flowHash: combine32(flow, 7),
     nowMs: 0,
-    usualAnswerMs: 10,
+    slowHandshakeMs: 10,
   };
 }
 
@@ -215,7 +216,7 @@
   );
 }
 
-/** Opens flows that nobody goes on with, until `count` went to `backend`. */
+/** Opens flows until `count` of them went to `backend`; those are left unanswered. */
 export function failOpenings(
   harness: ForwarderHarness,
   backend: string,
