--- a/contract/surfaces/wire-hashes.ts
+++ b/contract/surfaces/wire-hashes.ts
@@ -12,7 +12,7 @@
 import { bucketOf } from '../../src/gue-edge/membership/member-table.js';
 import { rendezvousScore, weightedRendezvous } from '../../src/gue-edge/placement/weighted-rendezvous.js';
 import { digestOfRoutes } from '../../src/cookie-edge/routing/route-table-change.js';
-import { askDelayMs, askIntervalMs } from '../../src/cookie-edge/spreading/asking-order.js';
+import { askDelayMs, askIntervalMs } from '../../src/cookie-edge/spreading/source-read-pacing.js';
 import { hashOfDaemon } from '../../src/cookie-edge/spreading/fleet-size.js';
 import { ReaderRole } from '../../src/cookie-edge/spreading/index.js';
 
--- a/src/cookie-edge/daemon/held-syn.test.ts
+++ b/src/cookie-edge/daemon/buffered-syn.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { mayPlaceHeldSyn } from './held-syn.js';
+import { mayPlaceHeldSyn } from './buffered-syn.js';
 
 /** A SYN in a socket that was bound so long ago, and that was read when it arrived. */
 const held = (copy: number, heldMs: number): boolean =>
--- a/src/cookie-edge/daemon/constants.ts
+++ b/src/cookie-edge/daemon/constants.ts
@@ -24,7 +24,7 @@
 
 /**
  * A held first SYN is placed when it is certainly younger than this: callers repeat a SYN after 200 ms, and its answer must be back
- * before that. Nothing in the socket is older than the binding. For copies see `held-syn.ts`.
+ * before that. Nothing in the socket is older than the binding. For copies see `buffered-syn.ts`.
  */
 export const MAX_HELD_SYN_MS = 150;
 
--- a/src/cookie-edge/daemon/startup-buffer.ts
+++ b/src/cookie-edge/daemon/startup-buffer.ts
@@ -1,7 +1,7 @@
 /**
  * Stands between the edge, which is bound first, and the forwarder, which cannot attribute a packet before routes and back
  * ends are known. What comes meanwhile is held, since its caller would repeat it only much later; a SYN only for so long
- * that its caller cannot have sent a further copy, which another balancer may have placed elsewhere (`held-syn.ts`).
+ * that its caller cannot have sent a further copy, which another balancer may have placed elsewhere (`buffered-syn.ts`).
  */
 import type { Clock } from '../../common/clock.js';
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
@@ -11,7 +11,7 @@
 import type { BoundCookieEdge } from './adapters.js';
 import { MAX_HELD_PACKETS } from './constants.js';
 import { COOKIE_DAEMON_EVENTS } from './events.js';
-import { mayPlaceHeldSyn } from './held-syn.js';
+import { mayPlaceHeldSyn } from './buffered-syn.js';
 
 /** A packet that waits for the gate to open. */
 interface BufferedPacket {
--- a/src/cookie-edge/spreading/message-composer.ts
+++ b/src/cookie-edge/spreading/message-composer.ts
@@ -5,7 +5,7 @@
 import { LOADS_A_MESSAGE, NOTHING_KNOWN, PEERS_A_MESSAGE, READERS_A_MESSAGE } from './constants.js';
 import type { PeerView } from './peer-view.js';
 import type { ReaderRole } from './reader-role.js';
-import type { RecentSuspicions } from './recent-suspicions.js';
+import type { RecentSuspicions } from './recent-ejections.js';
 import { BadAnswerOutbox } from './bad-answer-outbox.js';
 import type { KnownRevisions, PeerMessage, SpreadUpdate } from './types.js';
 import { completeUpdate, type UpdateLog } from './update-log.js';
--- a/src/cookie-edge/spreading/peer-view.test.ts
+++ b/src/cookie-edge/spreading/peer-view.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { seededRandom } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
-import { askIntervalMs } from './asking-order.js';
+import { askIntervalMs } from './source-read-pacing.js';
 import {
   ASKS_A_SECOND,
   MAX_PEERS,
--- a/src/cookie-edge/spreading/reader-role.ts
+++ b/src/cookie-edge/spreading/reader-role.ts
@@ -9,7 +9,7 @@
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { RandomSource } from '../../common/random.js';
 import type { FreshnessTimings } from '../routing/index.js';
-import { askDelayMs } from './asking-order.js';
+import { askDelayMs } from './source-read-pacing.js';
 import {
   TARGET_READERS,
   VOLUNTEER_ALONE_MS,
--- a/src/cookie-edge/spreading/recent-suspicions.test.ts
+++ b/src/cookie-edge/spreading/recent-ejections.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { SUSPICIONS_A_MESSAGE, TELL_SUSPICION_MS } from './constants.js';
-import { RecentSuspicions } from './recent-suspicions.js';
+import { RecentSuspicions } from './recent-ejections.js';
 import { SpreadingCluster } from './spreading-test-support.js';
 
 test('of each back end the newest word is told, as long as it counts', (t) => {
--- a/src/cookie-edge/spreading/asking-order.test.ts
+++ b/src/cookie-edge/spreading/source-read-pacing.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { askDelayMs, askIntervalMs } from './asking-order.js';
+import { askDelayMs, askIntervalMs } from './source-read-pacing.js';
 import { ASKS_A_SECOND, FIRST_ASKERS } from './constants.js';
 
 const SPREAD_MS = 500;
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -10,7 +10,7 @@
 import type { BadAnswerReport } from '../outliers/index.js';
 import type { EventLog } from '../../observability/event.js';
 import type { FreshnessTimings, RoutingKnowledge } from '../routing/index.js';
-import { askIntervalMs } from './asking-order.js';
+import { askIntervalMs } from './source-read-pacing.js';
 import { CatchUp } from './catch-up.js';
 import {
   GREETING_JITTER,
@@ -28,7 +28,7 @@
 import { UpdateSender } from './update-sender.js';
 import { PeerView } from './peer-view.js';
 import { ReaderRole, type RoleReason } from './reader-role.js';
-import { RecentSuspicions } from './recent-suspicions.js';
+import { RecentSuspicions } from './recent-ejections.js';
 import type { EjectionReport, PeerMessage, PeerTransport } from './types.js';
 import { UpdateLog } from './update-log.js';
 
