--- a/contract/surfaces/wire-hashes.ts
+++ b/contract/surfaces/wire-hashes.ts
@@ -12,7 +12,7 @@
 import { bucketOf } from '../../src/gue-edge/membership/member-table.js';
 import { rendezvousScore, weightedRendezvous } from '../../src/gue-edge/placement/weighted-rendezvous.js';
 import { digestOfRoutes } from '../../src/cookie-edge/routing/route-table-change.js';
-import { askDelayMs, askIntervalMs } from '../../src/cookie-edge/spreading/source-read-pacing.js';
+import { readDelayMs, readBackoffMs } from '../../src/cookie-edge/spreading/source-read-pacing.js';
 import { hashOfDaemon } from '../../src/cookie-edge/spreading/fleet-size.js';
 import { ReaderRole } from '../../src/cookie-edge/spreading/index.js';
 
@@ -178,7 +178,7 @@
     () => true,
   );
   for (let index = 1; index <= 8; index += 1) {
-    role.note({ id: `daemon-${index}`, confirmedAtMs: index === 4 ? 6_000 : 9_000 });
+    role.record({ id: `daemon-${index}`, confirmedAtMs: index === 4 ? 6_000 : 9_000 });
   }
   return role.leadingReaders(10_000, 8).map(({ id }) => id);
 }
@@ -203,7 +203,7 @@
 /** Ranks, digests and delays among the daemons of a cookie edge. */
 export function computeDaemonHashes(): Promise<unknown> {
   const delays = [0, 0.01, 0.5, 1].flatMap((turn) =>
-    [1, 30, 600].map((daemons) => [turn, daemons, askDelayMs(turn, daemons, 2_000).toPrecision(12)]),
+    [1, 30, 600].map((daemons) => [turn, daemons, readDelayMs(turn, daemons, 2_000).toPrecision(12)]),
   );
   return Promise.resolve({
     routeDigests: [[], ROUTES, ...ROUTES.map((route) => [route])].map(digestOfRoutes),
@@ -212,6 +212,6 @@
     leadingReaders: leadingReaders(),
     loadTags: loadTags(),
     askDelays: delays,
-    askIntervals: [1, 8, 9, 600].map((daemons) => [daemons, askIntervalMs(daemons)]),
+    askIntervals: [1, 8, 9, 600].map((daemons) => [daemons, readBackoffMs(daemons)]),
   });
 }
--- a/src/cookie-edge/spreading/bad-answer-outbox.ts
+++ b/src/cookie-edge/spreading/bad-answer-outbox.ts
@@ -2,7 +2,7 @@
  * Bad answers to tell other daemons about. Each daemon sends each report that is new to it in two pushes, to six peers in all, which
  * reaches a whole fleet; what one message can't hold waits for the next, the newest first. So the bytes are bounded whatever happens.
  */
-import { BAD_ANSWERS_A_MESSAGE, BAD_ANSWER_PUSHES, TELL_BAD_ANSWER_MS } from './constants.js';
+import { BAD_ANSWERS_PER_MESSAGE, BAD_ANSWER_PUSHES, BAD_ANSWER_GOSSIP_MS } from './constants.js';
 import type { BadAnswerReport } from '../outliers/index.js';
 
 /** A report with the pushes that may still carry it. */
@@ -15,7 +15,7 @@
 export class BadAnswerOutbox {
   private queue: QueuedReport[] = [];
 
-  note(report: BadAnswerReport): void {
+  add(report: BadAnswerReport): void {
     this.queue.push({ report, pushesLeft: BAD_ANSWER_PUSHES });
   }
 
@@ -26,9 +26,9 @@
 
   /** What the next push carries. */
   takeForPush(nowMs: number): BadAnswerReport[] {
-    this.queue = this.queue.filter(({ report }) => nowMs - report.atMs < TELL_BAD_ANSWER_MS);
+    this.queue = this.queue.filter(({ report }) => nowMs - report.atMs < BAD_ANSWER_GOSSIP_MS);
     const newestFirst = [...this.queue].sort((left, right) => right.report.atMs - left.report.atMs);
-    const taken = newestFirst.slice(0, BAD_ANSWERS_A_MESSAGE);
+    const taken = newestFirst.slice(0, BAD_ANSWERS_PER_MESSAGE);
     for (const queued of taken) queued.pushesLeft -= 1;
     this.queue = this.queue.filter(({ pushesLeft }) => pushesLeft > 0);
     return taken.map(({ report }) => report);
--- a/src/cookie-edge/spreading/bad-answers.test.ts
+++ b/src/cookie-edge/spreading/bad-answers.test.ts
@@ -3,8 +3,8 @@
 import {
   MAX_DATAGRAM_BYTES,
   BAD_ANSWER_GATHER_MS,
-  BAD_ANSWERS_A_MESSAGE,
-  TELL_BAD_ANSWER_MS,
+  BAD_ANSWERS_PER_MESSAGE,
+  BAD_ANSWER_GOSSIP_MS,
 } from './constants.js';
 import { encodePeerMessage, decodePeerMessage } from './message-codec.js';
 import { BadAnswerOutbox } from './bad-answer-outbox.js';
@@ -60,26 +60,26 @@
 
 test('the newest go first, each in a few pushes, and old ones not at all', (t) => {
   const outbox = new BadAnswerOutbox();
-  for (let index = 0; index < BAD_ANSWERS_A_MESSAGE + 4; index += 1) {
-    outbox.note({ backendId: `b${index}`, observer: 1, atMs: index });
+  for (let index = 0; index < BAD_ANSWERS_PER_MESSAGE + 4; index += 1) {
+    outbox.add({ backendId: `b${index}`, observer: 1, atMs: index });
   }
   const first = outbox.takeForPush(100).map(({ backendId }) => backendId);
-  t.is(first.length, BAD_ANSWERS_A_MESSAGE);
-  t.is(first[0], `b${BAD_ANSWERS_A_MESSAGE + 3}`);
+  t.is(first.length, BAD_ANSWERS_PER_MESSAGE);
+  t.is(first[0], `b${BAD_ANSWERS_PER_MESSAGE + 3}`);
   t.deepEqual(
     outbox.takeForPush(101).map(({ backendId }) => backendId),
     first,
   );
   t.is(outbox.takeForPush(102).length, 4);
   t.false(outbox.isEmpty);
-  t.deepEqual(outbox.takeForPush(100 + TELL_BAD_ANSWER_MS), []);
+  t.deepEqual(outbox.takeForPush(100 + BAD_ANSWER_GOSSIP_MS), []);
   t.true(outbox.isEmpty);
 });
 
 test('a message of bad answers is small, and its ages arrive', async (t) => {
   const cluster = await settled(7);
   const nowMs = cluster.clock.now();
-  const badAnswers = Array.from({ length: BAD_ANSWERS_A_MESSAGE }, (_unused, index) => ({
+  const badAnswers = Array.from({ length: BAD_ANSWERS_PER_MESSAGE }, (_unused, index) => ({
     backendId: `i-012345678${index}`,
     observer: 0xffff_ffff - index,
     atMs: nowMs - 100 * index,
--- a/src/cookie-edge/spreading/catch-up.ts
+++ b/src/cookie-edge/spreading/catch-up.ts
@@ -8,7 +8,7 @@
 import type { EventLog } from '../../observability/event.js';
 import type { RoutingKnowledge, RoutingTopic } from '../routing/index.js';
 import {
-  ANSWER_WAIT_MS,
+  RESPONSE_TIMEOUT_MS,
   FAR_FETCH_SPREAD_MS,
   FAR_FETCH_WAIT_MS,
   FETCH_INTERVAL_MS,
@@ -28,9 +28,9 @@
   readonly knowledge: RoutingKnowledge;
   readonly transport: PeerTransport;
   /** Sends a question. */
-  readonly ask: (peer: Endpoint) => void;
+  readonly sendRequest: (peer: Endpoint) => void;
   /** Takes a fetched message in. */
-  readonly take: (message: PeerMessage, from: Endpoint) => void;
+  readonly apply: (message: PeerMessage, from: Endpoint) => void;
 }
 
 /** See the module. */
@@ -52,7 +52,7 @@
   }
 
   /** Notes a message of a peer after which nothing is missing. */
-  noteNothingMissing(from: Endpoint): void {
+  recordNothingMissing(from: Endpoint): void {
     if (this.question?.peer === formatEndpoint(from)) this.question = undefined;
   }
 
@@ -60,12 +60,16 @@
    * Asks for what is missing; the answer comes from the peer's log if it fits. One question is under way at a time, since
    * many tell of the same change at once. Who knows nothing, or lacks something after an answer, fetches.
    */
-  fill(missing: readonly RoutingTopic[], { senderZone, confirmations }: PeerMessage, from: Endpoint): void {
+  requestMissing(
+    missing: readonly RoutingTopic[],
+    { senderZone, confirmations }: PeerMessage,
+    from: Endpoint,
+  ): void {
     const { clock, knowledge, zone } = this.options;
     const nowMs = clock.now();
     const isNew = missing.some((topic) => knowledge.revisionOf(topic) === NOTHING_KNOWN);
     const wasAnswered = this.question?.peer === formatEndpoint(from);
-    const isWaiting = this.question !== undefined && nowMs - this.question.atMs < ANSWER_WAIT_MS;
+    const isWaiting = this.question !== undefined && nowMs - this.question.atMs < RESPONSE_TIMEOUT_MS;
     if (!isNew && !wasAnswered) {
       if (!isWaiting) this.askFor(from, nowMs);
       return;
@@ -94,7 +98,7 @@
 
   private askFor(from: Endpoint, nowMs: number): void {
     this.question = { peer: formatEndpoint(from), atMs: nowMs };
-    this.options.ask(from);
+    this.options.sendRequest(from);
   }
 
   /** Fetches from a peer of another zone, unless a nearer one makes that needless meanwhile. */
@@ -108,7 +112,7 @@
   }
 
   private async fetch(from: Endpoint, known?: KnownRevisions): Promise<void> {
-    const { clock, transport, events, knowledge, take } = this.options;
+    const { clock, transport, events, knowledge, apply } = this.options;
     const askedAtMs = clock.now();
     if (this.fetching || askedAtMs - this.lastFetchMs < FETCH_INTERVAL_MS) return;
     this.fetching = true;
@@ -126,6 +130,6 @@
       bytes: answer.value.length,
       ageMs: Number.isFinite(ageMs) ? Math.round(ageMs) : undefined,
     });
-    take(message, from);
+    apply(message, from);
   }
 }
--- a/src/cookie-edge/spreading/constants.ts
+++ b/src/cookie-edge/spreading/constants.ts
@@ -20,8 +20,8 @@
  * Daemons without a confirmation ask the source one after the other: this many within the first spread, and this many in each
  * second afterwards. With 32 askers, one of them reaches a source that refuses nine of ten daemons with a probability of 0.97.
  */
-export const FIRST_ASKERS = 32;
-export const ASKS_A_SECOND = 8;
+export const FIRST_READS = 32;
+export const READS_PER_SECOND = 8;
 
 /** A daemon without a message from any peer for this long, in ms, acts as if it were the only one. */
 export const ALONE_AFTER_MS = 1_500;
@@ -52,7 +52,7 @@
 export const CHANGE_GATHER_MS = 100;
 
 /** Time-out of a pull for missing changes, in ms; then another peer is asked. */
-export const ANSWER_WAIT_MS = 100;
+export const RESPONSE_TIMEOUT_MS = 100;
 
 /** Added to the age of received data for the network delay, in ms: above the one-way delay within a region. */
 export const TRANSIT_MS = 5;
@@ -64,16 +64,16 @@
  * Time in ms between two pushes for suspicions of back ends: the first one goes out at once, those of a lost zone together. Without it
  * each of them would be pushed within `CONFIRMATION_GATHER_MS`, 20 times a second.
  */
-export const SUSPICION_GATHER_MS = 200;
+export const EJECTION_GATHER_MS = 200;
 
 /** An ejection is gossiped this long, in ms: as long as other daemons act on it (`SHARED_SUSPECT_MS` in flow/cookie). */
-export const TELL_SUSPICION_MS = 2_000;
+export const EJECTION_GOSSIP_MS = 2_000;
 
 /** Suspected back ends told about in one message. */
-export const SUSPICIONS_A_MESSAGE = 8;
+export const EJECTIONS_PER_MESSAGE = 8;
 
 /** Bad answers told about in one message: about 200 bytes. */
-export const BAD_ANSWERS_A_MESSAGE = 8;
+export const BAD_ANSWERS_PER_MESSAGE = 8;
 
 /** Pushes, to three peers each, in which a daemon tells of a bad answer that is new to it: with six, one in 400 daemons misses it. */
 export const BAD_ANSWER_PUSHES = 2;
@@ -85,16 +85,16 @@
 export const BAD_ANSWER_GATHER_MS = 150;
 
 /** A bad answer is told on for this long, in ms: others count it while it is younger than `REPORT_VALID_MS` in outliers. */
-export const TELL_BAD_ANSWER_MS = 2_000;
+export const BAD_ANSWER_GOSSIP_MS = 2_000;
 
 /** Load reports in one message: one of `MAX_REPORTED` back ends takes about half of a datagram. */
-export const LOADS_A_MESSAGE = 1;
+export const LOADS_PER_MESSAGE = 1;
 
 /** Peers told about in one message. */
-export const PEERS_A_MESSAGE = 4;
+export const PEERS_PER_MESSAGE = 4;
 
 /** Readers told about in one message, besides the sender. */
-export const READERS_A_MESSAGE = 3;
+export const READERS_PER_MESSAGE = 3;
 
 /** Peers that are remembered at once; beyond, random ones make room. */
 export const MAX_PEERS = 128;
--- a/src/cookie-edge/spreading/fleet-size.ts
+++ b/src/cookie-edge/spreading/fleet-size.ts
@@ -47,7 +47,7 @@
   }
 
   /** Notes that a daemon was heard of at `heardAtMs`. */
-  note(endpoint: Endpoint, zone: string, heardAtMs: number): void {
+  record(endpoint: Endpoint, zone: string, heardAtMs: number): void {
     const hash = hashOfDaemon(endpoint);
     const largest = this.sample.at(-1)?.hash ?? HASHES;
     if (this.sample.length >= SIZE_SAMPLE && hash > largest) return;
--- a/src/cookie-edge/spreading/load-report-size.test.ts
+++ b/src/cookie-edge/spreading/load-report-size.test.ts
@@ -3,9 +3,9 @@
 import { MAX_REPORTED, TAG_MASK } from '../load/constants.js';
 import {
   MAX_DATAGRAM_BYTES,
-  READERS_A_MESSAGE,
-  BAD_ANSWERS_A_MESSAGE,
-  SUSPICIONS_A_MESSAGE,
+  READERS_PER_MESSAGE,
+  BAD_ANSWERS_PER_MESSAGE,
+  EJECTIONS_PER_MESSAGE,
 } from './constants.js';
 import { encodePeerMessage } from './message-codec.js';
 import type { PeerMessage } from './types.js';
@@ -24,15 +24,15 @@
     updates: [],
     departedCount: 200,
     tableRevision: 1_000_000,
-    readers: Array.from({ length: READERS_A_MESSAGE + 1 }, (_, index) => ({
+    readers: Array.from({ length: READERS_PER_MESSAGE + 1 }, (_, index) => ({
       id: `frontend-halle-mitte-10${index}`,
       confirmedAtMs: 0,
     })),
-    suspicions: Array.from({ length: SUSPICIONS_A_MESSAGE }, (_, index) => ({
+    suspicions: Array.from({ length: EJECTIONS_PER_MESSAGE }, (_, index) => ({
       backendId: `i-012345678${index}`,
       atMs: 0,
     })),
-    badAnswers: Array.from({ length: BAD_ANSWERS_A_MESSAGE }, (_, index) => ({
+    badAnswers: Array.from({ length: BAD_ANSWERS_PER_MESSAGE }, (_, index) => ({
       backendId: `i-012345678${index}`,
       observer: 0xffff_ffff,
       atMs: 0,
--- a/src/cookie-edge/spreading/message-composer.ts
+++ b/src/cookie-edge/spreading/message-composer.ts
@@ -2,10 +2,10 @@
 import type { Clock } from '../../common/clock.js';
 import type { LoadReport } from '../load/index.js';
 import type { RoutingKnowledge, RoutingTopic, TopicConfirmation } from '../routing/index.js';
-import { LOADS_A_MESSAGE, NOTHING_KNOWN, PEERS_A_MESSAGE, READERS_A_MESSAGE } from './constants.js';
+import { LOADS_PER_MESSAGE, NOTHING_KNOWN, PEERS_PER_MESSAGE, READERS_PER_MESSAGE } from './constants.js';
 import type { PeerView } from './peer-view.js';
 import type { ReaderRole } from './reader-role.js';
-import type { RecentSuspicions } from './recent-ejections.js';
+import type { RecentEjections } from './recent-ejections.js';
 import { BadAnswerOutbox } from './bad-answer-outbox.js';
 import type { KnownRevisions, PeerMessage, SpreadUpdate } from './types.js';
 import { completeUpdate, type UpdateLog } from './update-log.js';
@@ -19,7 +19,7 @@
   readonly peers: PeerView;
   readonly role: ReaderRole;
   readonly log: UpdateLog;
-  readonly suspicions: RecentSuspicions;
+  readonly ejections: RecentEjections;
 }
 
 /** See the module. */
@@ -34,7 +34,7 @@
   constructor(private readonly options: MessageComposerOptions) {}
 
   /** Notes that the source just confirmed something to this daemon. */
-  noteOwnConfirmation(): void {
+  recordOwnConfirmation(): void {
     this.ownConfirmationMs = this.options.clock.now();
   }
 
@@ -44,7 +44,7 @@
   }
 
   /** Asks for what this daemon lacks. */
-  question(): PeerMessage {
+  pullRequest(): PeerMessage {
     return this.message('pull', []);
   }
 
@@ -54,7 +54,7 @@
   }
 
   /** What the asker lacks, as far as the log reaches back. */
-  answer(question: PeerMessage): PeerMessage {
+  pullResponse(question: PeerMessage): PeerMessage {
     const { knowledge, log } = this.options;
     const updates = knowledge.topics.flatMap((topic) => {
       const revision = question.confirmations[topic]?.revision ?? NOTHING_KNOWN;
@@ -106,12 +106,12 @@
   }
 
   /** Adds a report to the next push without changes, in place of an older one of its page. */
-  noteLoad(report: LoadReport): void {
-    this.loads = [...this.loads.filter(({ page }) => page !== report.page), report].slice(-LOADS_A_MESSAGE);
+  addLoadReport(report: LoadReport): void {
+    this.loads = [...this.loads.filter(({ page }) => page !== report.page), report].slice(-LOADS_PER_MESSAGE);
   }
 
   private message(type: PeerMessage['type'], updates: readonly SpreadUpdate[]): PeerMessage {
-    const { selfId, zone, knowledge, clock, role, peers, suspicions } = this.options;
+    const { selfId, zone, knowledge, clock, role, peers, ejections } = this.options;
     const nowMs = clock.now();
     const hasConfirmed = role.isReading && Number.isFinite(this.ownConfirmationMs);
     const self = hasConfirmed ? [{ id: selfId, confirmedAtMs: this.ownConfirmationMs }] : [];
@@ -122,13 +122,13 @@
       leaving: false,
       updates,
       confirmations: confirmationsOf(knowledge),
-      suspicions: suspicions.recent(nowMs),
+      suspicions: ejections.recent(nowMs),
       loads: [],
       badAnswers: [],
       departedCount: knowledge.backends.departedCount,
       tableRevision: knowledge.tableRevision,
-      readers: [...self, ...role.leadingReaders(nowMs, READERS_A_MESSAGE)],
-      peers: peers.introduce(PEERS_A_MESSAGE),
+      readers: [...self, ...role.leadingReaders(nowMs, READERS_PER_MESSAGE)],
+      peers: peers.introduce(PEERS_PER_MESSAGE),
     };
   }
 }
--- a/src/cookie-edge/spreading/owners.test.ts
+++ b/src/cookie-edge/spreading/owners.test.ts
@@ -18,7 +18,7 @@
   return addresses.map((self, index) => {
     const random = seededRandom(index + 1);
     const view = new PeerView({ self, zone: 'z', random, events: SILENT_EVENT_LOG });
-    for (const peer of addresses) view.note(peer, 'z', 0);
+    for (const peer of addresses) view.record(peer, 'z', 0);
     return view;
   });
 }
--- a/src/cookie-edge/spreading/peer-view.test.ts
+++ b/src/cookie-edge/spreading/peer-view.test.ts
@@ -2,11 +2,11 @@
 import test from 'ava';
 import { seededRandom } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
-import { askIntervalMs } from './source-read-pacing.js';
+import { readBackoffMs } from './source-read-pacing.js';
 import {
-  ASKS_A_SECOND,
+  READS_PER_SECOND,
   MAX_PEERS,
-  PEERS_A_MESSAGE,
+  PEERS_PER_MESSAGE,
   PEER_FORGET_MS,
   SIZE_SAMPLE_FORGET_MS,
 } from './constants.js';
@@ -34,15 +34,15 @@
   const view = viewOf(0);
   const random = seededRandom(daemons);
   for (let heard = 0; heard < daemons * 8; heard += 1) {
-    view.note(endpointOf(Math.floor(random() * daemons)), 'a', 0);
+    view.record(endpointOf(Math.floor(random() * daemons)), 'a', 0);
   }
-  view.noteDirect(endpointOf(1), 'a', 0);
+  view.recordDirect(endpointOf(1), 'a', 0);
   return view;
 }
 
 test('a small fleet is counted exactly', (t) => {
   const view = viewOf(0);
-  for (let index = 0; index < 30; index += 1) view.noteDirect(endpointOf(index), 'a', 0);
+  for (let index = 0; index < 30; index += 1) view.recordDirect(endpointOf(index), 'a', 0);
   t.is(view.fleetSize, 30);
   t.is(view.reachableDaemons(0), 30);
 });
@@ -56,8 +56,8 @@
 
   test(`${daemons} daemons without a confirmation together keep to the pace of asks`, (t) => {
     const view = viewThatHeardOf(daemons);
-    const asksASecond = (daemons * MS_A_SECOND) / askIntervalMs(view.reachableDaemons(0));
-    t.true(asksASecond < ASKS_A_SECOND * 1.7, String(asksASecond));
+    const asksASecond = (daemons * MS_A_SECOND) / readBackoffMs(view.reachableDaemons(0));
+    t.true(asksASecond < READS_PER_SECOND * 1.7, String(asksASecond));
   });
 }
 
@@ -82,8 +82,8 @@
 
 /** One message from the daemon of `index` to another. */
 function tell(from: PeerView | undefined, index: number, to: PeerView | undefined, nowMs: number): void {
-  to?.noteDirect(endpointOf(index), 'a', nowMs);
-  for (const peer of from?.introduce(PEERS_A_MESSAGE) ?? []) to?.note(peer.endpoint, 'a', peer.heardAtMs);
+  to?.recordDirect(endpointOf(index), 'a', nowMs);
+  for (const peer of from?.introduce(PEERS_PER_MESSAGE) ?? []) to?.record(peer.endpoint, 'a', peer.heardAtMs);
 }
 
 function indexOf({ host }: Endpoint): number {
@@ -109,7 +109,7 @@
 
 test('a daemon that says that it stops no longer counts', (t) => {
   const view = viewOf(0);
-  for (const index of [1, 2]) view.noteDirect(endpointOf(index), 'a', 0);
+  for (const index of [1, 2]) view.recordDirect(endpointOf(index), 'a', 0);
   view.remove(endpointOf(1));
   t.is(view.fleetSize, 2);
 });
--- a/src/cookie-edge/spreading/peer-view.ts
+++ b/src/cookie-edge/spreading/peer-view.ts
@@ -40,10 +40,10 @@
   }
 
   /** Notes that a peer was heard of at `heardAtMs`, directly or by another. */
-  note(endpoint: Endpoint, zone: string, heardAtMs: number): void {
+  record(endpoint: Endpoint, zone: string, heardAtMs: number): void {
     const key = formatEndpoint(endpoint);
     if (key === this.selfText) return;
-    this.sketch.note(endpoint, zone, heardAtMs);
+    this.sketch.record(endpoint, zone, heardAtMs);
     const known = this.peers.get(key);
     if (known?.zone === zone) {
       known.heardAtMs = Math.max(known.heardAtMs, heardAtMs);
@@ -86,9 +86,9 @@
   }
 
   /** Notes that a peer itself said something. */
-  noteDirect(endpoint: Endpoint, zone: string, nowMs: number): void {
+  recordDirect(endpoint: Endpoint, zone: string, nowMs: number): void {
     this.heardDirectlyMs = nowMs;
-    this.note(endpoint, zone, nowMs);
+    this.record(endpoint, zone, nowMs);
   }
 
   /** Removes a peer that said that it stops. */
--- a/src/cookie-edge/spreading/reader-role.ts
+++ b/src/cookie-edge/spreading/reader-role.ts
@@ -9,7 +9,7 @@
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { RandomSource } from '../../common/random.js';
 import type { FreshnessTimings } from '../routing/index.js';
-import { askDelayMs } from './source-read-pacing.js';
+import { readDelayMs } from './source-read-pacing.js';
 import {
   TARGET_READERS,
   VOLUNTEER_ALONE_MS,
@@ -55,7 +55,7 @@
   private readonly rank: number;
   private volunteerAtMs: number | undefined;
   /** Random position among the daemons that lack a confirmation, from 0 (asks first) to 1. */
-  private overdueTurn: number;
+  private overduePosition: number;
   private reading = false;
   private startedAtMs: number | undefined;
   private hasHeardOfReaders = false;
@@ -67,7 +67,7 @@
     private readonly isOn: MechanismCheck,
   ) {
     this.rank = rankOf(selfId);
-    this.overdueTurn = random();
+    this.overduePosition = random();
   }
 
   /** True while this daemon reads. */
@@ -76,7 +76,7 @@
   }
 
   /** Records that another daemon is a reader. */
-  note({ id, confirmedAtMs }: ReaderSighting): void {
+  record({ id, confirmedAtMs }: ReaderSighting): void {
     if (id === this.selfId) return;
     this.hasHeardOfReaders = true;
     const known = this.sightings.get(id);
@@ -123,7 +123,7 @@
     if (!this.isOn('standing-down') || !isCurrent || before.length < TARGET_READERS) return undefined;
     this.reading = false;
     this.volunteerAtMs = undefined;
-    this.overdueTurn = this.random();
+    this.overduePosition = this.random();
     return 'enough-readers';
   }
 
@@ -140,8 +140,8 @@
     const unconfirmedMs = Math.min(ageMs, nowMs - (this.startedAtMs ?? nowMs));
     if (unconfirmedMs >= readAfterMs) {
       const waitMs = this.isOn('asking-turns')
-        ? askDelayMs(this.overdueTurn, daemons, readSpreadMs)
-        : this.overdueTurn * readSpreadMs;
+        ? readDelayMs(this.overduePosition, daemons, readSpreadMs)
+        : this.overduePosition * readSpreadMs;
       return unconfirmedMs >= readAfterMs + waitMs ? this.startReading('overdue') : undefined;
     }
 
@@ -152,7 +152,10 @@
     }
     const aloneMs = this.hasHeardOfReaders ? VOLUNTEER_ALONE_MS : VOLUNTEER_AT_START_MS;
     const spreadMs = others.length === 0 ? aloneMs : VOLUNTEER_SECOND_MS;
-    this.volunteerAtMs = Math.min(this.volunteerAtMs ?? Infinity, nowMs + this.turn() * spreadMs);
+    this.volunteerAtMs = Math.min(
+      this.volunteerAtMs ?? Infinity,
+      nowMs + this.volunteerPosition() * spreadMs,
+    );
     return nowMs >= this.volunteerAtMs ? this.startReading('too-few-readers') : undefined;
   }
 
@@ -162,7 +165,7 @@
   }
 
   /** Delay as a part of the spread, 0 to 1: higher ranks act first. */
-  private turn(): number {
+  private volunteerPosition(): number {
     return (1 - TURN_RANDOM_SHARE) * (1 - this.rank / RANKS) + TURN_RANDOM_SHARE * this.random();
   }
 }
--- a/src/cookie-edge/spreading/recent-ejections.test.ts
+++ b/src/cookie-edge/spreading/recent-ejections.test.ts
@@ -1,27 +1,27 @@
 import test from 'ava';
-import { SUSPICIONS_A_MESSAGE, TELL_SUSPICION_MS } from './constants.js';
-import { RecentSuspicions } from './recent-ejections.js';
+import { EJECTIONS_PER_MESSAGE, EJECTION_GOSSIP_MS } from './constants.js';
+import { RecentEjections } from './recent-ejections.js';
 import { SpreadingCluster } from './spreading-test-support.js';
 
 test('of each back end the newest word is told, as long as it counts', (t) => {
-  const suspicions = new RecentSuspicions();
-  suspicions.note({ backendId: 'a', atMs: 100 });
-  suspicions.note({ backendId: 'b', atMs: 300 });
-  suspicions.note({ backendId: 'a', atMs: 200 });
-  suspicions.note({ backendId: 'a', atMs: 50 });
+  const suspicions = new RecentEjections();
+  suspicions.record({ backendId: 'a', atMs: 100 });
+  suspicions.record({ backendId: 'b', atMs: 300 });
+  suspicions.record({ backendId: 'a', atMs: 200 });
+  suspicions.record({ backendId: 'a', atMs: 50 });
   t.deepEqual(suspicions.recent(300), [
     { backendId: 'b', atMs: 300 },
     { backendId: 'a', atMs: 200 },
   ]);
-  t.deepEqual(suspicions.recent(200 + TELL_SUSPICION_MS), [{ backendId: 'b', atMs: 300 }]);
-  t.deepEqual(suspicions.recent(300 + TELL_SUSPICION_MS), []);
+  t.deepEqual(suspicions.recent(200 + EJECTION_GOSSIP_MS), [{ backendId: 'b', atMs: 300 }]);
+  t.deepEqual(suspicions.recent(300 + EJECTION_GOSSIP_MS), []);
 });
 
 test('a message carries the newest ones only', (t) => {
-  const suspicions = new RecentSuspicions();
-  for (let index = 0; index < 30; index += 1) suspicions.note({ backendId: `b-${index}`, atMs: index });
+  const suspicions = new RecentEjections();
+  for (let index = 0; index < 30; index += 1) suspicions.record({ backendId: `b-${index}`, atMs: index });
   const told = suspicions.recent(30).map(({ backendId }) => backendId);
-  t.is(told.length, SUSPICIONS_A_MESSAGE);
+  t.is(told.length, EJECTIONS_PER_MESSAGE);
   t.is(told[0], 'b-29');
 });
 
--- a/src/cookie-edge/spreading/source-outage.test.ts
+++ b/src/cookie-edge/spreading/source-outage.test.ts
@@ -1,6 +1,6 @@
 /** Daemons while the source does not answer some or all of them, and when it comes back. */
 import test from 'ava';
-import { ASKS_A_SECOND, FIRST_ASKERS, TARGET_READERS } from './constants.js';
+import { READS_PER_SECOND, FIRST_READS, TARGET_READERS } from './constants.js';
 import {
   faultReaders,
   settled,
@@ -37,7 +37,7 @@
       await cluster.clock.advanceAsync(OUTAGE_S * 1_000, 10);
       calls.push(cluster.source.calls - before);
     }
-    const most = CALLS_AN_ASK * (FIRST_ASKERS + OUTAGE_S * (ASKS_A_SECOND + TARGET_READERS));
+    const most = CALLS_AN_ASK * (FIRST_READS + OUTAGE_S * (READS_PER_SECOND + TARGET_READERS));
     for (const number of calls) t.true(number <= most, `${calls.join(' and ')} calls`);
   });
 }
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -10,7 +10,7 @@
 import type { BadAnswerReport } from '../outliers/index.js';
 import type { EventLog } from '../../observability/event.js';
 import type { FreshnessTimings, RoutingKnowledge } from '../routing/index.js';
-import { askIntervalMs } from './source-read-pacing.js';
+import { readBackoffMs } from './source-read-pacing.js';
 import { CatchUp } from './catch-up.js';
 import {
   GREETING_JITTER,
@@ -28,7 +28,7 @@
 import { UpdateSender } from './update-sender.js';
 import { PeerView } from './peer-view.js';
 import { ReaderRole, type RoleReason } from './reader-role.js';
-import { RecentSuspicions } from './recent-ejections.js';
+import { RecentEjections } from './recent-ejections.js';
 import type { EjectionReport, PeerMessage, PeerTransport } from './types.js';
 import { UpdateLog } from './update-log.js';
 
@@ -86,7 +86,7 @@
   private readonly peers: PeerView;
   private readonly role: ReaderRole;
   private readonly isOn: MechanismCheck;
-  private readonly suspicions = new RecentSuspicions();
+  private readonly ejections = new RecentEjections();
   private readonly composer: MessageComposer;
   private readonly sender: UpdateSender;
   private readonly catchUp: CatchUp;
@@ -102,8 +102,8 @@
     const log = new UpdateLog(isOn);
     const peers = (this.peers = new PeerView({ self: transport.endpoint, zone, random, events }));
     const role = (this.role = new ReaderRole(selfId, random, timings, isOn));
-    const { suspicions } = this;
-    const composer = new MessageComposer({ selfId, zone, clock, knowledge, peers, role, log, suspicions });
+    const { ejections } = this;
+    const composer = new MessageComposer({ selfId, zone, clock, knowledge, peers, role, log, ejections });
     const send = (to: readonly Endpoint[], message: PeerMessage): void => this.send(to, message);
     this.composer = composer;
     this.sender = new UpdateSender({ clock, knowledge, peers, log, composer, isOn, send });
@@ -114,8 +114,8 @@
       events,
       knowledge,
       transport,
-      ask: (peer) => this.ask(peer),
-      take: (message, from) => this.take(message, from),
+      sendRequest: (peer) => this.sendPullRequest(peer),
+      apply: (message, from) => this.apply(message, from),
     });
     knowledge.subscribe((applied) => this.sender.onApplied(applied));
     transport.serve(
@@ -156,7 +156,7 @@
     const { clock, knowledge, timings } = this.options;
     if (!this.isOn('asking-turns') || !knowledge.isComplete()) return 0;
     if (knowledge.age() < timings.pullAfterMs) return 0;
-    return askIntervalMs(this.peers.reachableDaemons(clock.now()));
+    return readBackoffMs(this.peers.reachableDaemons(clock.now()));
   }
 
   /** Sends a pull to the seeds and runs until `signal` aborts. */
@@ -187,24 +187,24 @@
    * moment share a message.
    */
   gossipEjection(suspicion: EjectionReport): void {
-    this.suspicions.note(suspicion);
-    this.sender.pushSuspicions();
+    this.ejections.record(suspicion);
+    this.sender.pushEjections();
   }
 
   /** Tells other daemons of a bad answer. Those of a moment share a message. */
   gossipBadAnswer(report: BadAnswerReport): void {
-    this.composer.badAnswers.note(report);
+    this.composer.badAnswers.add(report);
     this.sender.pushBadAnswers();
   }
 
   /** Takes in a report of the back ends' load; if it is new here, the next push without changes carries it. */
   gossipLoad(report: LoadReport): void {
-    if (this.options.applyLoadReport?.(report)) this.composer.noteLoad(report);
+    if (this.options.applyLoadReport?.(report)) this.composer.addLoadReport(report);
   }
 
   /** To be called after each answer of the source: the confirmation is gossiped. */
   noteOwnConfirmation(): void {
-    this.composer.noteOwnConfirmation();
+    this.composer.recordOwnConfirmation();
     this.sender.pushSoon();
   }
 
@@ -233,7 +233,7 @@
     this.nextGreetingMs =
       nowMs + jitter(isAlone ? GREETING_MIN_MS : GREETING_MAX_MS, GREETING_JITTER, random);
     const greeted = isAlone || seeds.length === 0 ? seeds : [pick(seeds, random)];
-    this.send(greeted, this.composer.question());
+    this.send(greeted, this.composer.pullRequest());
   }
 
   private receive(bytes: Uint8Array, from: Endpoint): void {
@@ -249,14 +249,14 @@
       return;
     }
     if (message.leaving) this.peers.remove(from);
-    else this.peers.noteDirect(from, message.senderZone, nowMs);
-    for (const { endpoint, zone, heardAtMs } of message.peers) this.peers.note(endpoint, zone, heardAtMs);
-    if (message.type === 'pull') return this.send([from], this.composer.answer(message));
-    this.take(message, from);
+    else this.peers.recordDirect(from, message.senderZone, nowMs);
+    for (const { endpoint, zone, heardAtMs } of message.peers) this.peers.record(endpoint, zone, heardAtMs);
+    if (message.type === 'pull') return this.send([from], this.composer.pullResponse(message));
+    this.apply(message, from);
   }
 
   /** Applies a message; pulls from the sender what is missing. */
-  private take(message: PeerMessage, from: Endpoint): void {
+  private apply(message: PeerMessage, from: Endpoint): void {
     const { knowledge } = this.options;
     const mayBeOld = this.options.mayBeOld();
     const mayHaveLapsed = this.options.recordsMayLapse();
@@ -265,39 +265,39 @@
       knowledge.apply(topic, update, { since, confirmedAtMs: Number.NEGATIVE_INFINITY, mayHaveLapsed });
     }
     if (mayBeOld) return;
-    message.readers.forEach((reader) => this.role.note(reader));
+    message.readers.forEach((reader) => this.role.record(reader));
     message.loads.forEach((report) => this.gossipLoad(report));
-    message.suspicions.forEach((suspicion) => this.takeSuspicion(suspicion));
-    message.badAnswers.forEach((report) => this.takeBadAnswer(report));
+    message.suspicions.forEach((suspicion) => this.applyEjectionReport(suspicion));
+    message.badAnswers.forEach((report) => this.applyBadAnswerReport(report));
     const missing = knowledge.topics.filter((topic) => {
       const confirmation = message.confirmations[topic];
       return confirmation !== undefined && !knowledge.acceptConfirmation(topic, confirmation);
     });
     if (message.departedCount > 0) this.catchUp.learnDeparted(from);
-    if (missing.length > 0) return this.catchUp.fill(missing, message, from);
-    this.catchUp.noteNothingMissing(from);
+    if (missing.length > 0) return this.catchUp.requestMissing(missing, message, from);
+    this.catchUp.recordNothingMissing(from);
     if (ageBeforeMs - knowledge.age() >= CONFIRMATION_STEP_MS) this.sender.pushSoon();
   }
 
   /** Passes a new suspicion on at once. */
-  private takeSuspicion(suspicion: EjectionReport): void {
+  private applyEjectionReport(suspicion: EjectionReport): void {
     if (this.options.applyEjectionReport?.(suspicion)) this.gossipEjection(suspicion);
   }
 
-  private takeBadAnswer(report: BadAnswerReport): void {
+  private applyBadAnswerReport(report: BadAnswerReport): void {
     if (this.options.applyBadAnswerReport?.(report)) this.gossipBadAnswer(report);
   }
 
-  private ask(peer: Endpoint): void {
+  private sendPullRequest(peer: Endpoint): void {
     this.counts.pulls += 1;
-    this.send([peer], this.composer.question());
+    this.send([peer], this.composer.pullRequest());
   }
 
   private pull(nowMs: number): void {
     if (nowMs - this.lastPullMs < PULL_INTERVAL_MS) return;
     this.lastPullMs = nowMs;
     const chosen = this.peers.sample(PULL_FANOUT).map(({ endpoint }) => endpoint);
-    for (const endpoint of chosen.length > 0 ? chosen : this.options.seeds()) this.ask(endpoint);
+    for (const endpoint of chosen.length > 0 ? chosen : this.options.seeds()) this.sendPullRequest(endpoint);
   }
 
   /** Encodes the message once for all of them: that takes longer than sending it. */
--- a/src/cookie-edge/spreading/table-consistency.test.ts
+++ b/src/cookie-edge/spreading/table-consistency.test.ts
@@ -46,7 +46,7 @@
 
   constructor() {
     this.knowledge.subscribe(({ topic, update, since }) =>
-      this.log.note({ topic, since: update.complete ? -1 : since, update }),
+      this.log.record({ topic, since: update.complete ? -1 : since, update }),
     );
   }
 
--- a/src/cookie-edge/spreading/update-log.test.ts
+++ b/src/cookie-edge/spreading/update-log.test.ts
@@ -13,7 +13,7 @@
   let since = 0;
   for (const revision of revisions) {
     const backends = [backendAt(`b-${revision}`, revision), backendAt('often', revision)];
-    log.note({ topic: 'backends', since, update: updateAt(revision, { backends }) });
+    log.record({ topic: 'backends', since, update: updateAt(revision, { backends }) });
     since = revision;
   }
   return log;
@@ -33,7 +33,7 @@
   const log = new UpdateLog();
   const backends = [3, 5, 7, 9].map((revision) => backendAt(`b-${revision}`, revision));
   const removals = [{ id: 'gone', revision: 2 }];
-  log.note({ topic: 'backends', since: 1, update: updateAt(9, { backends, removals }) });
+  log.record({ topic: 'backends', since: 1, update: updateAt(9, { backends, removals }) });
   t.deepEqual(ids(log, 6), ['b-7@7', 'b-9@9']);
   t.deepEqual(log.since('backends', knownAt(6))?.update.removals, removals, 'removals carry older revisions');
   t.is(log.since('backends', knownAt(6))?.update.revision, 9);
@@ -42,7 +42,7 @@
 test('what is told begins where its content begins, so that whoever knows less sees the gap', (t) => {
   const log = new UpdateLog();
   const backends = [3, 5, 7, 9].map((revision) => backendAt(`b-${revision}`, revision));
-  log.note({ topic: 'backends', since: 1, update: updateAt(9, { backends }) });
+  log.record({ topic: 'backends', since: 1, update: updateAt(9, { backends }) });
   t.is(log.since('backends', knownAt(6))?.since, 6);
   t.is(log.since('backends', knownAt(1))?.since, 1);
 });
@@ -53,8 +53,8 @@
     updateAt(revision, {
       routeChange: { ...tableAt(revision), fromRevisions: [fromRevision], removedRoutes: [], digest: 0 },
     });
-  log.note({ topic: 'routes', since: 3, update: change(3, 7) });
-  log.note({ topic: 'routes', since: 7, update: change(9, 12) });
+  log.record({ topic: 'routes', since: 3, update: change(3, 7) });
+  log.record({ topic: 'routes', since: 7, update: change(9, 12) });
   t.is(log.since('routes', { revision: 3, table: 3 }), undefined);
   t.is(log.since('routes', { revision: 7, table: 7 }), undefined, 'nothing leads from 7 to 9');
   const fromNine = log.since('routes', { revision: 9, table: 9 });
--- a/src/cookie-edge/spreading/update-log.ts
+++ b/src/cookie-edge/spreading/update-log.ts
@@ -23,7 +23,7 @@
   constructor(private readonly isOn: MechanismCheck = ALL_MECHANISMS_ON) {}
 
   /** Notes a change that was just applied. A complete update starts the log anew. */
-  note(entry: SpreadUpdate): void {
+  record(entry: SpreadUpdate): void {
     const log = this.entries[entry.topic];
     if (entry.update.complete) log.length = 0;
     else log.push(entry);
--- a/src/cookie-edge/spreading/update-sender.ts
+++ b/src/cookie-edge/spreading/update-sender.ts
@@ -9,7 +9,7 @@
   FANOUT_IN_ZONE,
   REPEAT_CONFIRMATION_MS,
   BAD_ANSWER_GATHER_MS,
-  SUSPICION_GATHER_MS,
+  EJECTION_GATHER_MS,
   NOTHING_KNOWN,
   CONFIRMATION_GATHER_MS,
 } from './constants.js';
@@ -35,9 +35,9 @@
   private confirmationTimer: TimerHandle | undefined;
   private changeTimer: TimerHandle | undefined;
   private repeatTimer: TimerHandle | undefined;
-  private suspicionTimer: TimerHandle | undefined;
+  private ejectionTimer: TimerHandle | undefined;
   private badAnswerTimer: TimerHandle | undefined;
-  private suspicionsPushedMs = Number.NEGATIVE_INFINITY;
+  private ejectionsPushedMs = Number.NEGATIVE_INFINITY;
   private changesSentMs = Number.NEGATIVE_INFINITY;
   /** Revisions up to which changes were sent. */
   private sentRevisions: KnownRevisions = {
@@ -52,7 +52,7 @@
   /** Logs a change and sends it at once, or with those that came closely before it. */
   onApplied({ topic, update, since }: AppliedUpdate): void {
     const { clock, log } = this.options;
-    log.note({ topic, since: update.complete ? NOTHING_KNOWN : since, update });
+    log.record({ topic, since: update.complete ? NOTHING_KNOWN : since, update });
     const waitMs = this.changesSentMs + CHANGE_GATHER_MS - clock.now();
     if (waitMs <= 0) return this.pushChanges();
     this.changeTimer ??= clock.schedule(waitMs, () => this.pushChanges());
@@ -62,8 +62,8 @@
   push(message: PeerMessage): void {
     this.confirmationTimer?.cancel();
     this.confirmationTimer = undefined;
-    this.suspicionTimer?.cancel();
-    this.suspicionTimer = undefined;
+    this.ejectionTimer?.cancel();
+    this.ejectionTimer = undefined;
     this.sendToSome(message);
   }
 
@@ -76,11 +76,11 @@
   }
 
   /** Sends suspicions of back ends, which every message carries, after a moment, and later while there are many. */
-  pushSuspicions(): void {
+  pushEjections(): void {
     const { clock, composer } = this.options;
-    const leastMs = this.suspicionsPushedMs + SUSPICION_GATHER_MS - clock.now();
-    this.suspicionTimer ??= clock.schedule(Math.max(CONFIRMATION_GATHER_MS, leastMs), () => {
-      this.suspicionsPushedMs = clock.now();
+    const leastMs = this.ejectionsPushedMs + EJECTION_GATHER_MS - clock.now();
+    this.ejectionTimer ??= clock.schedule(Math.max(CONFIRMATION_GATHER_MS, leastMs), () => {
+      this.ejectionsPushedMs = clock.now();
       this.push(composer.confirmationMessage());
     });
   }
@@ -101,7 +101,7 @@
     this.confirmationTimer?.cancel();
     this.changeTimer?.cancel();
     this.repeatTimer?.cancel();
-    this.suspicionTimer?.cancel();
+    this.ejectionTimer?.cancel();
     this.badAnswerTimer?.cancel();
   }
 
