--- a/src/cookie-edge/daemon/buffered-packets.ts
+++ b/src/cookie-edge/daemon/buffered-packets.ts
@@ -1,33 +1,85 @@
 /**
- * Decides whether a SYN that waited while the daemon started may still be placed. Only the newest copy that a caller has sent may be: an
- * older one and its copy, placed by two balancers, would open one flow at two back ends. A caller sends copies of a SYN at fixed times and
- * numbers them, so the number tells how long no further one can have been sent. The load that this answers is the loss of all daemons at
- * once: nearly every caller has a SYN under way then, most of them the second or third copy. On a day of 146 small machines 395 of the
- * 889 packets that were held after such a loss were dropped as too old, while their callers had nothing newer under way.
+ * Rule: hold, deliver or drop a packet that arrives before the daemon knows routes and back ends. Pure; `StartupBuffer` carries the
+ * outcomes out.
+ *
+ * Prevents two failures. A packet dropped during start-up reaches the daemon again only with its caller's next retransmission, which
+ * may come after the caller's deadline. A SYN delivered too late opens one flow at two back ends: its caller has sent a
+ * retransmission meanwhile, which another balancer may have placed elsewhere. Both matter most after the loss of all daemons, when
+ * nearly every caller has a SYN under way and most of these are retransmissions: on a day of 146 small machines 395 of the 889
+ * packets buffered after such a loss were dropped as too old before the rule counted retransmissions, although their callers had
+ * nothing newer under way.
+ *
+ * On arrival the switch and the edge come first (nothing can be held without them), then the bound on memory. At the opening a
+ * packet without SYN is always delivered: the cookie of its flow names the back end. A SYN is delivered while its caller cannot have
+ * sent the next retransmission. The age of a SYN is not known exactly: it may have waited in the socket before it was read. Two upper
+ * bounds exist, and either suffices: nothing in a socket is older than the binding, and a socket that has been read for a while
+ * holds a packet for a moment only. An unknown retransmission count gets the shortest time, that of a first SYN.
  */
-import { MAX_HELD_SYN_AFTER_READ_MS, MAX_HELD_SYN_MS } from './constants.js';
+import { MAX_BUFFERED_PACKETS, MAX_BUFFERED_SYN_AFTER_READ_MS, MAX_BUFFERED_SYN_MS } from './constants.js';
 
-/** Times in ms after the first SYN at which callers send the first and the second copy, and at which they give the attempt up. */
+/**
+ * Times in ms after the first SYN at which callers send the first and the second retransmission, and at which they give the attempt
+ * up. Bound of the platform: its callers' schedule.
+ */
 const NEXT_SENT_MS = [200, 600, 1_400] as const;
 
-/** What is known of a held SYN; times in ms. */
-interface HeldSyn {
+/** What becomes of a packet that arrives before the opening. */
+export type ArrivalOutcome = 'hold' | 'drop-holding-off' | 'drop-buffer-full';
+
+/** What becomes of a held packet at the opening. */
+export type OpeningOutcome = 'deliver' | 'drop-too-old';
+
+/** State of the buffer when a packet arrives. */
+interface BufferState {
+  /** The mechanism `held-packets` is on. */
+  readonly isHoldingOn: boolean;
+  /** The edge is attached, so that packets can be kept. */
+  readonly isAttached: boolean;
+  /** Packets held now. */
+  readonly bufferedCount: number;
+}
+
+/** What is known of a SYN at the opening; times in ms. */
+interface BufferedSyn {
   /** How many times its caller had sent the SYN before. */
-  readonly copy: number;
+  readonly retransmissions: number;
   /** Time since the socket was bound: nothing in it is older. */
   readonly boundForMs: number;
-  /** Time since it was read from the socket, where it may have waited for a moment. */
+  /** Time since the SYN was read from the socket, where it may have waited for a moment. */
   readonly readAgoMs: number;
 }
 
-/** See the module. */
-export function mayPlaceHeldSyn({ copy, boundForMs, readAgoMs }: HeldSyn): boolean {
-  const longerMs = copy < NEXT_SENT_MS.length ? waitAfter(copy) - waitAfter(0) : 0;
-  return boundForMs <= MAX_HELD_SYN_MS + longerMs || readAgoMs <= MAX_HELD_SYN_AFTER_READ_MS + longerMs;
+/** A packet at the opening; `retransmissions` is undefined for one that is no SYN. */
+interface BufferedPacketAge extends Omit<BufferedSyn, 'retransmissions'> {
+  readonly retransmissions: number | undefined;
+}
+
+/** Decides on a packet that arrives before the opening. */
+export function decideOnArrival({ isHoldingOn, isAttached, bufferedCount }: BufferState): ArrivalOutcome {
+  if (!isAttached || !isHoldingOn) return 'drop-holding-off';
+  return bufferedCount >= MAX_BUFFERED_PACKETS ? 'drop-buffer-full' : 'hold';
+}
+
+/** Decides on a held packet at the opening. */
+export function decideAtOpening({
+  retransmissions,
+  boundForMs,
+  readAgoMs,
+}: BufferedPacketAge): OpeningOutcome {
+  if (retransmissions === undefined) return 'deliver';
+  return mayDeliverBufferedSyn({ retransmissions, boundForMs, readAgoMs }) ? 'deliver' : 'drop-too-old';
+}
+
+/** Returns whether the caller of a held SYN cannot have sent a further one. */
+export function mayDeliverBufferedSyn({ retransmissions, boundForMs, readAgoMs }: BufferedSyn): boolean {
+  const longerMs = retransmissions < NEXT_SENT_MS.length ? waitAfter(retransmissions) - waitAfter(0) : 0;
+  return (
+    boundForMs <= MAX_BUFFERED_SYN_MS + longerMs || readAgoMs <= MAX_BUFFERED_SYN_AFTER_READ_MS + longerMs
+  );
 }
 
-/** Time in ms from a copy to the next one, or to the end of the attempt. */
-function waitAfter(copy: number): number {
-  const sentMs = copy === 0 ? 0 : (NEXT_SENT_MS[copy - 1] as number);
-  return (NEXT_SENT_MS[copy] as number) - sentMs;
+/** Time in ms from a transmission to the next one, or to the end of the attempt. */
+function waitAfter(retransmissions: number): number {
+  const sentMs = retransmissions === 0 ? 0 : (NEXT_SENT_MS[retransmissions - 1] as number);
+  return (NEXT_SENT_MS[retransmissions] as number) - sentMs;
 }
--- a/src/cookie-edge/daemon/buffered-syn.test.ts
+++ b/src/cookie-edge/daemon/buffered-syn.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
-import { mayPlaceHeldSyn } from './buffered-syn.js';
+import { mayDeliverBufferedSyn } from './buffered-packets.js';
 
 /** A SYN in a socket that was bound so long ago, and that was read when it arrived. */
-const held = (copy: number, heldMs: number): boolean =>
-  mayPlaceHeldSyn({ copy, boundForMs: heldMs, readAgoMs: heldMs });
+const held = (retransmissions: number, heldMs: number): boolean =>
+  mayDeliverBufferedSyn({ retransmissions, boundForMs: heldMs, readAgoMs: heldMs });
 
 /** Callers send a SYN at 0, its copies at 200 and 600 ms, and give the attempt up at 1,400 ms. */
 const CASES = [
@@ -27,10 +27,10 @@
 });
 
 test('what was read a moment ago may have waited in the socket before', (t) => {
-  t.true(mayPlaceHeldSyn({ copy: 0, boundForMs: 5_000, readAgoMs: 40 }));
-  t.false(mayPlaceHeldSyn({ copy: 0, boundForMs: 5_000, readAgoMs: 60 }));
-  t.true(mayPlaceHeldSyn({ copy: 1, boundForMs: 5_000, readAgoMs: 240 }));
-  t.false(mayPlaceHeldSyn({ copy: 1, boundForMs: 5_000, readAgoMs: 260 }));
+  t.true(mayDeliverBufferedSyn({ retransmissions: 0, boundForMs: 5_000, readAgoMs: 40 }));
+  t.false(mayDeliverBufferedSyn({ retransmissions: 0, boundForMs: 5_000, readAgoMs: 60 }));
+  t.true(mayDeliverBufferedSyn({ retransmissions: 1, boundForMs: 5_000, readAgoMs: 240 }));
+  t.false(mayDeliverBufferedSyn({ retransmissions: 1, boundForMs: 5_000, readAgoMs: 260 }));
 });
 
 /**
@@ -43,9 +43,9 @@
   for (let openAtMs = 0; openAtMs <= 1_400; openAtMs += 10) {
     for (let boundMs = 10; boundMs <= 800; boundMs += 30) {
       const boundAtMs = openAtMs - boundMs;
-      const placed = sentMs.filter((atMs, copy) => {
+      const placed = sentMs.filter((atMs, retransmissions) => {
         if (atMs < boundAtMs || atMs > openAtMs) return false;
-        return mayPlaceHeldSyn({ copy, boundForMs: boundMs, readAgoMs: openAtMs - atMs });
+        return mayDeliverBufferedSyn({ retransmissions, boundForMs: boundMs, readAgoMs: openAtMs - atMs });
       });
       const last = placed.at(-1);
       if (last === undefined) continue;
--- a/src/cookie-edge/daemon/constants.ts
+++ b/src/cookie-edge/daemon/constants.ts
@@ -20,16 +20,16 @@
 export const DEFAULT_LOG_BURST = 2_000;
 
 /** Packets held between the binding of the data socket and the first knowledge; about 1.3 MB at the most. */
-export const MAX_HELD_PACKETS = 1_024;
+export const MAX_BUFFERED_PACKETS = 1_024;
 
 /**
  * A held first SYN is placed when it is certainly younger than this: callers repeat a SYN after 200 ms, and its answer must be back
- * before that. Nothing in the socket is older than the binding. For copies see `buffered-syn.ts`.
+ * before that. Nothing in the socket is older than the binding. For copies see `buffered-packets.ts`.
  */
-export const MAX_HELD_SYN_MS = 150;
+export const MAX_BUFFERED_SYN_MS = 150;
 
 /** Later a SYN may have waited in the socket for a moment before it was read; it is placed within this time after that. */
-export const MAX_HELD_SYN_AFTER_READ_MS = 50;
+export const MAX_BUFFERED_SYN_AFTER_READ_MS = 50;
 
 /**
  * All balancers together may send a cold back end its rate times the overage, plus the slack, within any second, unless the
--- a/src/cookie-edge/daemon/startup-buffer.test.ts
+++ b/src/cookie-edge/daemon/startup-buffer.test.ts
@@ -2,7 +2,7 @@
 import { VirtualClock } from '../../common/clock.js';
 import type { CookieEdgeHandler, CookiePacket } from '../../fabric/cookie-edge.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
-import { MAX_HELD_PACKETS, MAX_HELD_SYN_AFTER_READ_MS, MAX_HELD_SYN_MS } from './constants.js';
+import { MAX_BUFFERED_PACKETS, MAX_BUFFERED_SYN_AFTER_READ_MS, MAX_BUFFERED_SYN_MS } from './constants.js';
 import { StartupBuffer } from './startup-buffer.js';
 
 const EMPTY: CookiePacket = {
@@ -63,7 +63,7 @@
   const { clock, gate, passed, handler, deliver } = gateAt();
   deliver(syn(1));
   deliver({ sourcePort: 2 });
-  clock.advance(MAX_HELD_SYN_MS + 1);
+  clock.advance(MAX_BUFFERED_SYN_MS + 1);
   gate.open(handler);
   t.deepEqual(passed, ['data 2']);
 });
@@ -74,16 +74,16 @@
   deliver(syn(1));
   clock.advance(10);
   deliver(syn(2));
-  clock.advance(MAX_HELD_SYN_AFTER_READ_MS);
+  clock.advance(MAX_BUFFERED_SYN_AFTER_READ_MS);
   gate.open(handler);
   t.deepEqual(passed, ['syn 2']);
 });
 
 test('what is held is bounded', (t) => {
   const { gate, passed, handler, deliver } = gateAt();
-  for (let port = 1; port <= MAX_HELD_PACKETS + 5; port += 1) deliver({ sourcePort: port });
+  for (let port = 1; port <= MAX_BUFFERED_PACKETS + 5; port += 1) deliver({ sourcePort: port });
   gate.open(handler);
-  t.is(passed.length, MAX_HELD_PACKETS);
+  t.is(passed.length, MAX_BUFFERED_PACKETS);
 });
 
 test('drops before the opening are nobody’s, and afterwards the handler counts them', (t) => {
