--- /dev/null
+++ b/src/cookie-edge/spreading/minimum-retry-delay.test.ts
@@ -0,0 +1,25 @@
+import test from 'ava';
+import { READS_PER_SECOND } from './constants.js';
+import { minimumRetryDelayMs } from './source-read-pacing.js';
+
+const OUTAGE = {
+  isPaced: true,
+  isComplete: true,
+  ageMs: 2_000,
+  pullAfterMs: 1_800,
+  daemons: 10 * READS_PER_SECOND,
+};
+
+const CASES = [
+  { name: 'an outage of the whole fleet', change: {}, delayMs: 10_000 },
+  { name: 'few daemons', change: { daemons: READS_PER_SECOND }, delayMs: 0 },
+  { name: 'pacing switched off', change: { isPaced: false }, delayMs: 0 },
+  { name: 'nothing to serve with yet', change: { isComplete: false }, delayMs: 0 },
+  { name: 'a current confirmation', change: { ageMs: 1_799 }, delayMs: 0 },
+];
+
+for (const { name, change, delayMs } of CASES) {
+  test(`${name}: ${delayMs} ms at the least before the next call`, (t) => {
+    t.is(minimumRetryDelayMs({ ...OUTAGE, ...change }), delayMs);
+  });
+}
--- a/src/cookie-edge/spreading/reader-role.ts
+++ b/src/cookie-edge/spreading/reader-role.ts
@@ -1,34 +1,28 @@
 /**
- * Decides whether this daemon watches the source ("is a reader"). There is no election: a daemon that hears of fewer than
- * `TARGET_READERS` readers starts watching after a delay, which is shorter the higher its rank (a hash of its id). A reader
- * stops when it hears of enough readers of higher rank. A daemon whose routes or back ends were not confirmed for too long
- * watches in any case. Extra readers only cost calls, so no agreement is needed. A daemon that has just started listens
- * first whether there are readers.
+ * Role of this daemon towards the source. Carries out the rule in `reader-rule.ts`: owns the sightings of other readers, the rank and
+ * the random positions. Relies on `Spreader`, which asks at each tick and starts or stops the calls.
  */
 import { hashString } from '../../common/hash.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { RandomSource } from '../../common/random.js';
 import type { FreshnessTimings } from '../routing/index.js';
-import { readDelayMs } from './source-read-pacing.js';
-import {
-  TARGET_READERS,
-  VOLUNTEER_ALONE_MS,
-  VOLUNTEER_AT_START_MS,
-  VOLUNTEER_SECOND_MS,
-} from './constants.js';
+import { decideReader, type ReaderOutcome, type ReaderSituation } from './reader-rule.js';
 import type { ReaderSighting } from './types.js';
 
 /** Ranks are 32-bit hashes. */
 const RANKS = 2 ** 32;
 
-/** Random part of a delay, so that daemons of nearly equal rank do not keep acting at the same time. */
+/**
+ * Random part of a delay, 0 to 1, so that daemons of nearly equal rank do not keep acting at the same time. Not measured; chosen
+ * because rank must still dominate.
+ */
 const TURN_RANDOM_SHARE = 0.1;
 
 /** Why a daemon starts or stops reading. */
 export type RoleReason = 'too-few-readers' | 'overdue' | 'enough-readers';
 
-/** What a decision looks at. */
-interface RoleQuestion {
+/** Knowledge at the time of a decision. */
+interface RoleInputs {
   readonly nowMs: number;
   /** Milliseconds since routes and back ends were last confirmed to be current. */
   readonly ageMs: number;
@@ -49,12 +43,12 @@
   return hashString(id);
 }
 
-/** See the module. Times are monotonic ms. */
+/** Knows the other readers and whether this daemon is one. Times are monotonic ms. */
 export class ReaderRole {
   private readonly sightings = new Map<string, RankedSighting>();
   private readonly rank: number;
   private volunteerAtMs: number | undefined;
-  /** Random position among the daemons that lack a confirmation, from 0 (asks first) to 1. */
+  /** Random position among the daemons that lack a confirmation, from 0 (reads first) to 1. */
   private overduePosition: number;
   private reading = false;
   private startedAtMs: number | undefined;
@@ -104,59 +98,56 @@
     return [...byRank.filter(isFresh), ...stale].slice(0, count);
   }
 
-  /** Starts or stops watching if needed; returns the reason, or undefined when nothing changes. */
-  decide(question: RoleQuestion): RoleReason | undefined {
-    const { nowMs, ageMs, isComplete } = question;
+  /** Starts or stops reading if needed; returns the reason, or undefined when nothing changes. */
+  decide({ nowMs, ageMs, isComplete, hasBeenRead, daemons }: RoleInputs): RoleReason | undefined {
     const others = this.otherReaders(nowMs);
-    const isCurrent = isComplete && ageMs < this.timings.pullAfterMs;
     this.startedAtMs ??= nowMs;
-    return this.reading ? this.decideToStop(others, nowMs, isCurrent) : this.decideToRead(others, question);
-  }
-
-  private decideToStop(
-    others: readonly RankedSighting[],
-    nowMs: number,
-    isCurrent: boolean,
-  ): RoleReason | undefined {
-    const fresh = others.filter(({ confirmedAtMs }) => nowMs - confirmedAtMs < this.timings.readerFreshMs);
-    const before = fresh.filter(({ rank }) => rank > this.rank);
-    if (!this.isOn('standing-down') || !isCurrent || before.length < TARGET_READERS) return undefined;
-    this.reading = false;
-    this.volunteerAtMs = undefined;
-    this.overduePosition = this.random();
-    return 'enough-readers';
+    const situation: ReaderSituation = {
+      isReading: this.reading,
+      ageMs,
+      unconfirmedMs: Math.min(ageMs, nowMs - this.startedAtMs),
+      isComplete,
+      hasBeenRead,
+      otherReaders: others.length,
+      freshSuperiors: this.freshSuperiors(others, nowMs),
+      hasHeardOfReaders: this.hasHeardOfReaders,
+      overduePosition: this.overduePosition,
+      daemons,
+      mayStandDown: this.isOn('standing-down'),
+      isPaced: this.isOn('asking-turns'),
+    };
+    return this.carryOut(decideReader(situation, this.timings), nowMs);
   }
 
-  /**
-   * A daemon that has not received everything yet is reading the lists already; watching as well would only add calls, since
-   * all daemons that started with it are in the same state. Once the confirmation is overdue the delay depends on the fleet's
-   * size alone: readers may be missing because the source does not answer them.
-   */
-  private decideToRead(
-    others: readonly RankedSighting[],
-    { nowMs, ageMs, hasBeenRead, daemons }: RoleQuestion,
-  ): RoleReason | undefined {
-    const { readAfterMs, readSpreadMs } = this.timings;
-    const unconfirmedMs = Math.min(ageMs, nowMs - (this.startedAtMs ?? nowMs));
-    if (unconfirmedMs >= readAfterMs) {
-      const waitMs = this.isOn('asking-turns')
-        ? readDelayMs(this.overduePosition, daemons, readSpreadMs)
-        : this.overduePosition * readSpreadMs;
-      return unconfirmedMs >= readAfterMs + waitMs ? this.startReading('overdue') : undefined;
+  private carryOut(outcome: ReaderOutcome, nowMs: number): RoleReason | undefined {
+    switch (outcome.kind) {
+      case 'stand-down':
+        this.reading = false;
+        this.volunteerAtMs = undefined;
+        this.overduePosition = this.random();
+        return 'enough-readers';
+      case 'read-overdue':
+        return this.startReading('overdue');
+      case 'leave-to-others':
+        this.volunteerAtMs = undefined;
+        return undefined;
+      case 'volunteer': {
+        const atMs = nowMs + this.volunteerPosition() * outcome.withinMs;
+        this.volunteerAtMs = Math.min(this.volunteerAtMs ?? Infinity, atMs);
+        return nowMs >= this.volunteerAtMs ? this.startReading('too-few-readers') : undefined;
+      }
+      case 'keep-reading':
+      case 'await-overdue-turn':
+      case 'await-first-lists':
+        return undefined;
     }
+  }
 
-    if (!hasBeenRead) return undefined;
-    if (others.length >= TARGET_READERS) {
-      this.volunteerAtMs = undefined;
-      return undefined;
-    }
-    const aloneMs = this.hasHeardOfReaders ? VOLUNTEER_ALONE_MS : VOLUNTEER_AT_START_MS;
-    const spreadMs = others.length === 0 ? aloneMs : VOLUNTEER_SECOND_MS;
-    this.volunteerAtMs = Math.min(
-      this.volunteerAtMs ?? Infinity,
-      nowMs + this.volunteerPosition() * spreadMs,
-    );
-    return nowMs >= this.volunteerAtMs ? this.startReading('too-few-readers') : undefined;
+  private freshSuperiors(others: readonly RankedSighting[], nowMs: number): number {
+    const { readerFreshMs } = this.timings;
+    return others.filter(
+      ({ rank, confirmedAtMs }) => rank > this.rank && nowMs - confirmedAtMs < readerFreshMs,
+    ).length;
   }
 
   private startReading(reason: RoleReason): RoleReason {
--- /dev/null
+++ b/src/cookie-edge/spreading/reader-rule.test.ts
@@ -0,0 +1,77 @@
+import test from 'ava';
+import { freshnessTimings } from '../routing/index.js';
+import {
+  TARGET_READERS,
+  VOLUNTEER_ALONE_MS,
+  VOLUNTEER_AT_START_MS,
+  VOLUNTEER_SECOND_MS,
+} from './constants.js';
+import { decideReader, type ReaderOutcome, type ReaderSituation } from './reader-rule.js';
+
+const TIMINGS = freshnessTimings(3_000);
+const CURRENT: ReaderSituation = {
+  isReading: false,
+  ageMs: 100,
+  unconfirmedMs: 100,
+  isComplete: true,
+  hasBeenRead: true,
+  otherReaders: TARGET_READERS,
+  freshSuperiors: TARGET_READERS,
+  hasHeardOfReaders: true,
+  overduePosition: 1,
+  daemons: 1,
+  mayStandDown: true,
+  isPaced: true,
+};
+const READER: Partial<ReaderSituation> = { isReading: true };
+const OVERDUE = { ageMs: TIMINGS.readAfterMs, unconfirmedMs: TIMINGS.readAfterMs };
+const LONG_OVERDUE_MS = TIMINGS.readAfterMs + TIMINGS.readSpreadMs;
+
+const CASES: readonly (readonly [string, Partial<ReaderSituation>, ReaderOutcome])[] = [
+  ['a reader that enough fresh readers outrank', READER, { kind: 'stand-down' }],
+  [
+    'a reader that too few outrank',
+    { ...READER, freshSuperiors: TARGET_READERS - 1 },
+    { kind: 'keep-reading' },
+  ],
+  ['a reader that is not current', { ...READER, ageMs: TIMINGS.pullAfterMs }, { kind: 'keep-reading' }],
+  ['a reader without all lists', { ...READER, isComplete: false }, { kind: 'keep-reading' }],
+  ['a reader that may not stand down', { ...READER, mayStandDown: false }, { kind: 'keep-reading' }],
+  ['others read', {}, { kind: 'leave-to-others' }],
+  ['the first lists are missing', { hasBeenRead: false, otherReaders: 0 }, { kind: 'await-first-lists' }],
+  ['overdue, first of many', { ...OVERDUE, overduePosition: 0, daemons: 1_000 }, { kind: 'read-overdue' }],
+  [
+    'overdue, last of many',
+    { ageMs: LONG_OVERDUE_MS, unconfirmedMs: LONG_OVERDUE_MS, daemons: 1_000 },
+    { kind: 'await-overdue-turn' },
+  ],
+  [
+    'overdue before the first lists',
+    { ...OVERDUE, overduePosition: 0, hasBeenRead: false },
+    { kind: 'read-overdue' },
+  ],
+  ['overdue, not paced, last', { ...OVERDUE, isPaced: false }, { kind: 'await-overdue-turn' }],
+  [
+    'overdue, not paced, after the spread',
+    { unconfirmedMs: LONG_OVERDUE_MS, isPaced: false, daemons: 1_000 },
+    { kind: 'read-overdue' },
+  ],
+  [
+    'old knowledge just after the start',
+    { ageMs: Number.POSITIVE_INFINITY, unconfirmedMs: 0 },
+    { kind: 'leave-to-others' },
+  ],
+  ['one reader is left', { otherReaders: 1 }, { kind: 'volunteer', withinMs: VOLUNTEER_SECOND_MS }],
+  ['no reader is left', { otherReaders: 0 }, { kind: 'volunteer', withinMs: VOLUNTEER_ALONE_MS }],
+  [
+    'no reader was heard of yet',
+    { otherReaders: 0, hasHeardOfReaders: false },
+    { kind: 'volunteer', withinMs: VOLUNTEER_AT_START_MS },
+  ],
+];
+
+for (const [name, change, outcome] of CASES) {
+  test(`${name}: ${outcome.kind}`, (t) => {
+    t.deepEqual(decideReader({ ...CURRENT, ...change }, TIMINGS), outcome);
+  });
+}
--- a/src/cookie-edge/spreading/source-read-pacing.ts
+++ b/src/cookie-edge/spreading/source-read-pacing.ts
@@ -1,30 +1,58 @@
 /**
- * Paces calls to the source when many daemons need an answer at the same time. One answer is enough, because it is gossiped to
- * all. So a few daemons ask first, more follow while there is no answer, and after `FIRST_READS` the rest follow at a
+ * Rule: how soon, and how often, a daemon without a confirmation calls the source. Pure.
+ *
+ * Prevents an outage in which every daemon calls the source at once and goes on calling it. One response is enough, because it is
+ * gossiped to all. So a few daemons read first, more follow while there is no response, and after `FIRST_READS` the rest follow at a
  * constant rate: the load on the source in an outage does not grow with the fleet.
+ *
+ * Without knowledge of peers the fleet counts as one daemon, which reads without a delay.
  */
-import { READS_PER_SECOND, FIRST_READS } from './constants.js';
+import { FIRST_READS, READS_PER_SECOND } from './constants.js';
 
-const MS_A_SECOND = 1_000;
+const MS_PER_SECOND = 1_000;
 
 /**
- * Delay in ms before this daemon asks.
+ * Delay in ms before this daemon reads the source.
  *
- * @param turn its random position among all, from 0 (first) to 1 (last)
- * @param daemons estimated number of daemons that need an answer, this one included
- * @param spreadMs time within which the first `FIRST_READS` ask
+ * @param position its random position among all, from 0 (first) to 1 (last)
+ * @param daemons estimated number of daemons that need a response, this one included
+ * @param spreadMs time in ms within which the first `FIRST_READS` read
  */
-export function readDelayMs(turn: number, daemons: number, spreadMs: number): number {
-  const before = Math.max(0, turn * daemons - 1);
-  const first = Math.min(daemons, FIRST_READS);
-  if (before > first) return spreadMs + ((before - first) / READS_PER_SECOND) * MS_A_SECOND;
-  return spreadMs * Math.min(1, Math.log2(1 + before) / Math.log2(1 + first));
+export function readDelayMs(position: number, daemons: number, spreadMs: number): number {
+  const earlier = Math.max(0, position * daemons - 1);
+  const paced = Math.min(daemons, FIRST_READS);
+  if (earlier > paced) return spreadMs + ((earlier - paced) / READS_PER_SECOND) * MS_PER_SECOND;
+  return spreadMs * Math.min(1, Math.log2(1 + earlier) / Math.log2(1 + paced));
 }
 
 /**
- * Time between two asks of one daemon, in ms, for which all `daemons` together ask `READS_PER_SECOND` times a second; 0 where
- * they are too few to ask more often than that.
+ * Backoff between two reads of one daemon, in ms, at which all `daemons` together read `READS_PER_SECOND` times a second; 0 where
+ * they are too few to read more often than that.
  */
 export function readBackoffMs(daemons: number): number {
-  return daemons <= READS_PER_SECOND ? 0 : (daemons / READS_PER_SECOND) * MS_A_SECOND;
+  return daemons <= READS_PER_SECOND ? 0 : (daemons / READS_PER_SECOND) * MS_PER_SECOND;
+}
+
+/** Inputs of the minimum retry delay; times in ms. */
+interface RetrySituation {
+  /** The mechanism `asking-turns` is on. */
+  readonly isPaced: boolean;
+  /** Routes and back ends are known. */
+  readonly isComplete: boolean;
+  /** Time since the last freshness confirmation. */
+  readonly ageMs: number;
+  /** Age from which a confirmation is overdue. */
+  readonly pullAfterMs: number;
+  /** Estimated number of daemons that lack a confirmation as this one does. */
+  readonly daemons: number;
+}
+
+/**
+ * Shortest backoff before the next call to a source that does not respond, in ms. A daemon without routes or back ends cannot serve
+ * and does not wait for others; one with a current confirmation is not part of an outage of the whole fleet.
+ */
+export function minimumRetryDelayMs(situation: RetrySituation): number {
+  const { isPaced, isComplete, ageMs, pullAfterMs, daemons } = situation;
+  if (!isPaced || !isComplete || ageMs < pullAfterMs) return 0;
+  return readBackoffMs(daemons);
 }
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -10,7 +10,7 @@
 import type { BadAnswerReport } from '../outliers/index.js';
 import type { EventLog } from '../../observability/event.js';
 import type { FreshnessTimings, RoutingKnowledge } from '../routing/index.js';
-import { readBackoffMs } from './source-read-pacing.js';
+import { minimumRetryDelayMs } from './source-read-pacing.js';
 import { CatchUp } from './catch-up.js';
 import {
   GREETING_JITTER,
@@ -148,15 +148,16 @@
     return this.role.isReading;
   }
 
-  /**
-   * Shortest backoff before the next call to a source that does not answer, in ms. When the whole fleet lacks a confirmation, the
-   * backoff grows with the fleet's size. A daemon that lacks routes or back ends cannot serve and does not wait for others.
-   */
+  /** Shortest backoff before the next call to a source that does not respond, in ms. */
   minimumRetryDelayMs(): number {
     const { clock, knowledge, timings } = this.options;
-    if (!this.isOn('asking-turns') || !knowledge.isComplete()) return 0;
-    if (knowledge.age() < timings.pullAfterMs) return 0;
-    return readBackoffMs(this.peers.reachableDaemons(clock.now()));
+    return minimumRetryDelayMs({
+      isPaced: this.isOn('asking-turns'),
+      isComplete: knowledge.isComplete(),
+      ageMs: knowledge.age(),
+      pullAfterMs: timings.pullAfterMs,
+      daemons: this.peers.reachableDaemons(clock.now()),
+    });
   }
 
   /** Sends a pull to the seeds and runs until `signal` aborts. */
