--- a/src/cookie-edge/spreading/recent-ejections.ts
+++ b/src/cookie-edge/spreading/recent-ejections.ts
@@ -1,26 +1,26 @@
 /**
- * Back ends that this daemon or others ejected a moment ago. They are told with every message as long as the word counts, so
- * that daemons hear of them that missed the first round or have just started.
+ * Back ends that this daemon or others ejected a moment ago. Every message carries them while other daemons act on them, so that
+ * daemons learn of them that missed the first push or have just started.
  */
-import { EJECTION_GOSSIP_MS, EJECTIONS_PER_MESSAGE } from './constants.js';
+import { EJECTIONS_PER_MESSAGE, EJECTION_GOSSIP_MS } from './constants.js';
+import { newestReports } from './gossip-rule.js';
 import type { EjectionReport } from './types.js';
 
-/** See the module. Times are monotonic ms. */
+/** Ejection reports of the last `EJECTION_GOSSIP_MS`. Times are monotonic ms. */
 export class RecentEjections {
-  /** The newest of each back end. */
+  /** The newest report of each back end. */
   private readonly byBackend = new Map<string, EjectionReport>();
 
-  record(suspicion: EjectionReport): void {
-    const known = this.byBackend.get(suspicion.backendId);
-    if (!known || known.atMs < suspicion.atMs) this.byBackend.set(suspicion.backendId, suspicion);
+  record(report: EjectionReport): void {
+    const known = this.byBackend.get(report.backendId);
+    if (!known || known.atMs < report.atMs) this.byBackend.set(report.backendId, report);
   }
 
-  /** Those that still count, the newest first, as many as fit into a message. */
+  /** Removes expired reports and returns the newest of the rest, as many as fit into a message. */
   recent(nowMs: number): EjectionReport[] {
     for (const { backendId, atMs } of this.byBackend.values()) {
       if (nowMs - atMs >= EJECTION_GOSSIP_MS) this.byBackend.delete(backendId);
     }
-    const newestFirst = [...this.byBackend.values()].sort((left, right) => right.atMs - left.atMs);
-    return newestFirst.slice(0, EJECTIONS_PER_MESSAGE);
+    return newestReports(this.byBackend.values(), EJECTIONS_PER_MESSAGE);
   }
 }
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -1,38 +1,32 @@
 /**
- * Gossip between daemons: the few that watch the source push changes and freshness confirmations to some peers, which pass
- * them on. A daemon that lags pulls what it lacks, and one without a confirmation for too long watches the source itself.
+ * Gossip of one daemon: the few readers push changes and freshness confirmations to some peers, which pass them on. A daemon that lags
+ * pulls what it lacks, and one without a confirmation for too long reads the source itself. Owns the tick and the application of
+ * messages; the rules stand in `reader-rule.ts`, `gossip-rule.ts`, `pull-rule.ts` and `source-read-pacing.ts`.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import { jitter, pick, type RandomSource } from '../../common/random.js';
-import { formatEndpoint, type Endpoint } from '../../common/types.js';
+import type { Endpoint } from '../../common/types.js';
 import type { LoadReport } from '../load/index.js';
 import type { BadAnswerReport } from '../outliers/index.js';
 import type { EventLog } from '../../observability/event.js';
 import type { FreshnessTimings, RoutingKnowledge } from '../routing/index.js';
 import { minimumRetryDelayMs } from './source-read-pacing.js';
 import { CatchUp } from './catch-up.js';
-import {
-  GREETING_JITTER,
-  GREETING_MAX_MS,
-  GREETING_MIN_MS,
-  MAX_DATAGRAM_BYTES,
-  CONFIRMATION_STEP_MS,
-  PULL_FANOUT,
-  PULL_INTERVAL_MS,
-  TICK_MS,
-} from './constants.js';
+import { GREETING_JITTER, GREETING_MAX_MS, GREETING_MIN_MS, PULL_FANOUT, TICK_MS } from './constants.js';
 import { SPREADING_EVENTS } from './events.js';
-import { decodePeerMessage, encodePeerMessage } from './message-codec.js';
+import { isConfirmationStep } from './gossip-rule.js';
+import { MessageChannel, type MessageCounts } from './message-channel.js';
 import { MessageComposer } from './message-composer.js';
 import { UpdateSender } from './update-sender.js';
 import { PeerView } from './peer-view.js';
+import { isPullDue } from './pull-rule.js';
 import { ReaderRole, type RoleReason } from './reader-role.js';
 import { RecentEjections } from './recent-ejections.js';
 import type { EjectionReport, PeerMessage, PeerTransport } from './types.js';
 import { UpdateLog } from './update-log.js';
 
-/** What a spreader needs. */
+/** Collaborators of a spreader. */
 interface SpreaderOptions {
   readonly selfId: string;
   readonly zone: string;
@@ -54,35 +48,17 @@
   readonly recordsMayLapse: () => boolean;
   /** Mechanisms that are on; all unless given. */
   readonly isOn?: MechanismCheck;
-  /** Stores a report of the back ends' load; true when it was new here, so that it is passed on. */
+  /** Stores a report of the back ends' load; returns true when it is new here and must be gossiped further. */
   readonly applyLoadReport?: (report: LoadReport) => boolean;
-  /** Takes in a bad answer that another daemon noticed; true when it was new here, so that it is passed on. */
+  /** Records a bad answer that another daemon noticed; returns true when it is new here and must be gossiped further. */
   readonly applyBadAnswerReport?: (report: BadAnswerReport) => boolean;
-  /** Takes in what another daemon found; true when it was new here, so that it is passed on. */
-  readonly applyEjectionReport?: (suspicion: EjectionReport) => boolean;
+  /** Records an ejection at another daemon; returns true when it is new here and must be gossiped further. */
+  readonly applyEjectionReport?: (report: EjectionReport) => boolean;
 }
 
-/** Counters since start. */
-interface SpreadingStatistics {
-  messagesSent: number;
-  messagesReceived: number;
-  bytesSent: number;
-  bytesReceived: number;
-  pulls: number;
-  fetches: number;
-  malformed: number;
-}
-
-/** See the module. Call `start` once, and `leave` before the transport closes. */
+/** Spreads what one daemon knows. Call `start` once, and `leave` before the transport closes. */
 export class Spreader {
-  private readonly counts = {
-    messagesSent: 0,
-    messagesReceived: 0,
-    bytesSent: 0,
-    bytesReceived: 0,
-    pulls: 0,
-    malformed: 0,
-  };
+  private readonly channel: MessageChannel;
   private readonly peers: PeerView;
   private readonly role: ReaderRole;
   private readonly isOn: MechanismCheck;
@@ -97,14 +73,15 @@
   private overdue = false;
 
   constructor(private readonly options: SpreaderOptions) {
-    const { selfId, zone, transport, random, events, knowledge, timings, clock } = options;
+    const { selfId, zone, transport, random, events, knowledge, timings, clock, noteArrival } = options;
+    const channel = (this.channel = new MessageChannel({ transport, clock, events, noteArrival }));
     const isOn = (this.isOn = options.isOn ?? ALL_MECHANISMS_ON);
     const log = new UpdateLog(isOn);
     const peers = (this.peers = new PeerView({ self: transport.endpoint, zone, random, events }));
     const role = (this.role = new ReaderRole(selfId, random, timings, isOn));
     const { ejections } = this;
     const composer = new MessageComposer({ selfId, zone, clock, knowledge, peers, role, log, ejections });
-    const send = (to: readonly Endpoint[], message: PeerMessage): void => this.send(to, message);
+    const send = (to: readonly Endpoint[], message: PeerMessage): void => channel.send(to, message);
     this.composer = composer;
     this.sender = new UpdateSender({ clock, knowledge, peers, log, composer, isOn, send });
     this.catchUp = new CatchUp({
@@ -118,15 +95,15 @@
       apply: (message, from) => this.apply(message, from),
     });
     knowledge.subscribe((applied) => this.sender.onApplied(applied));
-    transport.serve(
-      (bytes, from) => this.receive(bytes, from),
-      (known) => encodePeerMessage(composer.state(known), clock.now()),
+    channel.serve(
+      (message, from, nowMs) => this.receive(message, from, nowMs),
+      (known) => composer.state(known),
     );
   }
 
   /** Counters since start. */
-  get statistics(): SpreadingStatistics {
-    return { ...this.counts, fetches: this.catchUp.fetches };
+  get statistics(): Readonly<MessageCounts> & { readonly fetches: number } {
+    return { ...this.channel.counts, fetches: this.catchUp.fetches };
   }
 
   /** Peers known now. */
@@ -139,7 +116,7 @@
     return this.peers.fleetSize;
   }
 
-  /** See `PeerView.isOwner`. */
+  /** Returns whether rendezvous hashing assigns `key` to this daemon as one of `count` owners. */
   isOwner(key: string, count: number): boolean {
     return this.peers.isOwner(key, count);
   }
@@ -178,32 +155,32 @@
     });
   }
 
-  /** Tells some peers that this daemon is stopping. */
+  /** Announces to some peers that this daemon stops. */
   leave(): void {
     this.sender.push(this.composer.farewell());
   }
 
   /**
-   * Tells other daemons of a back end that was ejected or found dead here. A zone that is lost brings many at once, so those of a
-   * moment share a message.
+   * Gossips that a back end was ejected or found dead here. The loss of a zone causes many ejections at once, so those of a moment
+   * share a message.
    */
-  gossipEjection(suspicion: EjectionReport): void {
-    this.ejections.record(suspicion);
+  gossipEjection(report: EjectionReport): void {
+    this.ejections.record(report);
     this.sender.pushEjections();
   }
 
-  /** Tells other daemons of a bad answer. Those of a moment share a message. */
+  /** Gossips a bad answer. Those of a moment share a message. */
   gossipBadAnswer(report: BadAnswerReport): void {
     this.composer.badAnswers.add(report);
     this.sender.pushBadAnswers();
   }
 
-  /** Takes in a report of the back ends' load; if it is new here, the next push without changes carries it. */
+  /** Applies a report of the back ends' load; the next push without changes carries it if it is new here. */
   gossipLoad(report: LoadReport): void {
     if (this.options.applyLoadReport?.(report)) this.composer.addLoadReport(report);
   }
 
-  /** To be called after each answer of the source: the confirmation is gossiped. */
+  /** Call after each response of the source: gossips the confirmation. */
   noteOwnConfirmation(): void {
     this.composer.recordOwnConfirmation();
     this.sender.pushSoon();
@@ -216,7 +193,8 @@
     this.peers.prune(nowMs);
     this.reportAge(ageMs);
     const unconfirmedMs = Math.min(ageMs, nowMs - this.startedAtMs);
-    if (unconfirmedMs >= this.options.timings.pullAfterMs) this.pull(nowMs);
+    const { pullAfterMs } = this.options.timings;
+    if (isPullDue(unconfirmedMs, pullAfterMs, nowMs - this.lastPullMs)) this.pull(nowMs);
     if (nowMs >= this.nextGreetingMs) this.greetSeeds(nowMs);
     const daemons = this.peers.reachableDaemons(nowMs);
     const known = { isComplete: knowledge.isComplete(), hasBeenRead: knowledge.hasBeenRead() };
@@ -234,25 +212,14 @@
     this.nextGreetingMs =
       nowMs + jitter(isAlone ? GREETING_MIN_MS : GREETING_MAX_MS, GREETING_JITTER, random);
     const greeted = isAlone || seeds.length === 0 ? seeds : [pick(seeds, random)];
-    this.send(greeted, this.composer.pullRequest());
+    this.channel.send(greeted, this.composer.pullRequest());
   }
 
-  private receive(bytes: Uint8Array, from: Endpoint): void {
-    const { clock, events } = this.options;
-    const nowMs = clock.now();
-    this.options.noteArrival();
-    this.counts.messagesReceived += 1;
-    this.counts.bytesReceived += bytes.length;
-    const message = decodePeerMessage(bytes, nowMs);
-    if (!message) {
-      this.counts.malformed += 1;
-      events.emit(SPREADING_EVENTS.malformedMessage, { from: formatEndpoint(from), bytes: bytes.length });
-      return;
-    }
+  private receive(message: PeerMessage, from: Endpoint, nowMs: number): void {
     if (message.leaving) this.peers.remove(from);
     else this.peers.recordDirect(from, message.senderZone, nowMs);
     for (const { endpoint, zone, heardAtMs } of message.peers) this.peers.record(endpoint, zone, heardAtMs);
-    if (message.type === 'pull') return this.send([from], this.composer.pullResponse(message));
+    if (message.type === 'pull') return this.channel.send([from], this.composer.pullResponse(message));
     this.apply(message, from);
   }
 
@@ -268,7 +235,7 @@
     if (mayBeOld) return;
     message.readers.forEach((reader) => this.role.record(reader));
     message.loads.forEach((report) => this.gossipLoad(report));
-    message.suspicions.forEach((suspicion) => this.applyEjectionReport(suspicion));
+    message.suspicions.forEach((report) => this.applyEjectionReport(report));
     message.badAnswers.forEach((report) => this.applyBadAnswerReport(report));
     const missing = knowledge.topics.filter((topic) => {
       const confirmation = message.confirmations[topic];
@@ -277,42 +244,30 @@
     if (message.departedCount > 0) this.catchUp.learnDeparted(from);
     if (missing.length > 0) return this.catchUp.requestMissing(missing, message, from);
     this.catchUp.recordNothingMissing(from);
-    if (ageBeforeMs - knowledge.age() >= CONFIRMATION_STEP_MS) this.sender.pushSoon();
+    if (isConfirmationStep(ageBeforeMs, knowledge.age())) this.sender.pushSoon();
   }
 
-  /** Passes a new suspicion on at once. */
-  private applyEjectionReport(suspicion: EjectionReport): void {
-    if (this.options.applyEjectionReport?.(suspicion)) this.gossipEjection(suspicion);
+  /** Gossips an ejection report that is new here. */
+  private applyEjectionReport(report: EjectionReport): void {
+    if (this.options.applyEjectionReport?.(report)) this.gossipEjection(report);
   }
 
+  /** Gossips a bad answer that is new here. */
   private applyBadAnswerReport(report: BadAnswerReport): void {
     if (this.options.applyBadAnswerReport?.(report)) this.gossipBadAnswer(report);
   }
 
   private sendPullRequest(peer: Endpoint): void {
-    this.counts.pulls += 1;
-    this.send([peer], this.composer.pullRequest());
+    this.channel.counts.pulls += 1;
+    this.channel.send([peer], this.composer.pullRequest());
   }
 
   private pull(nowMs: number): void {
-    if (nowMs - this.lastPullMs < PULL_INTERVAL_MS) return;
     this.lastPullMs = nowMs;
     const chosen = this.peers.sample(PULL_FANOUT).map(({ endpoint }) => endpoint);
     for (const endpoint of chosen.length > 0 ? chosen : this.options.seeds()) this.sendPullRequest(endpoint);
   }
 
-  /** Encodes the message once for all of them: that takes longer than sending it. */
-  private send(to: readonly Endpoint[], message: PeerMessage): void {
-    const nowMs = this.options.clock.now();
-    let bytes = encodePeerMessage(message, nowMs);
-    if (bytes.length > MAX_DATAGRAM_BYTES) bytes = encodePeerMessage({ ...message, updates: [] }, nowMs);
-    for (const peer of to) {
-      this.counts.messagesSent += 1;
-      this.counts.bytesSent += bytes.length;
-      this.options.transport.send(peer, bytes);
-    }
-  }
-
   private reportAge(ageMs: number): void {
     const overdue = ageMs >= this.options.timings.pullAfterMs;
     if (overdue === this.overdue) return;
--- a/src/cookie-edge/spreading/update-sender.ts
+++ b/src/cookie-edge/spreading/update-sender.ts
@@ -1,24 +1,19 @@
-/** Sends updates to some peers: changes at once, those that follow closely together, and confirmations a moment after they came. */
+/**
+ * Pushes gossip to some peers when the rule in `gossip-rule.ts` says so. Owns the timers of the pushes and the revisions up to which
+ * changes were sent; relies on `MessageComposer` for the content.
+ */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { Endpoint } from '../../common/types.js';
 import type { AppliedUpdate, RoutingKnowledge } from '../routing/index.js';
-import {
-  CHANGE_GATHER_MS,
-  FANOUT_ELSEWHERE,
-  FANOUT_IN_ZONE,
-  REPEAT_CONFIRMATION_MS,
-  BAD_ANSWER_GATHER_MS,
-  EJECTION_GATHER_MS,
-  NOTHING_KNOWN,
-  CONFIRMATION_GATHER_MS,
-} from './constants.js';
+import { FANOUT_ELSEWHERE, FANOUT_IN_ZONE, NOTHING_KNOWN } from './constants.js';
+import { pushDelayMs, type GossipTrigger } from './gossip-rule.js';
 import { knownRevisionsOf, type MessageComposer } from './message-composer.js';
 import type { PeerView } from './peer-view.js';
 import type { KnownRevisions, PeerMessage } from './types.js';
 import type { UpdateLog } from './update-log.js';
 
-/** What a sender needs. */
+/** Collaborators of a sender. */
 interface UpdateSenderOptions {
   readonly clock: Clock;
   readonly knowledge: RoutingKnowledge;
@@ -30,7 +25,7 @@
   readonly send: (to: readonly Endpoint[], message: PeerMessage) => void;
 }
 
-/** See the module. */
+/** Sends changes, confirmations, ejections and bad answers, each after its gather time. */
 export class UpdateSender {
   private confirmationTimer: TimerHandle | undefined;
   private changeTimer: TimerHandle | undefined;
@@ -49,13 +44,13 @@
 
   constructor(private readonly options: UpdateSenderOptions) {}
 
-  /** Logs a change and sends it at once, or with those that came closely before it. */
+  /** Logs a change and pushes it at once, or together with those that came closely before it. */
   onApplied({ topic, update, since }: AppliedUpdate): void {
     const { clock, log } = this.options;
     log.record({ topic, since: update.complete ? NOTHING_KNOWN : since, update });
-    const waitMs = this.changesSentMs + CHANGE_GATHER_MS - clock.now();
-    if (waitMs <= 0) return this.pushChanges();
-    this.changeTimer ??= clock.schedule(waitMs, () => this.pushChanges());
+    const delayMs = pushDelayMs('change', clock.now(), this.changesSentMs);
+    if (delayMs === 0) return this.pushChanges();
+    this.changeTimer ??= clock.schedule(delayMs, () => this.pushChanges());
   }
 
   /** Sends a message to some peers at once. */
@@ -67,28 +62,28 @@
     this.sendToSome(message);
   }
 
-  /** Sends confirmations after a moment, together with those that come meanwhile. */
+  /** Pushes confirmations after a moment, together with those that come meanwhile. */
   pushSoon(): void {
-    this.confirmationTimer ??= this.options.clock.schedule(CONFIRMATION_GATHER_MS, () => {
+    this.confirmationTimer ??= this.schedule('confirmation', () => {
       this.confirmationTimer = undefined;
       this.push(this.options.composer.confirmationMessage());
     });
   }
 
-  /** Sends suspicions of back ends, which every message carries, after a moment, and later while there are many. */
+  /** Pushes ejections, which every message carries, after a moment, and later while there are many. */
   pushEjections(): void {
     const { clock, composer } = this.options;
-    const leastMs = this.ejectionsPushedMs + EJECTION_GATHER_MS - clock.now();
-    this.ejectionTimer ??= clock.schedule(Math.max(CONFIRMATION_GATHER_MS, leastMs), () => {
+    const push = (): void => {
       this.ejectionsPushedMs = clock.now();
       this.push(composer.confirmationMessage());
-    });
+    };
+    this.ejectionTimer ??= this.schedule('ejection', push, this.ejectionsPushedMs);
   }
 
-  /** Sends bad answers a moment later, together with those that come meanwhile, and goes on until all are told. */
+  /** Pushes bad answers after a moment, together with those that come meanwhile, and repeats until none waits. */
   pushBadAnswers(): void {
-    const { clock, composer } = this.options;
-    this.badAnswerTimer ??= clock.schedule(BAD_ANSWER_GATHER_MS, () => {
+    const { composer } = this.options;
+    this.badAnswerTimer ??= this.schedule('bad-answer', () => {
       this.badAnswerTimer = undefined;
       const message = composer.badAnswerMessage();
       if (message.badAnswers.length > 0) this.sendToSome(message);
@@ -96,7 +91,7 @@
     });
   }
 
-  /** Sends nothing any more of its own accord. */
+  /** Cancels every pending push. */
   stop(): void {
     this.confirmationTimer?.cancel();
     this.changeTimer?.cancel();
@@ -114,7 +109,7 @@
     );
   }
 
-  /** Two more rounds, of confirmations only, reach those that the first one missed: they ask for the changes. */
+  /** Two more rounds, of confirmations only, reach the peers that the first one missed: they pull the changes. */
   private pushChanges(): void {
     const { clock, knowledge, log, composer, isOn } = this.options;
     this.changeTimer?.cancel();
@@ -129,6 +124,16 @@
     this.pushSoon();
     this.repeatTimer?.cancel();
     if (isOn('repeated-confirmations'))
-      this.repeatTimer = clock.schedule(REPEAT_CONFIRMATION_MS, () => this.pushSoon());
+      this.repeatTimer = this.schedule('repeated-confirmation', () => this.pushSoon());
+  }
+
+  /** Schedules a push after the delay of its trigger. */
+  private schedule(
+    trigger: GossipTrigger,
+    push: () => void,
+    lastPushMs = Number.NEGATIVE_INFINITY,
+  ): TimerHandle {
+    const { clock } = this.options;
+    return clock.schedule(pushDelayMs(trigger, clock.now(), lastPushMs), push);
   }
 }
