--- a/contract/surfaces/operator-metrics.ts
+++ b/contract/surfaces/operator-metrics.ts
@@ -1,6 +1,6 @@
 /** Names, types, labels and buckets of the metrics of both daemons, read from their pages. */
 import type { CookieDaemonComponents } from '../../src/cookie-edge/daemon/components.js';
-import { renderMetrics } from '../../src/cookie-edge/daemon/status.js';
+import { renderMetrics } from '../../src/cookie-edge/daemon/metrics.js';
 import { CookieStatistics } from '../../src/cookie-edge/forwarding/cookie-statistics.js';
 import { DaemonMetrics, type MetricsSnapshot } from '../../src/gue-edge/daemon/metrics.js';
 import { AnswerTracker } from '../../src/cookie-edge/outliers/answer-tracker.js';
--- a/src/cookie-edge/daemon/cookie-daemon.ts
+++ b/src/cookie-edge/daemon/cookie-daemon.ts
@@ -1,13 +1,19 @@
-/** The life of a balancer on a cookie edge: it learns routes and back ends, becomes ready, forwards and stops. */
+/**
+ * The life of a balancer on a cookie edge: it learns routes and back ends, becomes ready, forwards and stops. Owns the configuration in
+ * force and the admin server; the rules stand in `readiness.ts` and `shutdown.ts`.
+ */
 import { formatEndpoint } from '../../common/types.js';
-import { delay, waitUntilQuiet } from '../../common/drain.js';
 import { AdminServer, type Readiness } from '../../observability/admin-server.js';
 import { wireCookieDaemon, type CookieDaemonComponents, type CookieDaemonEnvironment } from './components.js';
 import { compareConfigs, type CookieDaemonConfig } from './config.js';
 import { COOKIE_DAEMON_EVENTS } from './events.js';
-import { describeStatus, renderMetrics, summarize } from './status.js';
+import { renderMetrics } from './metrics.js';
+import { decideReadiness } from './readiness.js';
+import { shutDown } from './shutdown.js';
+import { describeStatus, summarize } from './status.js';
 
-/** Readiness is compared with the last reported this often. */
+/** Interval in ms at which a daemon that is not ready compares its readiness with the last one reported. Not measured; chosen because
+ * routers probe far less often. */
 const READINESS_INTERVAL_MS = 20;
 
 /** One running balancer. */
@@ -37,17 +43,17 @@
 
   /** Whether new flows may come here, with every reason why not. */
   readiness(): Readiness {
-    const reasons: string[] = [];
-    if (this.stopped) reasons.push('stopping');
     const { knowledge } = this.components;
-    if (!knowledge.routes()) reasons.push('no routes');
-    for (const topic of knowledge.topics) {
-      if (topic !== 'routes' && knowledge.revisionOf(topic) < 0) reasons.push(`no ${topic}`);
-    }
-    return { ready: reasons.length === 0, reasons };
+    return decideReadiness({
+      isStopping: this.stopped !== undefined,
+      hasRoutes: knowledge.routes() !== undefined,
+      missingTopics: knowledge.topics.filter(
+        (topic) => topic !== 'routes' && knowledge.revisionOf(topic) < 0,
+      ),
+    });
   }
 
-  /** Puts a new configuration in force as far as possible. */
+  /** Applies the reloadable fields of a new configuration and reports those that need a restart. */
   reload(config: CookieDaemonConfig): void {
     const { changed, needsRestart } = compareConfigs(this.current.config, config);
     const { limits, drain, log, seeds, seedPort } = config;
@@ -58,7 +64,7 @@
     });
   }
 
-  /** Ends readiness, forwards until the routers have turned away, and stops. Further calls wait for the first. */
+  /** Ends readiness, drains, and stops. Further calls return the promise of the first. */
   stop(): Promise<void> {
     this.stopped ??= this.drainAndClose();
     return this.stopped;
@@ -102,16 +108,18 @@
 
   private async drainAndClose(): Promise<void> {
     const { clock, events, forwarder, spreader, reading, edge, transport } = this.components;
-    const { minMs, quietMs, maxMs } = this.current.config.drain;
+    const { drain } = this.current.config;
+    const { minMs, maxMs } = drain;
     events.emit(COOKIE_DAEMON_EVENTS.stopping, { flows: forwarder.flowCount, minMs, maxMs });
-    await delay(clock, minMs);
-    const packetsReceived = (): number => forwarder.statistics.packets;
-    const quiet = await waitUntilQuiet({ clock, quietMs, maxMs: maxMs - minMs, packetsReceived });
-    if (!quiet) events.emit(COOKIE_DAEMON_EVENTS.drainTimedOut, { maxMs });
-    spreader.leave();
-    this.running.abort();
-    reading.stop();
-    await Promise.all([this.admin.close(), edge.close(), transport.close()]);
+    await shutDown(drain, {
+      clock,
+      packetsReceived: () => forwarder.statistics.packets,
+      onTimeout: () => events.emit(COOKIE_DAEMON_EVENTS.drainTimedOut, { maxMs }),
+      leave: () => spreader.leave(),
+      cancelTimers: () => this.running.abort(),
+      stopReading: () => reading.stop(),
+      close: () => Promise.all([this.admin.close(), edge.close(), transport.close()]),
+    });
     events.emit(COOKIE_DAEMON_EVENTS.stopped, summarize(this.components));
   }
 }
--- /dev/null
+++ b/src/cookie-edge/daemon/metrics.ts
@@ -0,0 +1,171 @@
+/**
+ * Metrics of a daemon on a cookie edge, in Prometheus' text format: a table of definitions, and the page rendered from it. Owns no
+ * numbers; the parts count for themselves. The metrics library is loaded at the first scrape, not at the start.
+ */
+import type { Readiness } from '../../observability/admin-server.js';
+import type { MetricDefinition } from '../../observability/metrics-page.js';
+import type { CookieDaemonComponents } from './components.js';
+import { agesOf, countBackends } from './status.js';
+
+const MICROSECONDS_PER_SECOND = 1_000_000;
+const MILLISECONDS_PER_SECOND = 1_000;
+
+/** What the metrics are read from. */
+interface MetricsSource extends CookieDaemonComponents {
+  readonly readiness: Readiness;
+}
+
+/** Type, name without prefix, help, how the value is read, and the label of a metric that has one. */
+type MetricRow = readonly [
+  type: MetricDefinition<MetricsSource>['type'],
+  name: string,
+  help: string,
+  read: MetricDefinition<MetricsSource>['read'],
+  label?: string,
+];
+
+const METRICS: readonly MetricRow[] = [
+  ['gauge', 'ready', '1 while new flows may come here', ({ readiness }) => Number(readiness.ready)],
+  ['gauge', 'flows_remembered', 'Flows remembered by this balancer', (parts) => parts.forwarder.flowCount],
+  ['counter', 'packets_total', 'Packets from callers', (parts) => parts.forwarder.statistics.packets],
+  ['counter', 'packets_forwarded_total', 'Packets sent on', (parts) => parts.forwarder.statistics.forwarded],
+  ['counter', 'flows_opened_total', 'Openings placed', (parts) => parts.forwarder.statistics.opened],
+  [
+    'counter',
+    'flows_taken_over_total',
+    'Flows met in mid-life',
+    (parts) => parts.forwarder.statistics.takenOver,
+  ],
+  [
+    'counter',
+    'openings_placed_anew_total',
+    'SYN copies placed elsewhere',
+    (parts) => parts.forwarder.statistics.placedAnew,
+  ],
+  [
+    'counter',
+    'flows_refused_total',
+    'Openings refused',
+    (parts) => parts.forwarder.statistics.refusals,
+    'reason',
+  ],
+  [
+    'counter',
+    'packets_dropped_total',
+    'Packets dropped',
+    (parts) => parts.forwarder.statistics.drops,
+    'reason',
+  ],
+  [
+    'counter',
+    'flows_reset_total',
+    'Open flows reset, back end dead',
+    (parts) => parts.forwarder.statistics.resets,
+  ],
+  [
+    'counter',
+    'backend_probes_total',
+    'Probes of back ends that may be dead',
+    (parts) => parts.forwarder.probes,
+  ],
+  [
+    'gauge',
+    'requests_outstanding',
+    'Requests without an answer yet',
+    (parts) => parts.forwarder.answers.outstandingCount,
+  ],
+  [
+    'counter',
+    'requests_total',
+    'Requests followed, by outcome',
+    (parts) => ({ ...parts.forwarder.answers.statistics }),
+    'outcome',
+  ],
+  [
+    'counter',
+    'bad_answer_reports_total',
+    'Bad answers noted',
+    (parts) => parts.forwarder.outliers.reportCounts,
+    'origin',
+  ],
+  [
+    'counter',
+    'outlier_verdicts_total',
+    'Back ends found to be outliers',
+    (parts) => parts.forwarder.outliers.verdicts,
+  ],
+  [
+    'gauge',
+    'backends_avoided',
+    'Outliers that get no new flows',
+    (parts) => parts.forwarder.outliers.avoidedAt(parts.clock.now()).length,
+  ],
+  ['counter', 'backend_ejections_total', 'Back ends ejected', (parts) => parts.forwarder.ejections],
+  ['gauge', 'backends', 'Back ends, by condition', (parts) => countBackends(parts), 'condition'],
+  [
+    'gauge',
+    'routes_version',
+    'Version of the routes in force',
+    (parts) => parts.knowledge.routes()?.table.version,
+  ],
+  [
+    'gauge',
+    'knowledge_age_seconds',
+    'Time since nothing newer was confirmed',
+    (parts) => agesOf(parts, (ageMs) => ageMs / MILLISECONDS_PER_SECOND),
+    'topic',
+  ],
+  ['gauge', 'cordoned_zones', 'Zones that get no new flows', (parts) => parts.knowledge.cordons.all().length],
+  ['gauge', 'source_lost', '1 while the source is out of reach', (parts) => Number(parts.circuit.isLost)],
+  ['counter', 'source_calls_total', 'Calls to the source', (parts) => parts.reading.calls],
+  ['counter', 'source_record_problems_total', 'Malformed records', (parts) => parts.problems.count],
+  [
+    'gauge',
+    'source_reader',
+    '1 while this daemon reads the source',
+    (parts) => Number(parts.spreader.isReading),
+  ],
+  ['gauge', 'peers', 'Peers known', (parts) => parts.spreader.peerCount],
+  ['counter', 'spreading_sent_bytes_total', 'Bytes to peers', (parts) => parts.spreader.statistics.bytesSent],
+  [
+    'counter',
+    'spreading_received_bytes_total',
+    'Bytes from peers',
+    (parts) => parts.spreader.statistics.bytesReceived,
+  ],
+  ['counter', 'spreading_fetches_total', 'States fetched', (parts) => parts.spreader.statistics.fetches],
+  ['counter', 'process_cpu_seconds_total', 'Processor time', () => cpuSeconds()],
+  ['gauge', 'process_resident_memory_bytes', 'Resident memory', () => process.memoryUsage.rss()],
+];
+
+/** Renders the page. */
+export async function renderMetrics(
+  components: CookieDaemonComponents,
+  readiness: Readiness,
+): Promise<{ readonly contentType: string; readonly text: string }> {
+  const { MetricsPage } = await import('../../observability/metrics-page.js');
+  const definitions = METRICS.map(([type, name, help, read, label]) => ({ type, name, help, read, label }));
+  const page = new MetricsPage(definitions, () => ({ ...components, readiness }));
+  const text = await page.render();
+  const histograms = renderHistograms(components);
+  return { contentType: page.contentType, text: `${text}${histograms.join('\n')}\n` };
+}
+
+/** Lines of the histograms, which are counted without the library. */
+function renderHistograms({ forwarder }: CookieDaemonComponents): readonly string[] {
+  return [
+    ...forwarder.statistics.handshake.render(
+      'sailquay_handshake_seconds',
+      "From a SYN to its caller's next packet",
+    ),
+    ...forwarder.answers.times.render(
+      'sailquay_answer_seconds',
+      'From a request to the first acknowledgement of its answer',
+    ),
+  ];
+}
+
+function cpuSeconds(): number {
+  const { user, system } = process.cpuUsage();
+  return (user + system) / MICROSECONDS_PER_SECOND;
+}
--- /dev/null
+++ b/src/cookie-edge/daemon/readiness.ts
@@ -0,0 +1,27 @@
+/**
+ * Rule: whether routers may send new flows to this daemon. Pure.
+ *
+ * Prevents new flows at a daemon that would refuse them for lack of knowledge, or that is about to end. Every reason is reported, not
+ * the first one only. Knowledge counts however old it is, so that a daemon that is cut off from the source goes on serving.
+ */
+import type { Readiness } from '../../observability/admin-server.js';
+import type { RoutingTopic } from '../routing/index.js';
+
+/** Inputs of the rule. */
+interface ReadinessInputs {
+  /** A stop was requested. */
+  readonly isStopping: boolean;
+  /** A table of routes is in force. */
+  readonly hasRoutes: boolean;
+  /** Topics that are followed besides routes and of which no revision was received, in their order. */
+  readonly missingTopics: readonly RoutingTopic[];
+}
+
+/** Decides whether the daemon is ready, with every reason why not. */
+export function decideReadiness({ isStopping, hasRoutes, missingTopics }: ReadinessInputs): Readiness {
+  const reasons: string[] = [];
+  if (isStopping) reasons.push('stopping');
+  if (!hasRoutes) reasons.push('no routes');
+  for (const topic of missingTopics) reasons.push(`no ${topic}`);
+  return { ready: reasons.length === 0, reasons };
+}
--- /dev/null
+++ b/src/cookie-edge/daemon/shutdown.test.ts
@@ -0,0 +1,41 @@
+import test from 'ava';
+import { VirtualClock } from '../../common/clock.js';
+import { shutDown } from './shutdown.js';
+
+const TIMES = { minMs: 1_300, quietMs: 400, maxMs: 3_000 };
+const STEPS = ['leave', 'cancelTimers', 'stopReading', 'close'];
+
+/** Steps of a stop, each with its time, while a packet arrives every 50 ms until `lastPacketMs`. */
+async function stepsOf(lastPacketMs: number): Promise<{ names: string[]; endedMs: number }> {
+  const clock = new VirtualClock();
+  const startedMs = clock.now();
+  const names: string[] = [];
+  const note = (name: string) => (): void => void names.push(name);
+  const stopped = shutDown(TIMES, {
+    clock,
+    packetsReceived: () => Math.floor(Math.min(clock.now() - startedMs, lastPacketMs) / 50),
+    onTimeout: note('timeout'),
+    leave: note('leave'),
+    cancelTimers: note('cancelTimers'),
+    stopReading: note('stopReading'),
+    close: () => Promise.resolve(note('close')()),
+  });
+  let endedMs = Number.NaN;
+  void stopped.then(() => (endedMs = clock.now() - startedMs));
+  await clock.advanceAsync(4_000, 10);
+  return { names, endedMs };
+}
+
+const CASES = [
+  { name: 'routers that turn away at once', lastPacketMs: 0, steps: STEPS, endedMs: 1_700 },
+  { name: 'routers that turn away after a while', lastPacketMs: 2_000, steps: STEPS, endedMs: 2_400 },
+  { name: 'routers that never turn away', lastPacketMs: 9_000, steps: ['timeout', ...STEPS], endedMs: 3_000 },
+];
+
+for (const { name, lastPacketMs, steps, endedMs } of CASES) {
+  test(`${name}: ${steps.join(', ')} after ${endedMs} ms`, async (t) => {
+    const result = await stepsOf(lastPacketMs);
+    t.deepEqual(result.names, steps);
+    t.true(Math.abs(result.endedMs - endedMs) <= 100, `${result.endedMs} ms`);
+  });
+}
