--- a/src/cookie-edge/daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -1,21 +1,25 @@
-/** Everything that a daemon on a cookie edge is made of, and how it is wired. */
+/**
+ * Wires the parts of a daemon on a cookie edge. Owns the order in which they are created, which also is the order in which they draw
+ * from the shared random source. Gossip and forwarding call each other, and reading the source calls gossip: a part that is created
+ * earlier gets a function that returns the later one, and calls it only after everything is wired.
+ */
 import type { Clock } from '../../common/clock.js';
 import { hashString } from '../../common/hash.js';
-import { allBut } from '../../common/mechanisms.js';
+import { allBut, type MechanismCheck } from '../../common/mechanisms.js';
+import { PauseDetector } from '../../common/pause-detector.js';
 import type { RandomSource } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
-import { CookieForwarder } from '../forwarding/cookie-forwarder.js';
 import type { EventLog } from '../../observability/event.js';
-import { PauseDetector } from '../../common/pause-detector.js';
 import { TICK_MS } from '../forwarding/constants.js';
+import { CookieForwarder } from '../forwarding/cookie-forwarder.js';
 import { LOAD_MIN_DAEMONS, LoadReader, LoadView } from '../load/index.js';
 import { freshnessTimings, ProblemLog, RoutingKnowledge, SourceCircuit } from '../routing/index.js';
 import { NetworkTransport, Spreader } from '../spreading/index.js';
 import type { BoundCookieEdge, DeploymentAdapters } from './adapters.js';
 import type { CookieDaemonConfig } from './config.js';
 import { probeConnect } from './connect-probe.js';
-import { StartupBuffer } from './startup-buffer.js';
 import { SourceReading } from './source-reading.js';
+import { StartupBuffer } from './startup-buffer.js';
 
 /** What a daemon needs from its surroundings. */
 export interface CookieDaemonEnvironment {
@@ -37,35 +41,69 @@
   readonly forwarder: CookieForwarder;
 }
 
+/** What every factory uses. */
+interface Wiring extends CookieDaemonEnvironment {
+  /** The configuration in force, which a reload may change. */
+  readonly config: () => CookieDaemonConfig;
+  readonly isOn: MechanismCheck;
+  readonly pauses: PauseDetector;
+  readonly loads: LoadView;
+  readonly spreader: () => Spreader;
+  readonly forwarder: () => CookieForwarder;
+}
+
+/** The parts that learn from the source. */
+type SourceParts = ReturnType<typeof createSourceParts>;
+
 /**
- * Binds the sockets, the edge first, and wires everything. Only the first reading of the source runs already, since its answer
- * comes while the rest is wired. `config` is asked anew where a reread may change it.
+ * Binds the sockets, the edge first, and wires everything. Only the first reading of the source runs already, since its response
+ * arrives while the rest is wired. Throws a `SailquayError` when a socket cannot be bound.
  */
 export async function wireCookieDaemon(
   config: () => CookieDaemonConfig,
   environment: CookieDaemonEnvironment,
 ): Promise<CookieDaemonComponents> {
-  const { clock, random, events, adapters } = environment;
-  const { id, data, source: address, control, zone, zoneMargin, zoneLoadFactor, maxFlowAgeMs } = config();
-  const { changeBoundsMs, cordonBoundMs, zoneRegions, coldOverage: overage, coldSlack: slack } = config();
+  const { clock, events, adapters } = environment;
   const isOn = allBut(config().switchedOff);
-  const gate = new StartupBuffer({ clock, events, isOn });
+  const buffer = new StartupBuffer({ clock, events, isOn });
   const pauses = new PauseDetector(clock.now(), TICK_MS);
-  const edge = await adapters.openEdge({ data, handler: gate, events, clock });
-  gate.attach(edge);
+  const edge = await adapters.openEdge({ data: config().data, handler: buffer, events, clock });
+  buffer.attach(edge);
+  const wiring: Wiring = {
+    ...environment,
+    config,
+    isOn,
+    pauses,
+    loads: new LoadView(),
+    spreader: () => spreader,
+    forwarder: () => forwarder,
+  };
+  const sourceParts = createSourceParts(wiring);
+  const { knowledge, circuit, problems, reading } = sourceParts;
+  reading.readFirst();
+  const transport = await NetworkTransport.open(config().control, events);
+  const spreader = createSpreader(wiring, sourceParts, transport);
+  circuit.retryNoSoonerThan(() => spreader.minimumRetryDelayMs());
+  const forwarder = createForwarder(wiring, sourceParts, edge);
+  openWhenComplete(buffer, knowledge, forwarder);
+  return { ...environment, edge, transport, knowledge, circuit, problems, reading, spreader, forwarder };
+}
+
+function createSourceParts(wiring: Wiring) {
+  const { clock, random, events, adapters, isOn, spreader } = wiring;
+  const { source: address, maxFlowAgeMs, changeBoundsMs, cordonBoundMs } = wiring.config();
   const retentionMs = isOn('departed-backends') ? maxFlowAgeMs : 0;
   const followsCordons = cordonBoundMs !== undefined;
   const knowledge = new RoutingKnowledge({ clock, events, retentionMs, followsCordons });
   const timings = freshnessTimings(Math.min(...changeBoundsMs, cordonBoundMs ?? Infinity));
   const circuit = new SourceCircuit(clock, random, events);
   const source = adapters.createSource(address, clock);
-  const loads = new LoadView();
   const loadReader = new LoadReader({
     clock,
     events,
     source,
-    isWanted: () => isOn('reported-load') && !circuit.isLost && spreader.fleetSize >= LOAD_MIN_DAEMONS,
-    onReport: (report) => spreader.gossipLoad(report),
+    isWanted: () => isOn('reported-load') && !circuit.isLost && spreader().fleetSize >= LOAD_MIN_DAEMONS,
+    onReport: (report) => spreader().gossipLoad(report),
   });
   const problems = new ProblemLog(events);
   const following = {
@@ -76,12 +114,16 @@
     timings,
     problems,
     usesLongWatches: isOn('long-watches'),
-    onConfirmation: () => spreader.noteOwnConfirmation(),
+    onConfirmation: () => spreader().noteOwnConfirmation(),
   };
-  const reading = new SourceReading(following, loadReader);
-  reading.readFirst();
-  const transport = await NetworkTransport.open(control, events);
-  const spreader: Spreader = new Spreader({
+  return { knowledge, timings, circuit, problems, reading: new SourceReading(following, loadReader) };
+}
+
+function createSpreader(wiring: Wiring, parts: SourceParts, transport: NetworkTransport): Spreader {
+  const { clock, random, events, config, isOn, pauses, loads, forwarder } = wiring;
+  const { knowledge, timings, circuit, reading } = parts;
+  const { id, zone } = config();
+  return new Spreader({
     selfId: id,
     zone,
     seeds: () => seedsOf(config()),
@@ -97,11 +139,16 @@
     mayBeOld: () => pauses.mayBeOld(clock.now()),
     recordsMayLapse: () => circuit.recordsMayLapse(),
     applyLoadReport: (report) => isOn('reported-load') && loads.accept(report),
-    applyBadAnswerReport: (report) => forwarder.applyBadAnswerReport(report),
-    applyEjectionReport: ({ backendId, atMs }) => forwarder.applyEjectionReport(backendId, atMs),
+    applyBadAnswerReport: (report) => forwarder().applyBadAnswerReport(report),
+    applyEjectionReport: ({ backendId, atMs }) => forwarder().applyEjectionReport(backendId, atMs),
   });
-  circuit.retryNoSoonerThan(() => spreader.minimumRetryDelayMs());
-  const forwarder: CookieForwarder = new CookieForwarder({
+}
+
+function createForwarder(wiring: Wiring, { knowledge }: SourceParts, edge: BoundCookieEdge): CookieForwarder {
+  const { clock, random, events, config, isOn, pauses, loads, spreader } = wiring;
+  const { id, zone, zoneMargin, zoneLoadFactor, maxFlowAgeMs, zoneRegions, outliers } = config();
+  const { coldOverage: overage, coldSlack: slack } = config();
+  return new CookieForwarder({
     clock,
     random,
     events,
@@ -116,25 +163,23 @@
     maxFlowAgeMs,
     probe: probeConnect,
     regionOf: (name) => zoneRegions[name],
-    cold: { overage, slack, isOwner: (backendId, count) => spreader.isOwner(backendId, count) },
+    cold: { overage, slack, isOwner: (backendId, count) => spreader().isOwner(backendId, count) },
     maxFlows: () => config().limits.maxFlows,
     observer: hashString(id),
-    outliers: config().outliers,
-    onBadAnswer: (report) => spreader.gossipBadAnswer(report),
-    onEject: (backendId, atMs) => spreader.gossipEjection({ backendId, atMs }),
+    outliers,
+    onBadAnswer: (report) => spreader().gossipBadAnswer(report),
+    onEject: (backendId, atMs) => spreader().gossipEjection({ backendId, atMs }),
   });
-  openWhenComplete(gate, knowledge, forwarder);
-  return { ...environment, edge, transport, knowledge, circuit, problems, reading, spreader, forwarder };
 }
 
-/** Lets packets through as soon as everything is known that forwarding needs. */
+/** Opens the buffer as soon as everything is known that forwarding needs. */
 function openWhenComplete(
-  gate: StartupBuffer,
+  buffer: StartupBuffer,
   knowledge: RoutingKnowledge,
   forwarder: CookieForwarder,
 ): void {
   const openIfComplete = (): void => {
-    if (gate.isClosed && knowledge.isComplete()) gate.open(forwarder);
+    if (buffer.isClosed && knowledge.isComplete()) buffer.open(forwarder);
   };
   openIfComplete();
   knowledge.subscribe(openIfComplete);
