--- a/src/cookie-edge/daemon/config.ts
+++ b/src/cookie-edge/daemon/config.ts
@@ -1,6 +1,6 @@
 /**
  * Configuration of a daemon on a cookie edge: one file of JSON or YAML, checked before it is used. Unknown fields are
- * ignored, since whoever writes the file may be newer than this build.
+ * ignored, since the writer of the file may be newer than this build.
  */
 import { readFileSync } from 'node:fs';
 import * as z from 'zod/mini';
--- a/src/cookie-edge/daemon/constants.ts
+++ b/src/cookie-edge/daemon/constants.ts
@@ -33,7 +33,8 @@
 export const DEFAULT_LOG_BURST = 2_000;
 
 /**
- * Packets held between the binding of the data socket and the first knowledge. Derivation: about 1.3 MB at the most.
+ * Packets held between the binding of the data socket and the first knowledge. Chosen because
+ * it bounds the memory: about 1.3 MB at the most.
  */
 export const MAX_BUFFERED_PACKETS = 1_024;
 
--- a/src/cookie-edge/spreading/constants.ts
+++ b/src/cookie-edge/spreading/constants.ts
@@ -134,12 +134,12 @@
 export const BAD_ANSWER_GATHER_MS = 150;
 
 /**
- * A bad answer is gossiped this long, in ms. Derivation: others count it while it is younger than `REPORT_VALID_MS`
+ * A bad answer is gossiped this long, in ms. Chosen because others count it while it is younger than `REPORT_VALID_MS`
  * in outliers.
  */
 export const BAD_ANSWER_GOSSIP_MS = 2_000;
 
-/** Load reports in one message. Derivation: one of `MAX_REPORTED` back ends takes about half of a datagram. */
+/** Load reports in one message. One, because a report of `MAX_REPORTED` back ends takes about half of a datagram. */
 export const LOADS_PER_MESSAGE = 1;
 
 /** Random peers introduced in one message. Not measured; chosen because a message stays small. */
@@ -167,7 +167,8 @@
 export const SIZE_SAMPLE_FORGET_MS = 30_000;
 
 /**
- * Time in ms after which a peer is forgotten that nobody mentioned. Not measured; chosen because it is many mentions.
+ * Time in ms after which a peer is forgotten that nobody mentioned. Not measured; chosen because a live peer
+ * is mentioned many times within it.
  */
 export const PEER_FORGET_MS = 15_000;
 
--- a/src/cookie-edge/spreading/reader-rule.ts
+++ b/src/cookie-edge/spreading/reader-rule.ts
@@ -2,7 +2,7 @@
  * Rule: whether this daemon reads the source ("is a reader"). Pure; `ReaderRole` keeps the state and draws the random
  * numbers.
  *
- * Prevents a load on the source that grows with the fleet, and a fleet that nobody keeps current. There is no
+ * Prevents a load on the source that grows with the fleet, and a fleet that no daemon keeps current. There is no
  * election: extra readers only cost calls, so no agreement is needed.
  *
  * A reader stands down only while its own knowledge is current and enough fresh readers outrank it. Staleness is
--- a/src/cookie-edge/spreading/spreading-test-support.ts
+++ b/src/cookie-edge/spreading/spreading-test-support.ts
@@ -3,6 +3,7 @@
 import { seededRandom } from '../../common/random.js';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import { LoadView } from '../load/index.js';
+import type { BadAnswerReport } from '../outliers/index.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import {
   freshnessTimings,
@@ -14,6 +15,7 @@
 import { SimulatedPeerNetwork, zoneOf } from './simulated-peer-network.js';
 import { SimulatedSource, type SourceFault } from './simulated-source.js';
 import { Spreader } from './spreader.js';
+import type { EjectionReport } from './types.js';
 
 export type { SourceFault } from './simulated-source.js';
 
@@ -25,12 +27,16 @@
   readonly knowledge: RoutingKnowledge;
   readonly spreader: Spreader;
   readonly endpoint: Endpoint;
-  /** Back ends that others suspected, each once. */
+  /** Back ends that others ejected, each once. */
   readonly suspicions: string[] = [];
-  /** Bad answers that others noticed, each once, and when they were heard of. */
+  /** Bad answers that others noticed, each once, with the time at which they arrived. */
   readonly badAnswers = new Map<string, number>();
   /** The load of back ends as others reported it. */
   readonly loads = new LoadView();
+  private readonly clock: VirtualClock;
+  private readonly events = SILENT_EVENT_LOG;
+  private readonly circuit: SourceCircuit;
+  private readonly followers: readonly SourceFollower[];
   private readonly abort = new AbortController();
   private reading: AbortController | undefined;
 
@@ -39,63 +45,34 @@
     index: number,
     cluster: SpreadingCluster,
   ) {
-    const { clock, source, network } = cluster;
+    this.clock = cluster.clock;
     this.endpoint = { host: `10.1.${index >> 8}.${index & 0xff}`, port: 7_720 };
+    const { clock, events } = this;
+    const { followsCordons } = cluster.options;
     const random = seededRandom(cluster.seed * 1_000 + index);
-    const events = SILENT_EVENT_LOG;
-    this.knowledge = new RoutingKnowledge({
-      clock,
-      events,
-      retentionMs: 60_000,
-      followsCordons: cluster.options.followsCordons,
-    });
-    const circuit = new SourceCircuit(clock, random, events);
-    circuit.retryNoSoonerThan(() => this.spreader.minimumRetryDelayMs());
-    const following = {
-      clock,
-      source: source.for(id),
-      knowledge: this.knowledge,
-      circuit,
-      timings: TIMINGS,
-      problems: new ProblemLog(events),
-      usesLongWatches: cluster.options.usesLongWatches,
-      onConfirmation: () => this.spreader.noteOwnConfirmation(),
-    };
-    const followers = this.knowledge.topics.map((topic) => new SourceFollower(topic, following));
+    this.knowledge = new RoutingKnowledge({ clock, events, retentionMs: 60_000, followsCordons });
+    this.circuit = new SourceCircuit(clock, random, events);
+    this.circuit.retryNoSoonerThan(() => this.spreader.minimumRetryDelayMs());
+    this.followers = this.followersOf(cluster);
     this.spreader = new Spreader({
       selfId: id,
       zone: zoneOf(formatEndpoint(this.endpoint)),
       seeds: () => cluster.seeds,
       knowledge: this.knowledge,
-      transport: network.open(this.endpoint),
+      transport: cluster.network.open(this.endpoint),
       clock,
       random,
       events,
       timings: TIMINGS,
-      setReading: (isReading) => {
-        this.reading?.abort();
-        this.reading = isReading ? new AbortController() : undefined;
-        if (isReading) circuit.begin();
-        else circuit.end();
-        for (const follower of followers) if (this.reading) void follower.run(this.reading.signal);
-      },
+      setReading: (isReading) => this.setReading(isReading),
       noteArrival: () => undefined,
       mayBeOld: () => false,
-      recordsMayLapse: () => circuit.recordsMayLapse(),
+      recordsMayLapse: () => this.circuit.recordsMayLapse(),
       applyLoadReport: (report) => this.loads.accept(report),
-      applyBadAnswerReport: ({ backendId, observer }) => {
-        const key = `${backendId} ${observer}`;
-        if (this.badAnswers.has(key)) return false;
-        this.badAnswers.set(key, clock.now());
-        return true;
-      },
-      applyEjectionReport: ({ backendId }) => {
-        if (this.suspicions.includes(backendId)) return false;
-        this.suspicions.push(backendId);
-        return true;
-      },
+      applyBadAnswerReport: (report) => this.applyBadAnswerReport(report),
+      applyEjectionReport: (report) => this.applyEjectionReport(report),
     });
-    for (const follower of followers) void follower.readFirst(this.abort.signal);
+    for (const follower of this.followers) void follower.readFirst(this.abort.signal);
     this.spreader.start(this.abort.signal);
   }
 
@@ -104,12 +81,48 @@
     return this.knowledge.routes()?.table.version ?? 0;
   }
 
-  /** Ends it without a word. */
+  /** Ends it without a farewell. */
   kill(network: SimulatedPeerNetwork): void {
     this.abort.abort();
     this.reading?.abort();
     network.close(this.endpoint);
   }
+
+  private followersOf({ source, options }: SpreadingCluster): readonly SourceFollower[] {
+    const { clock, knowledge, circuit } = this;
+    const following = {
+      clock,
+      source: source.for(this.id),
+      knowledge,
+      circuit,
+      timings: TIMINGS,
+      problems: new ProblemLog(this.events),
+      usesLongWatches: options.usesLongWatches,
+      onConfirmation: () => this.spreader.noteOwnConfirmation(),
+    };
+    return knowledge.topics.map((topic) => new SourceFollower(topic, following));
+  }
+
+  private setReading(isReading: boolean): void {
+    this.reading?.abort();
+    this.reading = isReading ? new AbortController() : undefined;
+    if (isReading) this.circuit.begin();
+    else this.circuit.end();
+    for (const follower of this.followers) if (this.reading) void follower.run(this.reading.signal);
+  }
+
+  private applyBadAnswerReport({ backendId, observer }: BadAnswerReport): boolean {
+    const key = `${backendId} ${observer}`;
+    if (this.badAnswers.has(key)) return false;
+    this.badAnswers.set(key, this.clock.now());
+    return true;
+  }
+
+  private applyEjectionReport({ backendId }: EjectionReport): boolean {
+    if (this.suspicions.includes(backendId)) return false;
+    this.suspicions.push(backendId);
+    return true;
+  }
 }
 
 /** What daemons of a cluster do differently; nothing unless given. */
--- a/src/cookie-edge/spreading/types.ts
+++ b/src/cookie-edge/spreading/types.ts
@@ -37,7 +37,7 @@
 
 /** Content of a message; times are monotonic ms of this process. */
 export interface PeerMessage {
-  /** `news` is a push or the response to a pull, `pull` a request, `state` the response to a fetch; as on the wire. */
+  /** `news` is a push or the response to a pull, `pull` a request, `state` the response to a fetch, as on the wire. */
   readonly type: 'news' | 'pull' | 'state';
   readonly senderId: string;
   readonly senderZone: string;
