--- a/src/cookie-edge/spreading/reader-role.ts
+++ b/src/cookie-edge/spreading/reader-role.ts
@@ -17,7 +17,7 @@
  * Random part of a delay, 0 to 1, so that daemons of nearly equal rank do not keep acting at the same time. Not
  * measured; chosen because rank must still dominate.
  */
-const TURN_RANDOM_SHARE = 0.1;
+const POSITION_RANDOM_SHARE = 0.1;
 
 /** Why a daemon starts or stops reading. */
 export type RoleReason = 'too-few-readers' | 'overdue' | 'enough-readers';
@@ -158,6 +158,6 @@
 
   /** Delay as a part of the spread, 0 to 1: higher ranks act first. */
   private volunteerPosition(): number {
-    return (1 - TURN_RANDOM_SHARE) * (1 - this.rank / RANKS) + TURN_RANDOM_SHARE * this.random();
+    return (1 - POSITION_RANDOM_SHARE) * (1 - this.rank / RANKS) + POSITION_RANDOM_SHARE * this.random();
   }
 }
