--- a/src/cookie-edge/spreading/message-composer.ts
+++ b/src/cookie-edge/spreading/message-composer.ts
@@ -1,16 +1,19 @@
-/** Composes gossip messages: revisions and their freshness, changes, readers of the source, peers, suspected and busy back ends. */
+/**
+ * Composes gossip messages: revisions and their freshness, changes, readers of the source, peers, ejections, load and
+ * bad answers. Owns the reports that wait for a push; reads everything else from the parts that own it.
+ */
 import type { Clock } from '../../common/clock.js';
 import type { LoadReport } from '../load/index.js';
 import type { RoutingKnowledge, RoutingTopic, TopicConfirmation } from '../routing/index.js';
-import { LOADS_A_MESSAGE, NOTHING_KNOWN, PEERS_A_MESSAGE, READERS_A_MESSAGE } from './constants.js';
+import { LOADS_PER_MESSAGE, NOTHING_KNOWN, PEERS_PER_MESSAGE, READERS_PER_MESSAGE } from './constants.js';
 import type { PeerView } from './peer-view.js';
 import type { ReaderRole } from './reader-role.js';
-import type { RecentSuspicions } from './recent-suspicions.js';
+import type { RecentEjections } from './recent-ejections.js';
 import { BadAnswerOutbox } from './bad-answer-outbox.js';
 import type { KnownRevisions, PeerMessage, SpreadUpdate } from './types.js';
 import { completeUpdate, type UpdateLog } from './update-log.js';
 
-/** What a composer looks at. */
+/** Collaborators of a composer. */
 interface MessageComposerOptions {
   readonly selfId: string;
   readonly zone: string;
@@ -19,22 +22,22 @@
   readonly peers: PeerView;
   readonly role: ReaderRole;
   readonly log: UpdateLog;
-  readonly suspicions: RecentSuspicions;
+  readonly ejections: RecentEjections;
 }
 
-/** See the module. */
+/** Composes the messages of one daemon. */
 export class MessageComposer {
   /** Monotonic ms of the last confirmation that this daemon read itself. */
   private ownConfirmationMs = Number.NEGATIVE_INFINITY;
-  /** Load reports that were not passed on yet. */
+  /** Load reports that wait for a push. */
   private loads: readonly LoadReport[] = [];
-  /** Bad answers that were not told yet. */
+  /** Bad answers that wait for a push. */
   readonly badAnswers = new BadAnswerOutbox();
 
   constructor(private readonly options: MessageComposerOptions) {}
 
-  /** Notes that the source just confirmed something to this daemon. */
-  noteOwnConfirmation(): void {
+  /** Records that the source just confirmed something to this daemon. */
+  recordOwnConfirmation(): void {
     this.ownConfirmationMs = this.options.clock.now();
   }
 
@@ -43,28 +46,28 @@
     return this.message('news', updates);
   }
 
-  /** Asks for what this daemon lacks. */
-  question(): PeerMessage {
+  /** Requests what this daemon lacks. */
+  pullRequest(): PeerMessage {
     return this.message('pull', []);
   }
 
-  /** Tells that this daemon stops. */
+  /** Announces that this daemon stops. */
   farewell(): PeerMessage {
     return { ...this.updateMessage(), leaving: true };
   }
 
-  /** What the asker lacks, as far as the log reaches back. */
-  answer(question: PeerMessage): PeerMessage {
+  /** The changes that the requester lacks, as far as the log reaches back; what it does not cover is left out. */
+  pullResponse(request: PeerMessage): PeerMessage {
     const { knowledge, log } = this.options;
     const updates = knowledge.topics.flatMap((topic) => {
-      const revision = question.confirmations[topic]?.revision ?? NOTHING_KNOWN;
+      const revision = request.confirmations[topic]?.revision ?? NOTHING_KNOWN;
       if (revision >= knowledge.confirmationOf(topic).changedRevision) return [];
-      return log.since(topic, { revision, table: question.tableRevision }) ?? [];
+      return log.since(topic, { revision, table: request.tableRevision }) ?? [];
     });
     return this.updateMessage(updates);
   }
 
-  /** Changes where the log reaches back far enough, and everything where it does not. */
+  /** Everything beyond `known`: the changes of topics that the log covers, the whole of the others. */
   state(known: KnownRevisions): PeerMessage {
     const { knowledge, log } = this.options;
     const updates = knowledge.topics.flatMap((topic) => {
@@ -75,7 +78,7 @@
     return this.message('state', updates);
   }
 
-  /** A push without changes. Load reports are added to it, each once by each daemon. */
+  /** A push without changes. Carries waiting load reports, each once from each daemon. */
   confirmationMessage(): PeerMessage {
     const { loads } = this;
     this.loads = [];
@@ -83,7 +86,7 @@
   }
 
   /**
-   * Bad answers and nothing else: there may be several such messages a second, and reading a message of what this daemon knows takes
+   * Bad answers and nothing else: there may be several such messages a second, and decoding a full message takes
    * about as long as forwarding ten packets.
    */
   badAnswerMessage(): PeerMessage {
@@ -106,12 +109,12 @@
   }
 
   /** Adds a report to the next push without changes, in place of an older one of its page. */
-  noteLoad(report: LoadReport): void {
-    this.loads = [...this.loads.filter(({ page }) => page !== report.page), report].slice(-LOADS_A_MESSAGE);
+  addLoadReport(report: LoadReport): void {
+    this.loads = [...this.loads.filter(({ page }) => page !== report.page), report].slice(-LOADS_PER_MESSAGE);
   }
 
   private message(type: PeerMessage['type'], updates: readonly SpreadUpdate[]): PeerMessage {
-    const { selfId, zone, knowledge, clock, role, peers, suspicions } = this.options;
+    const { selfId, zone, knowledge, clock, role, peers, ejections } = this.options;
     const nowMs = clock.now();
     const hasConfirmed = role.isReading && Number.isFinite(this.ownConfirmationMs);
     const self = hasConfirmed ? [{ id: selfId, confirmedAtMs: this.ownConfirmationMs }] : [];
@@ -122,18 +125,18 @@
       leaving: false,
       updates,
       confirmations: confirmationsOf(knowledge),
-      suspicions: suspicions.recent(nowMs),
+      suspicions: ejections.recent(nowMs),
       loads: [],
       badAnswers: [],
       departedCount: knowledge.backends.departedCount,
       tableRevision: knowledge.tableRevision,
-      readers: [...self, ...role.leadingReaders(nowMs, READERS_A_MESSAGE)],
-      peers: peers.introduce(PEERS_A_MESSAGE),
+      readers: [...self, ...role.leadingReaders(nowMs, READERS_PER_MESSAGE)],
+      peers: peers.introduce(PEERS_PER_MESSAGE),
     };
   }
 }
 
-/** How far everything is known. */
+/** Revisions up to which each topic is known. */
 export function knownRevisionsOf(knowledge: RoutingKnowledge): KnownRevisions {
   return {
     routes: knowledge.revisionOf('routes'),
