--- a/src/experiment/experiment-command.ts
+++ b/src/experiment/experiment-command.ts
@@ -98,7 +98,7 @@
     .option('--with-baselines', 'run it in every baseline mode too')
     .addHelpText('after', RUN_EXAMPLES)
     .action(run);
-  registerSpecialRuns(command, experiment);
+  registerSpecialRuns(command);
 }
 
 function registerCompare(experiment: Command): void {
--- a/src/experiment/scenario.ts
+++ b/src/experiment/scenario.ts
@@ -107,8 +107,6 @@
 
 export type Scenario = z.infer<typeof scenarioSchema>;
 export type LoadSettings = z.infer<typeof loadSchema>;
-export type FabricSettings = z.infer<typeof fabricSchema>;
-export type BackendCapacitySettings = z.infer<typeof backendCapacitySchema>;
 export type GoalSettings = z.infer<typeof goalSchema>;
 
 /** One fault of a scenario document. */
