--- a/src/cli/fleet-options.ts
+++ b/src/cli/fleet-options.ts
@@ -7,8 +7,9 @@
 import { SILENT_EVENT_LOG } from '../observability/event.js';
 import { createStoreClient, type ConnectedStoreClient } from '../store/index.js';
 
-/** Environment variables for when the flags are not given. */
+/** Environment variable with the platform's base URL, for when `--platform` is not given. */
 export const PLATFORM_VARIABLE = 'SAILQUAY_PLATFORM';
+/** Environment variable with admin addresses, separated by commas, for when `--admin` is not given. */
 const ADMIN_VARIABLE = 'SAILQUAY_ADMIN';
 
 const MAX_PORT = 65_535;
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -47,8 +47,7 @@
   {
     name: 'experiment',
     description: 'run load and fault experiments',
-    register: async (program) =>
-      (await import('../experiment/experiment-command.js')).registerExperimentCommand(program),
+    register: async (program) => (await import('../experiment/index.js')).registerExperimentCommand(program),
   },
   {
     name: 'standin',
--- a/src/cli/tree-command.ts
+++ b/src/cli/tree-command.ts
@@ -23,6 +23,7 @@
 } from '../settings/index.js';
 import { readText, reportFaults } from './config-command.js';
 import { ExitCode } from './exit-codes.js';
+import { PLATFORM_VARIABLE } from './fleet-options.js';
 import { PROCESS_OUTPUT, reportError, showValue, type CommandOutput } from './settings-output.js';
 import {
   printDiff,
@@ -33,9 +34,6 @@
   type OutputOptions,
 } from './tree-output.js';
 
-/** Environment variable with the platform's base URL, for when `--platform` is not given. */
-const PLATFORM_VARIABLE = 'SAILQUAY_PLATFORM';
-
 /** Wakes the event loop now and then so that the process outlives waits whose timers do not keep it alive. */
 const KEEP_ALIVE_MS = 1_000;
 
--- a/src/experiment/index.ts
+++ b/src/experiment/index.ts
@@ -1,14 +1,9 @@
 /**
- * Experiments: scenarios with real processes under load and faults, measured and judged.
+ * Experiments: scenarios with real processes under load and faults, measured and judged against their goals.
  *
- * ```ts
- * const scenario = loadScenario('demo').unwrapOrElse((error) => { throw error; });
- * const document = await runScenario({ scenario, seed: 1, mode: 'bounded-load', signal, progress: console.error });
- * ```
+ * Owns the scenario format (`scenarios/*.yaml`), the processes of a run, the samples taken meanwhile and the document
+ * that `sailquay experiment run --out` saves. Relies on the stand-ins and the daemon only as processes of their own, started
+ * through the command line, and on their control and admin addresses. Nothing of the product relies on this folder; the command
+ * line is its only reader.
  */
-export * from './document.js';
-export * from './errors.js';
-export { checkScenario, scenarioSchema, type Scenario } from './scenario.js';
-export { loadScenario, parseScenario, scenarioNames } from './scenario-files.js';
-export { runScenario } from './experiment-run.js';
-export { textReport } from './text-report.js';
+export { registerExperimentCommand } from './experiment-command.js';
--- a/src/experiment/join-reports.ts
+++ b/src/experiment/join-reports.ts
@@ -80,7 +80,7 @@
 }
 
 /** Ids that ran twice in one process, or in two processes. */
-export function runTwice(
+function runTwice(
   unrepeatable: readonly (readonly string[])[],
   backends: readonly BackendStandinReport[],
 ): ReadonlySet<string> {
