--- a/src/experiment/build-document.ts
+++ b/src/experiment/build-document.ts
@@ -2,7 +2,7 @@
 import type { PlacementMode } from '../gue-edge/placement/types.js';
 import type { BackendStandinReport } from '../standin/backend/types.js';
 import type { CallerReport } from '../standin/caller/types.js';
-import type { ActionRunner } from './action-runner.js';
+import type { ActionRecord } from './action-record.js';
 import type { BackendSampler } from './backend-sampler.js';
 import type { BalancerFleet } from './balancer-fleet.js';
 import { BROKEN_FLOWS_KEPT } from './constants.js';
@@ -16,7 +16,7 @@
 import type { Scenario } from './scenario.js';
 
 /** Everything a run recorded. */
-interface RunRecord {
+export interface RunRecord {
   readonly scenario: Scenario;
   readonly seed: number;
   readonly mode: PlacementMode;
@@ -24,7 +24,7 @@
   /** Wall ms of the start and the end of the load. */
   readonly startedAtMs: number;
   readonly endedAtMs: number;
-  readonly actions: ActionRunner;
+  readonly actions: ActionRecord;
   readonly balancers: BalancerFleet;
   readonly monitor: FleetMonitor;
   readonly sampler: BackendSampler;
--- a/src/experiment/experiment-run.ts
+++ b/src/experiment/experiment-run.ts
@@ -1,11 +1,11 @@
 /** One run of a scenario: starts every process, carries the plan out under load, measures, and stops everything. */
 import { mkdirSync } from 'node:fs';
 import type { PlacementMode } from '../gue-edge/placement/types.js';
-import { ActionRunner, sleepUntil } from './action-runner.js';
+import { ActionRunner } from './action-runner.js';
 import { BackendProcesses } from './backend-processes.js';
 import { BackendSampler } from './backend-sampler.js';
 import { BalancerFleet } from './balancer-fleet.js';
-import { buildDocument } from './build-document.js';
+import { buildDocument, type RunRecord } from './build-document.js';
 import { REPORT_REQUEST_TIMEOUT_MS, RUN_GRACE_MS } from './constants.js';
 import type { ExperimentDocument } from './document.js';
 import { ExperimentError } from './errors.js';
@@ -22,12 +22,19 @@
 import type { LoadSettings, Scenario } from './scenario.js';
 import { resolveNames, ScenarioNames } from './scenario-names.js';
 import { shortName, SiteTemplate } from './site-template.js';
+import { sleepUntil } from './sleep-until.js';
 import { median } from './statistics.js';
 
-/** Time between two looks at the callers' totals during a run, ms. */
+/**
+ * Time between two polls of the callers' totals during a run, ms. Not measured; chosen because a caller that gives no final report
+ * then lacks at most about the last second of its counts.
+ */
 const CALLER_POLL_INTERVAL_MS = 1_000;
 
-/** Share of samples that may be late before the imbalance counts as partly measured. */
+/**
+ * Share of samples that may be late before the imbalance counts as partly measured, of 1. Not measured; chosen because the
+ * imbalance is a mean over samples, which a tenth of them moves little.
+ */
 const MAX_MISSED_SHARE = 0.1;
 
 interface RunOptions {
@@ -66,6 +73,9 @@
   readonly loads: LoadProcesses;
 }
 
+/** What was planned and what was seen from the start of the load to the last answers. */
+type ObservedRun = Pick<RunRecord, 'plan' | 'startedAtMs' | 'endedAtMs' | 'actions' | 'monitor' | 'sampler'>;
+
 class ExperimentRun {
   private readonly launcher: ProcessLauncher;
   private readonly client = new ControlClient();
@@ -84,14 +94,12 @@
     this.scenario = resolveNames(options.scenario, this.site);
   }
 
+  /** Runs the scenario to its end; the caller disposes of the run afterwards. */
   async execute(): Promise<ExperimentDocument> {
     const stage = await this.start();
     const plan = this.plan(stage);
     const monitor = new FleetMonitor(this.client, () => stage.balancers.all);
-    const sampler = new BackendSampler(stage.backends, () => ({
-      broken: stage.loads.reports().reduce((sum, report) => sum + report.flows.broken, 0),
-      controlBytesPerSecond: median(monitor.controlRates()),
-    }));
+    const sampler = this.sampler(stage, monitor);
     await this.startLoads(stage, (load) => load.from === 0);
     this.options.progress(`load runs: ${this.scenario.durationSeconds} s`);
     const startedAtMs = Date.now();
@@ -108,23 +116,30 @@
     await stage.loads.stopAll();
     monitor.stop();
     sampler.stop();
+    return this.document(stage, { plan, startedAtMs, endedAtMs, actions: actions.record, monitor, sampler });
+  }
+
+  private sampler(stage: Stage, monitor: FleetMonitor): BackendSampler {
+    return new BackendSampler(stage.backends, () => ({
+      broken: stage.loads.reports().reduce((sum, report) => sum + report.flows.broken, 0),
+      controlBytesPerSecond: median(monitor.controlRates()),
+    }));
+  }
+
+  /** Collects the last reports, notes what is missing of them, and builds the result. */
+  private async document(stage: Stage, observed: ObservedRun): Promise<ExperimentDocument> {
     if (!stage.loads.complete)
       this.problems.push('a caller did not give its final report: its counts are partial');
-    if (sampler.missedShare > MAX_MISSED_SHARE)
-      this.problems.push(`${sampler.missed} samples of the back ends were late`);
+    if (observed.sampler.missedShare > MAX_MISSED_SHARE)
+      this.problems.push(`${observed.sampler.missed} samples of the back ends were late`);
     const backends = await stage.backends.reports(REPORT_REQUEST_TIMEOUT_MS);
     if (!backends) this.problems.push('the back ends did not give their final report');
     return buildDocument({
+      ...observed,
       scenario: this.scenario,
       seed: this.options.seed,
       mode: this.options.mode,
-      plan,
-      startedAtMs,
-      endedAtMs,
-      actions,
       balancers: stage.balancers,
-      monitor,
-      sampler,
       edits: stage.operators.edits,
       callers: stage.loads.reports(),
       backends,
--- a/src/experiment/join-reports.ts
+++ b/src/experiment/join-reports.ts
@@ -1,7 +1,7 @@
 /** Joins what callers and back ends counted: broken flows by cause, and requests that ran when they must not have. */
 import type { BackendStandinReport } from '../standin/backend/types.js';
 import type { BrokenFlow, CallerReport } from '../standin/caller/types.js';
-import type { FaultPeriod } from './action-runner.js';
+import type { FaultPeriod } from './action-record.js';
 import { FAULT_ATTRIBUTION_MS } from './constants.js';
 import type { FlowFigures, RequestFigures } from './document.js';
 
--- a/src/experiment/measure.ts
+++ b/src/experiment/measure.ts
@@ -2,7 +2,7 @@
 import { CONTROL_KINDS } from '../gue-edge/control/types.js';
 import { totalBytes, type DaemonHistory, type EligibilityChange, type UsageSample } from './fleet-monitor.js';
 import type { Absence } from './balancer-fleet.js';
-import type { Withdrawal } from './action-runner.js';
+import type { Withdrawal } from './action-record.js';
 import type { BackendSample, SampledBackend } from './backend-sampler.js';
 import type { ControlFigures, ImbalanceFigures, PerService } from './document.js';
 import type { OperatorEdit } from './operator.js';
