--- a/src/cli/config-command.ts
+++ b/src/cli/config-command.ts
@@ -65,7 +65,8 @@
   if (settings.isErr) {
     reportFaults(file, settings.error, json, output);
   } else if (tree.isOk) {
-    reportValid(file, tree.value, settings.value, json, output);
+    const summary = summaryOf(file, tree.value, settings.value);
+    output.write(json ? JSON.stringify(summary, undefined, 2) : summaryText(summary));
   }
 }
 
@@ -107,16 +108,21 @@
   output.exit(ExitCode.InvalidSettings);
 }
 
-function reportValid(
-  file: string,
-  document: TreeDocument,
-  settings: EffectiveSettings,
-  json: boolean,
-  output: CommandOutput,
-): void {
+/** What `config check` says of a valid file; the fields of its JSON output. */
+interface FileSummary {
+  readonly file: string;
+  readonly valid: true;
+  readonly nodes: number;
+  readonly services: number;
+  readonly backends: number;
+}
+
+function summaryOf(file: string, document: TreeDocument, settings: EffectiveSettings): FileSummary {
   const services = settings.services.length;
   const backends = settings.services.reduce((sum, service) => sum + service.backends.length, 0);
-  const summary = { file, valid: true, nodes: document.nodes.length, services, backends };
-  if (json) output.write(JSON.stringify(summary, undefined, 2));
-  else output.write(`${file}: valid, ${summary.nodes} nodes, ${services} services, ${backends} back ends`);
+  return { file, valid: true, nodes: document.nodes.length, services, backends };
+}
+
+function summaryText({ file, nodes, services, backends }: FileSummary): string {
+  return `${file}: valid, ${nodes} nodes, ${services} services, ${backends} back ends`;
 }
--- a/src/cli/tree-command.ts
+++ b/src/cli/tree-command.ts
@@ -146,6 +146,12 @@
 }
 
 function registerEditing(tree: Command, environment: TreeCommandEnvironment): void {
+  registerFieldEdits(tree, environment);
+  registerNodeEdits(tree, environment);
+}
+
+/** `set` and `unset`: edits of a node's own fields. */
+function registerFieldEdits(tree: Command, environment: TreeCommandEnvironment): void {
   editCommand(
     tree,
     'set',
@@ -174,6 +180,10 @@
     .action((node: string, names: string[], options: EditOptions) =>
       runEdit(environment, options, `unset ${node} ${names.join(' ')}`, unsetFields(parsePath(node), names)),
     );
+}
+
+/** `move`, `remove` and `apply`: edits of whole nodes and what is below them. */
+function registerNodeEdits(tree: Command, environment: TreeCommandEnvironment): void {
   editCommand(tree, 'move', 'move a node and what is below it', 'move isartal/pickguide isartal/picking')
     .argument('<from>', 'path of a node')
     .argument('<to>', 'its new path')
--- a/src/experiment/forwarding/packet-sender.ts
+++ b/src/experiment/forwarding/packet-sender.ts
@@ -7,8 +7,13 @@
 import { OPEN_BURST, SERVICE_ADDRESS } from './constants.js';
 import type { FlowAddress, SendOrder } from './types.js';
 
+/** IPv4 and TCP headers without options. */
 const HEADERS_BYTES = 40;
-/** Most packets sent before other work of the process runs. */
+const NANOSECONDS_PER_MS = 1e6;
+const MS_PER_SECOND = 1_000;
+/** Pause after each burst of SYNs, ms. Not measured; chosen because balancers read a burst meanwhile. */
+const OPEN_BURST_PAUSE_MS = 5;
+/** Most packets sent before other work of the process runs. Not measured; chosen as the burst of openings, OPEN_BURST. */
 const BATCH = 64;
 
 /** Where the monotonic time of sending (ms, a double) stands in a packet. */
@@ -16,7 +21,7 @@
 
 /** Monotonic ms that all processes of a machine share. */
 export function machineNowMs(): number {
-  return Number(process.hrtime.bigint()) / 1e6;
+  return Number(process.hrtime.bigint()) / NANOSECONDS_PER_MS;
 }
 
 function packetOf(flow: FlowAddress, syn: boolean, packetBytes: number): Buffer {
@@ -35,6 +40,18 @@
   });
 }
 
+/** An order that is being carried out. */
+interface RunningOrder {
+  readonly socket: Socket;
+  /** Sent in turn. */
+  readonly packets: readonly Buffer[];
+  readonly packetsPerSecond: number;
+  /** Value of `PacketSender.run` that the order was begun with. */
+  readonly run: number;
+  /** Monotonic ms. */
+  readonly startedAtMs: number;
+}
+
 /** One sending process. */
 export class PacketSender {
   private sent = 0;
@@ -56,7 +73,8 @@
   async open(order: Pick<SendOrder, 'target' | 'flows'>): Promise<null> {
     for (const [index, flow] of order.flows.entries()) {
       this.shared.send(packetOf(flow, true, HEADERS_BYTES), order.target.port, order.target.host);
-      if (index % OPEN_BURST === OPEN_BURST - 1) await new Promise((resolve) => setTimeout(resolve, 5));
+      if (index % OPEN_BURST !== OPEN_BURST - 1) continue;
+      await new Promise((resolve) => setTimeout(resolve, OPEN_BURST_PAUSE_MS));
     }
     return null;
   }
@@ -70,7 +88,8 @@
     socket.on('error', () => undefined);
     socket.setSendBufferSize(SOCKET_BUFFER_BYTES);
     const packets = order.flows.map((flow) => packetOf(flow, false, order.packetBytes));
-    this.loop(socket, packets, order.packetsPerSecond, this.run, machineNowMs());
+    const { packetsPerSecond } = order;
+    this.loop({ socket, packets, packetsPerSecond, run: this.run, startedAtMs: machineNowMs() });
     return null;
   }
 
@@ -85,12 +104,13 @@
     this.shared.close();
   }
 
-  private loop(socket: Socket, packets: Buffer[], perSecond: number, run: number, startMs: number): void {
+  private loop(order: RunningOrder): void {
+    const { socket, packets, packetsPerSecond, run, startedAtMs } = order;
     if (run !== this.run) {
       socket.close();
       return;
     }
-    const due = ((machineNowMs() - startMs) * perSecond) / 1_000;
+    const due = ((machineNowMs() - startedAtMs) * packetsPerSecond) / MS_PER_SECOND;
     const batch = Math.min(BATCH, due - this.sent);
     for (let count = 0; count < batch; count += 1) {
       const packet = packets[this.sent % packets.length]!;
@@ -98,6 +118,6 @@
       socket.send(packet);
       this.sent += 1;
     }
-    setImmediate(() => this.loop(socket, packets, perSecond, run, startMs));
+    setImmediate(() => this.loop(order));
   }
 }
--- a/src/experiment/http-control.ts
+++ b/src/experiment/http-control.ts
@@ -4,6 +4,14 @@
 import { CONTROL_REQUEST_TIMEOUT_MS } from './constants.js';
 import { ExperimentError } from './errors.js';
 
+/** An idle connection is kept this long, ms. Not measured; chosen because it outlasts the pauses between polls. */
+const KEEP_ALIVE_MS = 10_000;
+/** Connections to one address at once. Not measured; chosen because polls, faults and reports may coincide. */
+const CONNECTIONS_PER_ADDRESS = 4;
+const FIRST_STATUS_NOT_SUCCESSFUL = 300;
+/** Characters of a refusal's body that an error shows. Not measured; chosen because a message of the stand-ins fits. */
+const SHOWN_BODY_CHARACTERS = 200;
+
 /** Reads an endpoint from a ready line: `{host, port}`, `host:port` or a URL of them. */
 export function readEndpoint(value: unknown, what: string): Endpoint {
   const text = typeof value === 'string' ? value.replace(/^https?:\/\//, '').replace(/\/$/, '') : undefined;
@@ -20,12 +28,23 @@
   );
 }
 
-/** A client whose connections are kept open until `close`. */
+/** What is sent in one exchange. */
+interface ControlRequest {
+  readonly method: 'GET' | 'PUT' | 'POST';
+  /** Sent as JSON; absent: no body. */
+  readonly body?: unknown;
+  readonly timeoutMs: number;
+}
+
+/** A client whose connections are kept open until `close`. Each call rejects on a timeout, a failed connection or a refusal. */
 export class ControlClient {
-  private readonly agent = new Agent({ keepAliveTimeout: 10_000, connections: 4 });
+  private readonly agent = new Agent({
+    keepAliveTimeout: KEEP_ALIVE_MS,
+    connections: CONNECTIONS_PER_ADDRESS,
+  });
 
   get(address: Endpoint, path: string, timeoutMs = CONTROL_REQUEST_TIMEOUT_MS): Promise<unknown> {
-    return this.exchange('GET', address, path, undefined, timeoutMs);
+    return this.exchange(address, path, { method: 'GET', timeoutMs });
   }
 
   put(
@@ -34,7 +53,7 @@
     body: unknown,
     timeoutMs = CONTROL_REQUEST_TIMEOUT_MS,
   ): Promise<unknown> {
-    return this.exchange('PUT', address, path, body, timeoutMs);
+    return this.exchange(address, path, { method: 'PUT', body, timeoutMs });
   }
 
   post(
@@ -43,7 +62,7 @@
     body: unknown,
     timeoutMs = CONTROL_REQUEST_TIMEOUT_MS,
   ): Promise<unknown> {
-    return this.exchange('POST', address, path, body, timeoutMs);
+    return this.exchange(address, path, { method: 'POST', body, timeoutMs });
   }
 
   close(): Promise<void> {
@@ -51,11 +70,9 @@
   }
 
   private async exchange(
-    method: 'GET' | 'PUT' | 'POST',
     address: Endpoint,
     path: string,
-    body: unknown,
-    timeoutMs: number,
+    { method, body, timeoutMs }: ControlRequest,
   ): Promise<unknown> {
     const answer = await request(`http://${formatEndpoint(address)}${path}`, {
       method,
@@ -66,10 +83,11 @@
         : { body: JSON.stringify(body), headers: { 'content-type': 'application/json' } }),
     });
     const text = await answer.body.text();
-    if (answer.statusCode < 300) return text ? JSON.parse(text) : undefined;
+    if (answer.statusCode < FIRST_STATUS_NOT_SUCCESSFUL) return text ? JSON.parse(text) : undefined;
+    const shown = text.slice(0, SHOWN_BODY_CHARACTERS);
     throw new ExperimentError(
       'experiment.bad-answer',
-      `${method} ${formatEndpoint(address)}${path} answered ${answer.statusCode}: ${text.slice(0, 200)}`,
+      `${method} ${formatEndpoint(address)}${path} answered ${answer.statusCode}: ${shown}`,
       'Run the tool and the stand-ins from the same build',
     );
   }
--- a/src/standin/backend/backend-flow.ts
+++ b/src/standin/backend/backend-flow.ts
@@ -21,10 +21,21 @@
   onFlowEnded(flow: BackendFlow): void;
 }
 
+/** What opens a flow. */
+interface FlowOpening {
+  readonly syn: Segment;
+  /** First sequence number of the back end's side. */
+  readonly initialSequence: number;
+  /** The balancer that the SYN came by. */
+  readonly from: Endpoint;
+}
+
 /** A flow; answers go to the balancer that its last packet came by. */
 export class BackendFlow {
   private readonly reader = new MessageReader<CallerMessage>();
   private readonly connection: SegmentConnection;
+  /** The balancer that the last packet came by. */
+  private replyTo: Endpoint;
   private unfinished = 0;
   private peerClosed = false;
 
@@ -32,10 +43,9 @@
     private readonly host: FlowHost,
     /** Key of the flow in its back end's table. */
     readonly key: string,
-    syn: Segment,
-    initialSequence: number,
-    private replyTo: Endpoint,
+    { syn, initialSequence, from }: FlowOpening,
   ) {
+    this.replyTo = from;
     this.connection = SegmentConnection.accept(
       {
         local: { address: syn.destinationAddress, port: syn.destinationPort },
--- a/src/standin/backend/backend-standin.ts
+++ b/src/standin/backend/backend-standin.ts
@@ -9,6 +9,10 @@
 import { ExecutionLog } from './execution-log.js';
 import type { BackendFaults, BackendStandinOptions, BackendStandinReport } from './types.js';
 
+/** Status of a health check's answer. */
+const HTTP_OK = 200;
+const HTTP_UNAVAILABLE = 503;
+
 /** Addresses of a running back end. */
 interface RunningBackend {
   readonly name: string;
@@ -40,7 +44,7 @@
   server.get('/health', (_request, reply) =>
     whileUp(reply, () => {
       const healthy = backend.saysHealthy();
-      return reply.code(healthy ? 200 : 503).send({ healthy, draining: backend.draining });
+      return reply.code(healthy ? HTTP_OK : HTTP_UNAVAILABLE).send({ healthy, draining: backend.draining });
     }),
   );
   server.get('/load', (_request, reply) => whileUp(reply, () => reply.send(backend.saidLoad())));
@@ -65,51 +69,76 @@
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
-/** Starts back ends in this process. */
-export async function startBackendStandin(options: BackendStandinOptions): Promise<BackendStandin> {
-  const clock = options.clock ?? new SystemClock();
-  const executions = new ExecutionLog();
-  const byName = new Map<string, Backend>();
-  const running: RunningBackend[] = [];
-  const closers: (() => Promise<void>)[] = [];
-  for (const definition of options.backends) {
-    const random = seededRandom((options.seed ?? 1) ^ hashString(definition.name));
-    const backend = new Backend(definition, clock, random, executions);
-    await backend.start();
-    const server = await startControlServer(definition.health, (http) => backendRoutes(http, backend));
-    byName.set(definition.name, backend);
-    running.push({ name: definition.name, endpoint: backend.endpoint, health: server.endpoint });
-    closers.push(server.close, () => backend.close());
+/** The back ends of one process. */
+class BackendGroup implements BackendStandin {
+  readonly backends: RunningBackend[] = [];
+  control: Endpoint;
+  private readonly executions = new ExecutionLog();
+  private readonly byName = new Map<string, Backend>();
+  private readonly closers: (() => Promise<void>)[] = [];
+
+  constructor(private readonly options: BackendStandinOptions) {
+    this.control = options.control;
+  }
+
+  /** Starts the back ends in their order, then the control address of the process. */
+  async start(): Promise<void> {
+    const clock = this.options.clock ?? new SystemClock();
+    for (const definition of this.options.backends) {
+      const random = seededRandom((this.options.seed ?? 1) ^ hashString(definition.name));
+      const backend = new Backend(definition, clock, random, this.executions);
+      await backend.start();
+      const server = await startControlServer(definition.health, (http) => backendRoutes(http, backend));
+      this.byName.set(definition.name, backend);
+      this.backends.push({ name: definition.name, endpoint: backend.endpoint, health: server.endpoint });
+      this.closers.push(server.close, () => backend.close());
+    }
+    const control = await startControlServer(this.control, (server) => processRoutes(server, this));
+    this.control = control.endpoint;
+    this.closers.push(control.close);
+  }
+
+  setFaults(name: string, faults: Partial<BackendFaults>): void {
+    this.find(name).setFaults(faults);
+  }
+
+  setDraining(name: string, draining: boolean): void {
+    this.find(name).draining = draining;
+  }
+
+  report(): BackendStandinReport {
+    const backends = [...this.byName.values()].map((backend) => backend.report());
+    return {
+      backends,
+      unrepeatableRunTwice: this.executions.runTwice(),
+      misdelivered: total(backends.map((backend) => backend.misdelivered)),
+      strays: total(backends.map((backend) => backend.strays)),
+    };
+  }
+
+  executedOf(ids: readonly string[]): string[] {
+    return this.executions.executedOf(ids);
+  }
+
+  unrepeatableIds(): string[] {
+    return this.executions.unrepeatableIds();
   }
-  const find = (name: string): Backend => {
-    const backend = byName.get(name);
+
+  async close(): Promise<void> {
+    await Promise.all(this.closers.map((close) => close()));
+  }
+
+  /** Throws `RangeError` for a name that is not in this process. */
+  private find(name: string): Backend {
+    const backend = this.byName.get(name);
     if (!backend) throw new RangeError(`no back end named ${name} in this process`);
     return backend;
-  };
-  const standin = {
-    backends: running,
-    control: options.control,
-    setFaults: (name: string, faults: Partial<BackendFaults>) => find(name).setFaults(faults),
-    setDraining: (name: string, draining: boolean) => {
-      find(name).draining = draining;
-    },
-    report: (): BackendStandinReport => {
-      const backends = [...byName.values()].map((backend) => backend.report());
-      return {
-        backends,
-        unrepeatableRunTwice: executions.runTwice(),
-        misdelivered: total(backends.map((backend) => backend.misdelivered)),
-        strays: total(backends.map((backend) => backend.strays)),
-      };
-    },
-    executedOf: (ids: readonly string[]) => executions.executedOf(ids),
-    unrepeatableIds: () => executions.unrepeatableIds(),
-    close: async () => {
-      await Promise.all(closers.map((close) => close()));
-    },
-  };
-  const control = await startControlServer(options.control, (server) => processRoutes(server, standin));
-  standin.control = control.endpoint;
-  closers.push(control.close);
-  return standin;
+  }
+}
+
+/** Starts back ends in this process. */
+export async function startBackendStandin(options: BackendStandinOptions): Promise<BackendStandin> {
+  const group = new BackendGroup(options);
+  await group.start();
+  return group;
 }
--- a/src/standin/backend/backend.ts
+++ b/src/standin/backend/backend.ts
@@ -202,7 +202,7 @@
     this.lastNewFlowAtMs = this.clock.wall();
     const initialSequence = Math.floor(this.random() * TWO_POW_32);
     const key = flowKey(syn);
-    this.flows.set(key, new BackendFlow(this, key, syn, initialSequence, from));
+    this.flows.set(key, new BackendFlow(this, key, { syn, initialSequence, from }));
   }
 
   private rejectStray(packet: Buffer, from: Endpoint): void {
