--- a/src/cli/standin-command.ts
+++ b/src/cli/standin-command.ts
@@ -1,9 +1,11 @@
 /** `sailquay standin`: small substitutes for the platform, the fabric, back ends and callers. */
 import type { Command } from 'commander';
-import { registerBackendStandin } from '../standin/backend/index.js';
-import { registerCallerStandin } from '../standin/caller/index.js';
-import { registerFabricStandin } from '../standin/fabric/index.js';
-import { registerPlatformStandin } from '../standin/platform/index.js';
+import {
+  registerBackendStandin,
+  registerCallerStandin,
+  registerFabricStandin,
+  registerPlatformStandin,
+} from '../standin/index.js';
 
 const HELP = `
 For tests and the demo only. Each prints one JSON line {"ready":true,...} with its bound addresses and runs until
--- a/src/experiment/action-record.ts
+++ b/src/experiment/action-record.ts
@@ -1,4 +1,5 @@
 /** What the actions of a run did and when: the timeline of the document, and the causes that explain broken flows. */
+import { MS_PER_SECOND } from './constants.js';
 import type { RunEvent } from './document.js';
 
 /** A time during which an unplanned fault may break flows. */
@@ -30,7 +31,7 @@
 
   /** Adds a line to the timeline; `failed` marks one that a reader must look at. */
   note(text: string, failed = false): void {
-    this.events.push({ atSeconds: (Date.now() - this.startedAtMs) / 1_000, text, failed });
+    this.events.push({ atSeconds: (Date.now() - this.startedAtMs) / MS_PER_SECOND, text, failed });
   }
 
   /** Begins a period without an end; the caller sets its end. */
--- a/src/experiment/action-runner.ts
+++ b/src/experiment/action-runner.ts
@@ -3,6 +3,7 @@
 import { ActionRecord } from './action-record.js';
 import { BackendActions } from './backend-actions.js';
 import { BalancerActions } from './balancer-actions.js';
+import { MS_PER_SECOND } from './constants.js';
 import type { PlainAction } from './run-plan.js';
 import { isUnplanned } from './scenario-actions.js';
 import { sleepUntil } from './sleep-until.js';
@@ -34,7 +35,7 @@
   }
 
   private async runAt(action: PlainAction, signal: AbortSignal): Promise<void> {
-    await sleepUntil(this.record.startedAtMs + action.at * 1_000, signal);
+    await sleepUntil(this.record.startedAtMs + action.at * MS_PER_SECOND, signal);
     if (signal.aborted) return;
     const period = isUnplanned(action.do) ? this.record.openFault() : undefined;
     try {
@@ -55,7 +56,7 @@
     await this.targets.platform.setFaults(action.faults);
     this.record.note(`platform: ${JSON.stringify(action.faults)}`);
     if (action.forSeconds === undefined) return;
-    await sleepUntil(Date.now() + action.forSeconds * 1_000, signal);
+    await sleepUntil(Date.now() + action.forSeconds * MS_PER_SECOND, signal);
     await this.targets.platform.clearFaults();
     this.record.note('platform: faults off');
   }
--- a/src/experiment/backend-actions.ts
+++ b/src/experiment/backend-actions.ts
@@ -2,6 +2,7 @@
 import { drainNode, removeNode, setFields } from '../settings/index.js';
 import type { ActionHandlers, ActionOf, ActionTargets } from './action-handlers.js';
 import type { ActionRecord } from './action-record.js';
+import { MS_PER_SECOND } from './constants.js';
 import { sleepUntil } from './sleep-until.js';
 import type { TreeEdits } from './tree-edits.js';
 
@@ -77,7 +78,7 @@
     if (action.faults.blackhole) this.record.noteCrash(path);
     this.record.note(`${path}: ${JSON.stringify(action.faults)}`);
     if (action.forSeconds === undefined) return;
-    await sleepUntil(Date.now() + action.forSeconds * 1_000, signal);
+    await sleepUntil(Date.now() + action.forSeconds * MS_PER_SECOND, signal);
     await this.targets.backends.setFaults(path, NO_BACKEND_FAULTS);
     this.record.note(`${path}: faults off`);
   }
--- a/src/experiment/balancer-actions.ts
+++ b/src/experiment/balancer-actions.ts
@@ -2,6 +2,7 @@
 import type { ActionHandlers, ActionTargets } from './action-handlers.js';
 import type { ActionRecord } from './action-record.js';
 import type { Balancer } from './balancer-fleet.js';
+import { MS_PER_SECOND } from './constants.js';
 import { ExperimentError } from './errors.js';
 import { sleepUntil } from './sleep-until.js';
 
@@ -61,7 +62,7 @@
     this.record.note(`${balancer.name} was asked to stop`);
     const startedAtMs = Date.now();
     const end = await this.targets.balancers.leave(balancer);
-    const seconds = ((Date.now() - startedAtMs) / 1_000).toFixed(1);
+    const seconds = ((Date.now() - startedAtMs) / MS_PER_SECOND).toFixed(1);
     this.record.note(
       `${balancer.name} stopped after ${seconds} s: ${end}`,
       end.startsWith('had to be killed'),
@@ -77,7 +78,7 @@
     this.targets.balancers.pause(balancer);
     this.record.note(`${balancer.name} was paused`);
     if (seconds === undefined) return;
-    await sleepUntil(Date.now() + seconds * 1_000, signal);
+    await sleepUntil(Date.now() + seconds * MS_PER_SECOND, signal);
     this.resume(balancer);
   }
 
@@ -111,7 +112,7 @@
   private async partition(zone: string, seconds: number, signal: AbortSignal): Promise<void> {
     await this.targets.balancers.partition(zone, true);
     this.record.note(`${zone} was cut off`);
-    await sleepUntil(Date.now() + seconds * 1_000, signal);
+    await sleepUntil(Date.now() + seconds * MS_PER_SECOND, signal);
     await this.targets.balancers.partition(zone, false);
     this.record.note(`${zone} was connected again`);
   }
--- a/src/experiment/build-document.ts
+++ b/src/experiment/build-document.ts
@@ -5,7 +5,7 @@
 import type { ActionRecord } from './action-record.js';
 import type { BackendSampler } from './backend-sampler.js';
 import type { BalancerFleet } from './balancer-fleet.js';
-import { BROKEN_FLOWS_KEPT } from './constants.js';
+import { BROKEN_FLOWS_KEPT, MS_PER_SECOND } from './constants.js';
 import type { BrokenFlowRecord, EditRecord, ExperimentDocument, RunSeries } from './document.js';
 import type { FleetMonitor } from './fleet-monitor.js';
 import { judgeAll } from './goals.js';
@@ -56,7 +56,7 @@
     mode: record.mode,
     tree: scenario.tree,
     balancers: histories.length,
-    durationSeconds: (endedAtMs - startedAtMs) / 1_000,
+    durationSeconds: (endedAtMs - startedAtMs) / MS_PER_SECOND,
     flows: flowFigures(record.callers, record.backends, causes),
     requests: requestFigures(record.callers, record.backends, record.executions),
     brokenFlows: brokenFlowRecords(record),
@@ -82,18 +82,18 @@
     .sort((left, right) => left.brokenAtMs - right.brokenAtMs)
     .slice(0, BROKEN_FLOWS_KEPT)
     .map((flow) => ({
-      atSeconds: (flow.brokenAtMs - startedAtMs) / 1_000,
+      atSeconds: (flow.brokenAtMs - startedAtMs) / MS_PER_SECOND,
       reason: flow.reason,
       service: flow.service,
       backend: flow.backend ?? null,
-      openSeconds: (flow.brokenAtMs - flow.openedAtMs) / 1_000,
+      openSeconds: (flow.brokenAtMs - flow.openedAtMs) / MS_PER_SECOND,
     }));
 }
 
 function editRecord(edit: OperatorEdit, record: RunRecord): EditRecord {
   const { acceptedAtMs, operator, version, outcome } = edit;
   const spread = outcome === 'accepted' ? spreadOf(edit, record) : undefined;
-  const atSeconds = (acceptedAtMs - record.startedAtMs) / 1_000;
+  const atSeconds = (acceptedAtMs - record.startedAtMs) / MS_PER_SECOND;
   return { atSeconds, operator, version, outcome, secondsToEverywhere: spread?.seconds ?? null };
 }
 
@@ -129,7 +129,7 @@
 function inServiceOf({ scenario, plan, startedAtMs }: RunRecord): measure.InService {
   const spare = new Set(scenario.topology.spareBackends);
   return (path, atMs) => {
-    const seconds = (atMs - startedAtMs) / 1_000;
+    const seconds = (atMs - startedAtMs) / MS_PER_SECOND;
     const name = path.slice(path.lastIndexOf('/') + 1);
     let inService = !spare.has(name);
     for (const action of plan) {
@@ -150,7 +150,7 @@
   const names = Object.keys(points[0]?.flowsByBackend ?? {});
   const flows = names.map((name) => [name, points.map((point) => point.flowsByBackend[name] ?? null)]);
   return {
-    seconds: points.map((point) => (point.atMs - startedAtMs) / 1_000),
+    seconds: points.map((point) => (point.atMs - startedAtMs) / MS_PER_SECOND),
     flowsByBackend: Object.fromEntries(flows),
     broken: points.map((point) => point.broken),
     controlBytesPerSecond: points.map((point) => point.controlBytesPerSecond),
--- a/src/experiment/document.ts
+++ b/src/experiment/document.ts
@@ -9,7 +9,7 @@
 export interface FlowFigures {
   readonly opened: number | null;
   readonly refused: number | null;
-  /** Openings that nobody answered until the caller gave up. */
+  /** Openings without an answer until the caller gave up. */
   readonly openTimeouts: number | null;
   readonly broken: number | null;
   /** Broken flows that no unplanned fault explains. */
--- a/src/experiment/experiment-run.ts
+++ b/src/experiment/experiment-run.ts
@@ -6,7 +6,7 @@
 import { BackendSampler } from './backend-sampler.js';
 import { BalancerFleet } from './balancer-fleet.js';
 import { buildDocument, type RunRecord } from './build-document.js';
-import { REPORT_REQUEST_TIMEOUT_MS, RUN_GRACE_MS } from './constants.js';
+import { MS_PER_SECOND, REPORT_REQUEST_TIMEOUT_MS, RUN_GRACE_MS } from './constants.js';
 import type { ExperimentDocument } from './document.js';
 import { ExperimentError } from './errors.js';
 import { FleetMonitor } from './fleet-monitor.js';
@@ -52,7 +52,7 @@
 /** Runs a scenario once. Rejects when it could not be started or was interrupted; nothing is left running then. */
 export async function runScenario(options: RunOptions): Promise<ExperimentDocument> {
   const run = new ExperimentRun(options);
-  const limitMs = options.scenario.durationSeconds * 1_000 + RUN_GRACE_MS;
+  const limitMs = options.scenario.durationSeconds * MS_PER_SECOND + RUN_GRACE_MS;
   try {
     return await Promise.race([
       run.execute(),
@@ -109,7 +109,7 @@
     this.timers.push(setInterval(() => void stage.loads.refresh(), CALLER_POLL_INTERVAL_MS));
     const acting = actions.run(plan, this.stop.signal);
     const loading = this.runLoads(stage, startedAtMs);
-    await sleepUntil(startedAtMs + this.scenario.durationSeconds * 1_000, this.stop.signal);
+    await sleepUntil(startedAtMs + this.scenario.durationSeconds * MS_PER_SECOND, this.stop.signal);
     const endedAtMs = Date.now();
     this.options.progress('load ends: waiting for outstanding answers');
     await Promise.all([loading, acting]);
@@ -238,10 +238,10 @@
   private async runLoads(stage: Stage, startedAtMs: number): Promise<void> {
     await Promise.all(
       this.scenario.load.map(async (load) => {
-        await sleepUntil(startedAtMs + load.from * 1_000, this.stop.signal);
+        await sleepUntil(startedAtMs + load.from * MS_PER_SECOND, this.stop.signal);
         if (load.from > 0) await this.startLoads(stage, (candidate) => candidate === load);
         if (load.until === undefined) return;
-        await sleepUntil(startedAtMs + load.until * 1_000, this.stop.signal);
+        await sleepUntil(startedAtMs + load.until * MS_PER_SECOND, this.stop.signal);
         await stage.loads.stop(load);
       }),
     );
@@ -288,7 +288,7 @@
 function timeLimit(limitMs: number, signal: AbortSignal): Promise<never> {
   return new Promise((_resolve, reject) => {
     const timer = setTimeout(() => {
-      const message = `the run had not ended after ${limitMs / 1_000} s`;
+      const message = `the run had not ended after ${limitMs / MS_PER_SECOND} s`;
       reject(new ExperimentError('experiment.time-limit', message, 'Look for a process that does not stop'));
     }, limitMs);
     timer.unref();
--- a/src/experiment/fleet-monitor.ts
+++ b/src/experiment/fleet-monitor.ts
@@ -2,7 +2,7 @@
 import type { Endpoint } from '../common/types.js';
 import { CONTROL_KINDS, type ControlKind } from '../gue-edge/control/types.js';
 import type { DaemonStatus } from '../gue-edge/daemon/status.js';
-import { DAEMON_POLL_INTERVAL_MS } from './constants.js';
+import { DAEMON_POLL_INTERVAL_MS, MS_PER_SECOND } from './constants.js';
 import type { ControlClient } from './http-control.js';
 
 /** A daemon to poll. */
@@ -76,7 +76,7 @@
     return [...this.histories.values()].flatMap((history) => {
       const [before, last] = history.usage.slice(-2);
       if (!before || !last || last.atMs < Date.now() - 4 * DAEMON_POLL_INTERVAL_MS) return [];
-      return [((totalBytes(last) - totalBytes(before)) * 1_000) / (last.atMs - before.atMs)];
+      return [((totalBytes(last) - totalBytes(before)) * MS_PER_SECOND) / (last.atMs - before.atMs)];
     });
   }
 
--- a/src/experiment/load-processes.ts
+++ b/src/experiment/load-processes.ts
@@ -2,11 +2,13 @@
 import { formatEndpoint, type Endpoint } from '../common/types.js';
 import type { EffectiveService } from '../settings/index.js';
 import type { CallerReport } from '../standin/caller/types.js';
-import { REPORT_REQUEST_TIMEOUT_MS } from './constants.js';
+import { MS_PER_SECOND, REPORT_REQUEST_TIMEOUT_MS } from './constants.js';
 import { readEndpoint, type ControlClient } from './http-control.js';
 import type { ManagedProcess, ProcessLauncher } from './process-launcher.js';
 import type { LoadSettings } from './scenario.js';
 
+/** Distance between the seeds of runs, so that no caller process of one run has the seed of another's. */
+const SEED_STRIDE = 1_000;
 /** Client addresses of one caller process: a /24 of its own. */
 const CLIENT_ADDRESSES = 256;
 /** Longest wait of a caller for outstanding answers at its stop, ms. */
@@ -101,14 +103,14 @@
       ['long-flows', String(Math.round(load.longFlows / load.callers))],
       ['long-flows-per-second', share(load.longFlowsPerSecond)],
       ['openings-per-second', share(load.openingsPerSecond)],
-      ['flow-lifetime-ms', String(load.lifetimeSeconds * 1_000)],
+      ['flow-lifetime-ms', String(load.lifetimeSeconds * MS_PER_SECOND)],
       ['request-interval-ms', String(load.requestIntervalMs)],
       ['unrepeatable-share', String(load.unrepeatableShare)],
       ['cancel-share', String(load.cancelShare)],
       ['stop-timeout-ms', String(CALLER_STOP_TIMEOUT_MS)],
       ['client-addresses', String(CLIENT_ADDRESSES)],
       ['first-client-address', `10.200.${number}.0`],
-      ['seed', String(this.options.seed * 1_000 + number)],
+      ['seed', String(this.options.seed * SEED_STRIDE + number)],
     ];
     if (load.deadlineMs !== undefined) flags.push(['deadline-ms', String(load.deadlineMs)]);
     return ['standin', 'caller', ...flags.flatMap(([name, value]) => [`--${name}`, value])];
--- a/src/experiment/measure.ts
+++ b/src/experiment/measure.ts
@@ -1,5 +1,6 @@
 /** Figures from samples: imbalance, drain, health decisions, settings in force, control. Times are wall ms. */
 import { CONTROL_KINDS } from '../gue-edge/control/types.js';
+import { MS_PER_SECOND } from './constants.js';
 import { totalBytes, type DaemonHistory, type EligibilityChange, type UsageSample } from './fleet-monitor.js';
 import type { Absence } from './balancer-fleet.js';
 import type { Withdrawal } from './action-record.js';
@@ -66,7 +67,7 @@
   const drains = withdrawals.filter((withdrawal) => withdrawal.cause === 'drain');
   const seconds = drains.flatMap((drain) => {
     const last = lastNewFlowMs(samples, drain);
-    return last === undefined ? [] : [Math.max(0, last - drain.atMs) / 1_000];
+    return last === undefined ? [] : [Math.max(0, last - drain.atMs) / MS_PER_SECOND];
   });
   return seconds.length === 0 ? null : Math.max(...seconds);
 }
@@ -89,7 +90,7 @@
           !entry.eligible &&
           entry.atMs >= fault.atMs,
       );
-      return ((change?.atMs ?? endMs) - fault.atMs) / 1_000;
+      return ((change?.atMs ?? endMs) - fault.atMs) / MS_PER_SECOND;
     }),
   );
   return Math.max(...times);
@@ -121,7 +122,7 @@
     const applied = history.versions.find((entry) => entry.version >= (edit.version ?? Infinity));
     const untilMs = applied?.sinceMs ?? endMs;
     if (wasAbsent(history.name, edit.acceptedAtMs, untilMs, absences)) continue;
-    seconds.push(Math.max(0, untilMs - edit.acceptedAtMs) / 1_000);
+    seconds.push(Math.max(0, untilMs - edit.acceptedAtMs) / MS_PER_SECOND);
     if (!applied) missing.push(history.name);
   }
   return { seconds: seconds.length === 0 ? null : Math.max(...seconds), missing };
@@ -156,7 +157,7 @@
   const last = usage.at(-1);
   if (!first || !last || last.atMs - first.atMs < MIN_USAGE_SPAN_MS) return [];
   const peakResidentBytes = Math.max(...usage.map((sample) => sample.residentBytes));
-  return [{ first, last, seconds: (last.atMs - first.atMs) / 1_000, peakResidentBytes }];
+  return [{ first, last, seconds: (last.atMs - first.atMs) / MS_PER_SECOND, peakResidentBytes }];
 }
 
 /** Exceptions over flows opened, of all daemons together; null when none opened a flow. */
--- a/src/experiment/tree-edits.ts
+++ b/src/experiment/tree-edits.ts
@@ -3,6 +3,7 @@
 import { setFields, unsetFields, type FieldValue, type TreeEdit, type TreeError } from '../settings/index.js';
 import type { ActionHandlers, ActionOf, ActionTargets } from './action-handlers.js';
 import type { ActionRecord } from './action-record.js';
+import { MS_PER_SECOND } from './constants.js';
 import type { OperatorEdit } from './operator.js';
 import type { TreeOperation } from './scenario-actions.js';
 import { sleepUntil } from './sleep-until.js';
@@ -36,7 +37,8 @@
       const operations = action.operations.map((operation) => raised(operation, round));
       const summary = operations.map(describeOperation).join(', ');
       edits.push(this.edit(action.operator, summary, combined(operations)));
-      if (round + 1 < action.repeat) await sleepUntil(Date.now() + action.everySeconds * 1_000, signal);
+      if (round + 1 < action.repeat)
+        await sleepUntil(Date.now() + action.everySeconds * MS_PER_SECOND, signal);
     }
     await Promise.all(edits);
   }
--- a/src/standin/backend/request-runner.ts
+++ b/src/standin/backend/request-runner.ts
@@ -54,7 +54,7 @@
     cancelled?.job.onNotRun('cancelled');
   }
 
-  /** Drops queued requests of a connection that is gone; nobody is left to tell. */
+  /** Drops queued requests of a connection that is gone, without an answer. */
   abandon(owner: object): void {
     const kept = this.queue.filter(({ job }) => job.owner !== owner);
     this.queue.splice(0, this.queue.length, ...kept);
