--- a/src/standin/caller/standin-path.test.ts
+++ b/src/standin/caller/standin-path.test.ts
@@ -3,7 +3,7 @@
 import { request } from 'undici';
 import { startBackendStandin, type BackendCapacity } from '../backend/index.js';
 import type { LoadReport } from '../backend/load-reporter.js';
-import { startTestBalancer } from '../common/test-balancer.js';
+import { startTestBalancer } from '../common/balancer-test-support.js';
 import { startFabricStandin, type FabricImpairments } from '../fabric/index.js';
 import { startCallerStandin, type CallerLoad, type CallerReport } from './index.js';
 
