--- a/src/cli/backend-command.ts
+++ b/src/cli/backend-command.ts
@@ -6,13 +6,14 @@
 import { seededRandom } from '../common/random.js';
 import { SailquayError, type Endpoint } from '../common/types.js';
 import { drainNode, TreeEditor, type EditOutcome } from '../settings/index.js';
+import { MAX_SEED, MS_PER_SECOND } from './constants.js';
 import { collectAdmin, connectPlatform, findAdmins, type FleetOptions } from './fleet-options.js';
 import { readFleet, type BalancerReport } from './fleet-status.js';
 
+/** How long a drain is watched, s. Not measured; chosen because edits were in force everywhere within 0.3 s in recorded runs. */
 const DEFAULT_WAIT_SECONDS = 10;
+/** Time between two looks at the fleet while a drain is watched, ms. Not measured; chosen short for a person who waits. */
 const WAIT_POLL_MS = 100;
-const MS_PER_SECOND = 1_000;
-const MAX_SEED = 0x7fff_ffff;
 
 interface BackendFlags extends FleetOptions {
   readonly wait?: number | true;
--- a/src/cli/fleet-output.ts
+++ b/src/cli/fleet-output.ts
@@ -1,8 +1,8 @@
 /** Writes a fleet report as text. */
 import type { BackendStatus, DaemonSummary } from '../gue-edge/daemon/status.js';
+import { MS_PER_SECOND } from './constants.js';
 import type { BalancerReport, FleetReport } from './fleet-status.js';
 
-const MS_PER_SECOND = 1_000;
 const NO_BACKEND = { name: '', zone: '', id: 0 };
 
 /** The whole report, one line each. */
--- a/src/cli/fleet-status.ts
+++ b/src/cli/fleet-status.ts
@@ -4,15 +4,17 @@
 import type { BackendStatus, DaemonStatus, DaemonSummary, MemberStatus } from '../gue-edge/daemon/status.js';
 import type { StatusView } from '../observability/index.js';
 
-/** Longest wait for one daemon's answer. */
+/** Longest wait for one daemon's answer, ms. Not measured; chosen because a daemon that is slower counts as unreachable. */
 const STATUS_TIMEOUT_MS = 3_000;
 
-/** Balancers that are asked for what they believe of each back end; the others give counts only. */
+/** Balancers that are asked for what they believe of each back end; the others give counts only. Not measured; chosen as a few. */
 const BACKEND_WITNESSES = 5;
 
-/** Daemons asked at the same time. */
+/** Daemons asked at the same time. Not measured; chosen to bound sockets on fleets of over 1,000. */
 const PARALLEL_REQUESTS = 32;
 
+const HTTP_OK = 200;
+
 /** No admin address gave an answer. */
 export class FleetUnreachableError extends SailquayError {
   readonly kind = 'cli.fleet-unreachable';
@@ -81,7 +83,7 @@
 async function readStatus<T>(admin: string, view: StatusView): Promise<T> {
   const signal = AbortSignal.timeout(STATUS_TIMEOUT_MS);
   const answer = await request(`http://${admin}/status?view=${view}`, { signal });
-  if (answer.statusCode !== 200) {
+  if (answer.statusCode !== HTTP_OK) {
     await answer.body.dump();
     throw new Error(`status ${answer.statusCode}`);
   }
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -4,6 +4,7 @@
  */
 import { Command, CommanderError } from 'commander';
 import { SailquayError } from '../common/types.js';
+import { KEEP_ALIVE_MS } from './constants.js';
 import { exitCodeOf, EXIT_CODES_HELP, ExitCode } from './exit-codes.js';
 
 /** A command that is known by name before its module is loaded. */
@@ -56,9 +57,6 @@
   },
 ];
 
-/** Keeps the event loop alive until the command is done: the timers of the slices alone do not. */
-const KEEP_ALIVE_MS = 1_000;
-
 const EXAMPLES = `
 Examples:
   $ sailquay config check examples/isartal.yaml
--- a/src/cli/tree-command.ts
+++ b/src/cli/tree-command.ts
@@ -22,6 +22,7 @@
   type VersionedTree,
 } from '../settings/index.js';
 import { readText, reportFaults } from './config-command.js';
+import { KEEP_ALIVE_MS, MAX_SEED, MS_PER_SECOND } from './constants.js';
 import { ExitCode } from './exit-codes.js';
 import { PLATFORM_VARIABLE } from './fleet-options.js';
 import { PROCESS_OUTPUT, reportError, showValue, type CommandOutput } from './settings-output.js';
@@ -34,13 +35,6 @@
   type OutputOptions,
 } from './tree-output.js';
 
-/** Wakes the event loop now and then so that the process outlives waits whose timers do not keep it alive. */
-const KEEP_ALIVE_MS = 1_000;
-
-const MS_PER_SECOND = 1_000;
-
-const MAX_SEED = 0x7fff_ffff;
-
 /** What the commands use of their surroundings; tests pass their own. */
 interface TreeCommandEnvironment {
   readonly output: CommandOutput;
--- a/src/experiment/forwarding/packet-sink.ts
+++ b/src/experiment/forwarding/packet-sink.ts
@@ -9,6 +9,7 @@
 import type { OpenedFlow, SinkCount } from './types.js';
 
 const ANY_PORT = { host: '127.0.0.1', port: 0 };
+/** Byte of the TCP flags after an IPv4 header of 20 bytes (RFC 9293). */
 const FLAGS_OFFSET = 33;
 const FLAG_SYN = 0x02;
 
--- a/src/standin/caller/caller-flow.ts
+++ b/src/standin/caller/caller-flow.ts
@@ -106,7 +106,7 @@
   private scheduleRequest(): void {
     if (this.finishing || this.ended) return;
     const { clock, load, random } = this.host;
-    const intervalMs = load.requestIntervalMs * (0.5 + random());
+    const intervalMs = load.requestIntervalMs * aroundOne(random);
     this.requestTimer = clock.schedule(intervalMs, () => {
       if (!this.checkTimeouts()) return;
       this.addRequest();
@@ -180,7 +180,7 @@
       return;
     }
     pending.retries += 1;
-    const waitMs = (answer.retryAfterMs ?? 0) * (0.5 + random());
+    const waitMs = (answer.retryAfterMs ?? 0) * aroundOne(random);
     clock.schedule(waitMs, () => this.sendAgain(pending));
   }
 
@@ -246,3 +246,8 @@
     this.host.onFlowEnded(this);
   }
 }
+
+/** A factor between 0.5 and 1.5 whose mean is 1, so that the flows of a process do not act in step. */
+function aroundOne(random: RandomSource): number {
+  return 0.5 + random();
+}
--- a/src/standin/caller/client-ports.ts
+++ b/src/standin/caller/client-ports.ts
@@ -2,8 +2,9 @@
 import { parseIpv4 } from '../../fabric/index.js';
 import type { SegmentAddress } from '../segment-connection/index.js';
 
+/** Client ports: all but the 1,024 that systems reserve. */
 const FIRST_PORT = 1_024;
-const PORTS = 64_512;
+const PORTS = 65_536 - FIRST_PORT;
 
 export class ClientPorts {
   private readonly firstAddress: number;
--- a/src/standin/common/command-line.ts
+++ b/src/standin/common/command-line.ts
@@ -13,11 +13,14 @@
   return value;
 }
 
+const MAX_PORT = 65_535;
+
 /** Reads `host:port`; the port may be 0. */
 export function parseEndpoint(text: string): Endpoint {
   const match = /^(\d+\.\d+\.\d+\.\d+):(\d+)$/.exec(text);
   const port = Number(match?.[2]);
-  if (!match?.[1] || port > 65_535) throw new InvalidArgumentError('Give ADDRESS:PORT, e.g. 127.0.0.1:7001.');
+  if (!match?.[1] || port > MAX_PORT)
+    throw new InvalidArgumentError('Give ADDRESS:PORT, e.g. 127.0.0.1:7001.');
   return { host: match[1], port };
 }
 
--- a/src/standin/fabric/balancer-rotation.ts
+++ b/src/standin/fabric/balancer-rotation.ts
@@ -4,11 +4,15 @@
 import { sameEndpoint, type Endpoint } from '../../common/types.js';
 import type { FabricBalancer } from './types.js';
 
-/** Time between two checks of a balancer, and the wait for an answer. */
+/**
+ * Time between two checks of a balancer, and the wait for an answer, ms. Not measured; chosen because a balancer is then out within
+ * about a second of its end.
+ */
 const CHECK_INTERVAL_MS = 200;
 const CHECK_TIMEOUT_MS = 500;
-/** Consecutive failures that take a balancer out; one success puts it in. */
+/** Consecutive failures that take a balancer out; one success puts it in. Not measured; chosen because one may be lost. */
 const FAILURES_UNTIL_OUT = 2;
+const HTTP_OK = 200;
 
 interface Checked {
   readonly balancer: FabricBalancer;
@@ -25,7 +29,7 @@
       signal: AbortSignal.timeout(CHECK_TIMEOUT_MS),
     });
     await answer.body.dump();
-    return answer.statusCode === 200;
+    return answer.statusCode === HTTP_OK;
   } catch {
     // No answer in time is a missed check, whatever the reason.
     return false;
--- a/src/standin/fabric/fabric-standin.ts
+++ b/src/standin/fabric/fabric-standin.ts
@@ -9,6 +9,7 @@
 import { BalancerRotation } from './balancer-rotation.js';
 import type { FabricBalancer, FabricCounters, FabricImpairments, FabricOptions } from './types.js';
 
+/** Bytes before these fields in an IPv4 header (RFC 791). */
 const SOURCE_OFFSET = 12;
 const DESTINATION_OFFSET = 16;
 
