--- a/src/cli/tree-command.ts
+++ b/src/cli/tree-command.ts
@@ -22,7 +22,9 @@
   type VersionedTree,
 } from '../settings/index.js';
 import { readText, reportFaults } from './config-command.js';
+import { KEEP_ALIVE_MS, MAX_SEED, MS_PER_SECOND } from './constants.js';
 import { ExitCode } from './exit-codes.js';
+import { PLATFORM_VARIABLE } from './fleet-options.js';
 import { PROCESS_OUTPUT, reportError, showValue, type CommandOutput } from './settings-output.js';
 import {
   printDiff,
@@ -33,16 +35,6 @@
   type OutputOptions,
 } from './tree-output.js';
 
-/** Environment variable with the platform's base URL, for when `--platform` is not given. */
-const PLATFORM_VARIABLE = 'SAILQUAY_PLATFORM';
-
-/** Wakes the event loop now and then so that the process outlives waits whose timers do not keep it alive. */
-const KEEP_ALIVE_MS = 1_000;
-
-const MS_PER_SECOND = 1_000;
-
-const MAX_SEED = 0x7fff_ffff;
-
 /** What the commands use of their surroundings; tests pass their own. */
 interface TreeCommandEnvironment {
   readonly output: CommandOutput;
@@ -148,6 +140,12 @@
 }
 
 function registerEditing(tree: Command, environment: TreeCommandEnvironment): void {
+  registerFieldEdits(tree, environment);
+  registerNodeEdits(tree, environment);
+}
+
+/** `set` and `unset`: edits of a node's own fields. */
+function registerFieldEdits(tree: Command, environment: TreeCommandEnvironment): void {
   editCommand(
     tree,
     'set',
@@ -176,6 +174,10 @@
     .action((node: string, names: string[], options: EditOptions) =>
       runEdit(environment, options, `unset ${node} ${names.join(' ')}`, unsetFields(parsePath(node), names)),
     );
+}
+
+/** `move`, `remove` and `apply`: edits of whole nodes and what is below them. */
+function registerNodeEdits(tree: Command, environment: TreeCommandEnvironment): void {
   editCommand(tree, 'move', 'move a node and what is below it', 'move isartal/pickguide isartal/picking')
     .argument('<from>', 'path of a node')
     .argument('<to>', 'its new path')
