--- a/src/experiment/constants.ts
+++ b/src/experiment/constants.ts
@@ -15,7 +15,7 @@
 export const STOP_TIMEOUT_MS = 3_000;
 /**
  * How long a planned stop of a balancer may take, ms; longer than the daemon's own limits for it. Stops of up to 69.5 s were
- * measured (`balancer-join-leave`, `double-fault` in docs/MEASUREMENTS.md); with a limit of 30 s one was killed before its end.
+ * measured (`balancer-join-leave`, `double-fault` in docs/records/MEASUREMENTS.md); with a limit of 30 s one was killed before its end.
  */
 export const PLANNED_STOP_TIMEOUT_MS = 100_000;
 /** How long the balancers may take until all are ready, ms. Not measured; chosen as READY_TIMEOUT_MS. */
--- a/src/experiment/forwarding/constants.ts
+++ b/src/experiment/forwarding/constants.ts
@@ -1,4 +1,4 @@
-/** Numbers of the forwarding experiment. The defaults are those of the recorded run in docs/MEASUREMENTS.md. */
+/** Numbers of the forwarding experiment. The defaults are those of the recorded run in docs/records/MEASUREMENTS.md. */
 
 /** Length of a round's measurement of one path, s. Not measured; chosen because it is long beside WARM_UP_MS. */
 export const DEFAULT_SECONDS = 2;
--- a/src/experiment/markdown-report.ts
+++ b/src/experiment/markdown-report.ts
@@ -1,4 +1,4 @@
-/** Saved runs as Markdown tables for docs/MEASUREMENTS.md: one row a run, and the goals that were not met. */
+/** Saved runs as Markdown tables for docs/records/MEASUREMENTS.md: one row a run, and the goals that were not met. */
 import type { ExperimentDocument } from './document.js';
 import { formatFigure } from './figures.js';
 import { figureAt } from './goals.js';
--- a/src/gue-edge/placement/constants.ts
+++ b/src/gue-edge/placement/constants.ts
@@ -42,7 +42,7 @@
 export const EXCEPTION_AVERAGE_DECISIONS = 1_000;
 /** Relative slack on this balancer's part of a back end's capacity, because flows are not split exactly evenly. */
 export const CAPACITY_SLACK = 0.1;
-/** Bytes sent that one replicated exception costs, its acknowledgement included; see docs/MEASUREMENTS.md. */
+/** Bytes sent that one replicated exception costs, its acknowledgement included; see docs/records/MEASUREMENTS.md. */
 export const BYTES_PER_EXCEPTION = 130;
 /** Window over which openings are counted for the byte budget of exceptions. */
 export const EXCEPTION_RATE_WINDOW_MS = 5_000;
--- a/src/standin/segment-connection/constants.ts
+++ b/src/standin/segment-connection/constants.ts
@@ -5,7 +5,7 @@
 /** Longest wait between two retransmissions, ms: 200 ms doubled three times. */
 export const RETRANSMIT_LIMIT_MS = 1_600;
 
-/** Default time without any acknowledgement after which a connection counts as broken, ms; the bound of docs/MEASUREMENTS.md. */
+/** Default time without any acknowledgement after which a connection counts as broken, ms; the bound of docs/records/MEASUREMENTS.md. */
 export const DEFAULT_GIVE_UP_MS = 15_000;
 
 /** Largest payload of one segment, bytes. Not measured; chosen because it fits an MTU of 1,500 with its encapsulation. */
