--- a/tools/run-tests.mjs
+++ b/tools/run-tests.mjs
@@ -14,7 +14,7 @@
 
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
 const MAX_KNOWN_RED = 3;
-const TEST_ROOTS = ['src', 'platform', 'contract'];
+const TEST_ROOTS = ['src', 'platform', 'contract', 'docs'];
 
 /** Files that run one at a time, beside no other. */
 const SERIAL_FILES = [
