--- a/src/fabric/index.ts
+++ b/src/fabric/index.ts
@@ -8,7 +8,7 @@
  * ```
  */
 export { createEdgePort, type BoundEdgePort } from './gue-edge-port.js';
-export { MAX_PACKET_BYTES, RELAY_HOP_LIMIT } from './constants.js';
+export { RELAY_HOP_LIMIT } from './constants.js';
 export { EdgeBindError } from './errors.js';
 export { FABRIC_EVENTS } from './events.js';
 export { formatIpv4, parseIpv4 } from './ipv4-address.js';
--- a/src/gue-edge/flow/constants.ts
+++ b/src/gue-edge/flow/constants.ts
@@ -6,8 +6,6 @@
 export const SHARD_SHIFT = 20;
 /** Replica peers of one keeper: its shards are spread over this many backups at most. */
 export const MAX_BACKUPS_PER_KEEPER = 4;
-/** A packet that was relayed this often is not relayed again. */
-export const RELAY_HOP_LIMIT = 3;
 
 /** Interval of heartbeats from a keeper to each of its backups. */
 export const HEARTBEAT_MS = 700;
@@ -15,8 +13,6 @@
 export const LEASE_MS = 2_100;
 /** A backup waits this long after its last acknowledgement before it treats the keeper's lease as over. */
 export const LEASE_MARGIN_MS = 300;
-/** A keeper that restarted is recognised by a silence of this length at its backup. */
-export const ORPHAN_SILENCE_MS = 3_200;
 /** A new keeper that is offered nothing for this long starts the shard without records; longer than a lease. */
 export const ORPHAN_WAIT_MS = 6_000;
 /** Offers postpone the start without records for this long at most. */
@@ -76,7 +72,3 @@
 export const REBASE_RESERVE_BYTES_PER_SECOND = 4_000;
 /** Settings versions kept for reconstruction although no shard refers to them. */
 export const RECENT_BASES = 4;
-
-/** Default limits of a keeper. */
-export const DEFAULT_MAX_FLOWS = 1_000_000;
-export const DEFAULT_MAX_PENDING_OPENINGS = 20_000;
--- a/src/gue-edge/flow/errors.ts
+++ b/src/gue-edge/flow/errors.ts
@@ -18,12 +18,3 @@
     super(`malformed flow records: ${detail}`, 'Check that all balancers run compatible versions');
   }
 }
-
-/** A service address is not a numeric IPv4 address. */
-export class ServiceAddressError extends SailquayError {
-  readonly kind = 'flow.service-address';
-
-  constructor(address: string) {
-    super(`${address} is not an IPv4 address`, 'Correct the address in the settings tree');
-  }
-}
--- a/src/gue-edge/flow/index.ts
+++ b/src/gue-edge/flow/index.ts
@@ -1,6 +1,10 @@
 /**
  * Flow keeping: one balancer, the keeper, decides for each flow; the others relay its packets there.
  *
+ * Owns the flow tables of the shards kept here, the replicas held for other keepers, and the transfers between them.
+ * Relies on membership for the owners of shards, on control for delivery (not for order), on placement for the choice of a
+ * back end and on health for its eligibility. Nothing is stored: a shard outlives its keeper at its backup only.
+ *
  * ```ts
  * const forwarder = createForwarder('bounded-load', components);
  * forwarder.start(signal);
@@ -10,14 +14,6 @@
  * };
  * ```
  */
-export * from './types.js';
-export * from './packet-forwarder.js';
+export type { FlowStatistics } from './types.js';
+export type { FlowDescription, FlowLimits, OpeningAdmission, PacketForwarder } from './packet-forwarder.js';
 export { createForwarder } from './create-forwarder.js';
-export { FlowKeeper } from './flow-keeper.js';
-export { RendezvousForwarder } from './baselines/rendezvous-forwarder.js';
-export { LocalTableForwarder } from './baselines/local-table-forwarder.js';
-export { listOwners, ShardMap } from './shard-map.js';
-export { fingerprintFlow, shardOf, type MutableFingerprint } from './flow-key.js';
-export { SHARD_COUNT } from './constants.js';
-export { FLOW_EVENTS } from './events.js';
-export { BackendIndexExhaustedError, MalformedRecordError, ServiceAddressError } from './errors.js';
--- a/src/gue-edge/flow/openings.ts
+++ b/src/gue-edge/flow/openings.ts
@@ -300,11 +300,11 @@
   private retryBudget(service: EffectiveService): RetryBudget {
     let budget = this.retryBudgets.get(service.id);
     if (!budget) {
-      const { clock, random, settings } = this.context.components;
+      const { clock, settings } = this.context.components;
       const share = (): number =>
         settings.current()?.services.find((current) => current.id === service.id)?.limits.retryBudgetShare ??
         0;
-      budget = new RetryBudget({ clock, random, share });
+      budget = new RetryBudget({ clock, share });
       this.retryBudgets.set(service.id, budget);
     }
     return budget;
--- a/src/gue-edge/flow/packet-relay.ts
+++ b/src/gue-edge/flow/packet-relay.ts
@@ -1,8 +1,8 @@
 /** Relays packets of shards that are not held here to the balancer that holds them. */
 import { sameEndpoint } from '../../common/types.js';
+import { RELAY_HOP_LIMIT } from '../../fabric/constants.js';
 import type { PacketView } from '../../fabric/types.js';
 import type { Member } from '../membership/types.js';
-import { RELAY_HOP_LIMIT } from './constants.js';
 import type { FlowContext } from './flow-context.js';
 import type { KeptShard } from './shard-holding.js';
 import type { ShardMap } from './shard-map.js';
--- a/src/gue-edge/flow/service-index.ts
+++ b/src/gue-edge/flow/service-index.ts
@@ -3,8 +3,8 @@
  * service that was removed or moved stay with their back ends, and a record of any other service is recognised.
  */
 import { combine32 } from '../../common/hash.js';
+import { parseIpv4 } from '../../fabric/ipv4-address.js';
 import type { EffectiveService } from '../../settings/types.js';
-import { ServiceAddressError } from './errors.js';
 
 /** One service address. */
 export interface ServicePort {
@@ -16,15 +16,6 @@
   readonly serviceIds: Set<number>;
 }
 
-/** Parses a numeric IPv4 address into an unsigned 32-bit integer. Throws `ServiceAddressError`. */
-export function parseAddress(text: string): number {
-  const parts = text.split('.').map(Number);
-  const valid =
-    parts.length === 4 && parts.every((part) => Number.isInteger(part) && part >= 0 && part < 256);
-  if (!valid) throw new ServiceAddressError(text);
-  return parts.reduce((address, part) => address * 256 + part, 0);
-}
-
 /** Finds the service of a packet. */
 export class ServiceIndex {
   /** By 31-bit hash of address and port; ports with equal hashes share a list. */
@@ -36,7 +27,7 @@
       for (const port of ports) port.service = undefined;
     }
     for (const service of services) {
-      const port = this.associate(parseAddress(service.address.host), service.address.port, service.id);
+      const port = this.associate(parseIpv4(service.address.host), service.address.port, service.id);
       port.service = service;
     }
   }
--- a/src/gue-edge/placement/constants.ts
+++ b/src/gue-edge/placement/constants.ts
@@ -33,8 +33,6 @@
 export const RETRY_FLOOR_PER_SECOND = 1;
 /** Time over which a retry budget counts openings. */
 export const RETRY_WINDOW_MS = 10_000;
-/** Largest relative change of a retry's delay in either direction. */
-export const RETRY_JITTER = 0.5;
 /** The share of exceptions is reported when it exceeds its target, or this least target, by the factor. */
 export const EXCEPTION_ALARM_FACTOR = 1.5;
 export const EXCEPTION_ALARM_LEAST_TARGET = 0.1;
--- a/src/gue-edge/placement/limits.test.ts
+++ b/src/gue-edge/placement/limits.test.ts
@@ -1,6 +1,5 @@
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
-import { seededRandom } from '../../common/random.js';
 import { UNLIMITED_SERVICE, type EffectiveService, type ServiceLimits } from '../../settings/types.js';
 import { ExceptionBudget } from './exception-budget.js';
 import { OpeningLimiter } from './opening-limiter.js';
@@ -143,7 +142,7 @@
 for (const { name, share, openingsPerSecond, most, least } of RETRIES) {
   test(`retry budget while every opening fails for 20 s: ${name}`, (t) => {
     const clock = new VirtualClock();
-    const budget = new RetryBudget({ clock, random: seededRandom(1), share: () => share });
+    const budget = new RetryBudget({ clock, share: () => share });
     let retries = 0;
     for (let opening = 0; opening < openingsPerSecond * 20; opening += 1) {
       budget.recordOpening();
@@ -154,9 +153,9 @@
   });
 }
 
-test('retry budget: what quiet times earn is bounded, and delays are spread', (t) => {
+test('retry budget: what quiet times earn is bounded', (t) => {
   const clock = new VirtualClock();
-  const budget = new RetryBudget({ clock, random: seededRandom(1), share: () => 0.1 });
+  const budget = new RetryBudget({ clock, share: () => 0.1 });
   for (let opening = 0; opening < 100_000; opening += 1) {
     budget.recordOpening();
     clock.advance(10);
@@ -165,9 +164,6 @@
   while (budget.tryRetry()) retries += 1;
   // 100 openings a second over the 10 s window, a tenth of them.
   t.true(retries >= 50 && retries <= 101, `${retries}`);
-  const delays = Array.from({ length: 100 }, () => budget.delayMs(100));
-  t.true(Math.min(...delays) >= 50 && Math.max(...delays) < 150);
-  t.true(new Set(delays).size > 90);
 });
 
 for (const [openingsPerSecond, least, largest] of [
--- a/src/gue-edge/placement/retry-budget.ts
+++ b/src/gue-edge/placement/retry-budget.ts
@@ -3,14 +3,12 @@
  * back end has accepted nothing; a retry after acceptance is never made and so never asked for.
  */
 import type { Clock } from '../../common/clock.js';
-import { jitter, type RandomSource } from '../../common/random.js';
-import { RETRY_FLOOR_PER_SECOND, RETRY_JITTER, RETRY_WINDOW_MS } from './constants.js';
+import { RETRY_FLOOR_PER_SECOND, RETRY_WINDOW_MS } from './constants.js';
 import { TokenBucket } from './token-bucket.js';
 
 /** Options of `RetryBudget`. */
 interface RetryBudgetOptions {
   readonly clock: Clock;
-  readonly random: RandomSource;
   /** Share (0–1) of openings that may be retried. */
   readonly share: () => number;
 }
@@ -43,11 +41,6 @@
     return this.options.share() > 0 && this.earned.take();
   }
 
-  /** Delay in ms before a retry, jittered around `baseMs` so that retries of one failure do not arrive together. */
-  delayMs(baseMs: number): number {
-    return jitter(baseMs, RETRY_JITTER, this.options.random);
-  }
-
   private decay(): void {
     const nowMs = this.options.clock.now();
     this.recentOpenings *= Math.exp(-(nowMs - this.countedAtMs) / RETRY_WINDOW_MS);
