--- a/src/gue-edge/flow/model/settings-script.ts
+++ b/src/gue-edge/flow/model/settings-script.ts
@@ -1,6 +1,6 @@
 /** Settings versions for the model check: two services whose back ends come, go, drain and change weight. */
 import type { RandomSource } from '../../../common/random.js';
-import { hashString } from '../../../common/hash.js';
+import { simulatedBackend, simulatedService } from '../../placement/simulated-service.js';
 import {
   UNLIMITED_SERVICE,
   type EffectiveBackend,
@@ -71,39 +71,15 @@
 
   private service(name: string, index: number): EffectiveService {
     const backends = this.backends.filter((backend) => backend.service === name && !backend.removed);
-    return {
-      name,
-      id: hashString(name),
-      site: 'site',
+    return simulatedService(name, {
       address: { host: `10.0.0.${index + 1}`, port: 80 },
-      unknownFlow: 'reset',
-      idleTimeoutMs: 3_600_000,
-      zonePreference: 0,
       limits: { ...UNLIMITED_SERVICE, retryBudgetShare: 0.5 },
-      healthPolicy: {
-        probeIntervalMs: 1_000,
-        probeTimeoutMs: 500,
-        unhealthyThreshold: 3,
-        healthyThreshold: 2,
-        maxEjectedShare: 0.5,
-        panicShare: 0.3,
-        slowStartMs: 0,
-      },
       backends: backends.map(describe).sort((left, right) => left.id - right.id),
-    };
+    });
   }
 }
 
-function describe(backend: ModelBackend): EffectiveBackend {
-  return {
-    name: backend.name,
-    id: hashString(backend.name),
-    zone: 'zone-a',
-    endpoint: { host: BACKEND_HOST, port: backend.port },
-    health: { host: BACKEND_HOST, port: backend.port },
-    weight: backend.weight,
-    maxConnections: 2_000,
-    slots: 2,
-    draining: backend.draining,
-  };
+function describe({ name, port, weight, draining }: ModelBackend): EffectiveBackend {
+  const endpoint = { host: BACKEND_HOST, port };
+  return simulatedBackend(name, { endpoint, health: endpoint, weight, draining });
 }
--- a/src/gue-edge/health/health-simulation.ts
+++ b/src/gue-edge/health/health-simulation.ts
@@ -3,34 +3,27 @@
  * channel, in front of simulated back ends. For tests and for measuring what probing and gossip cost; no sockets.
  */
 import { VirtualClock, type Clock, type TimerHandle } from '../../common/clock.js';
-import { hashString } from '../../common/hash.js';
 import { seededRandom, type RandomSource } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
 import type { ControlChannel, InboundControlMessage } from '../control/types.js';
 import type { Member, MemberState, MembershipView } from '../membership/types.js';
 import type { EventDefinition, EventLog } from '../../observability/event.js';
 import {
-  UNLIMITED_SERVICE,
-  type EffectiveBackend,
-  type EffectiveService,
-  type EffectiveSettings,
-  type HealthPolicy,
+  SIMULATED_HEALTH_POLICY,
+  simulatedBackend as makeBackend,
+  simulatedService,
+  simulatedZone,
+} from '../placement/simulated-service.js';
+import type {
+  EffectiveBackend,
+  EffectiveService,
+  EffectiveSettings,
+  HealthPolicy,
 } from '../../settings/types.js';
 import { HealthMonitor } from './health-monitor.js';
 import { HEALTH_PATH, type ProbeResponse } from './probe.js';
 import type { BackendHealth } from './types.js';
 
-/** Policy of a simulated service: the defaults of the settings tree. */
-export const SIMULATED_POLICY: HealthPolicy = {
-  probeIntervalMs: 1_000,
-  probeTimeoutMs: 500,
-  unhealthyThreshold: 2,
-  healthyThreshold: 2,
-  maxEjectedShare: 0.3,
-  panicShare: 0.3,
-  slowStartMs: 10_000,
-};
-
 /** What is simulated. */
 export interface HealthSimulationOptions {
   readonly members: number;
@@ -69,7 +62,6 @@
   paused: boolean;
 }
 
-const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const;
 const CONTROL_DELAY_MS = 2;
 const PROBE_DELAY_MS = 2;
 const FIRST_PORT = 1_000;
@@ -281,7 +273,7 @@
     return {
       id: `balancer-${index}`,
       region: 'region',
-      zone: ZONES[index % ZONES.length]!,
+      zone: simulatedZone(index),
       control: address(index),
       admin: address(index),
       data: address(index),
@@ -313,19 +305,13 @@
 
 /** A back end for a simulated service; `number` is unique in the simulation. */
 export function simulatedBackend(service: string, number: number): EffectiveBackend {
-  const name = `${service}/backend-${number}`;
   const host = '127.0.0.1';
-  return {
-    name,
-    id: hashString(name),
-    zone: ZONES[number % ZONES.length]!,
+  return makeBackend(`${service}/backend-${number}`, {
+    zone: simulatedZone(number),
     endpoint: { host, port: 20_000 + number },
     health: { host, port: 40_000 + number },
-    weight: 1,
     maxConnections: CAPACITY,
-    slots: 2,
-    draining: false,
-  };
+  });
 }
 
 function makeSettings(options: HealthSimulationOptions): EffectiveSettings {
@@ -336,16 +322,9 @@
 function makeService(options: HealthSimulationOptions, number: number): EffectiveService {
   const name = `simulation/service-${number}`;
   const first = number * options.backends;
-  return {
-    name,
-    id: hashString(name),
-    site: 'simulation',
+  return simulatedService(name, {
     address: { host: '127.0.0.1', port: 9_000 + number },
-    unknownFlow: 'reset',
-    idleTimeoutMs: 3_600_000,
-    zonePreference: 0,
-    limits: UNLIMITED_SERVICE,
-    healthPolicy: { ...SIMULATED_POLICY, ...options.policy },
+    healthPolicy: { ...SIMULATED_HEALTH_POLICY, ...options.policy },
     backends: Array.from({ length: options.backends }, (_, index) => simulatedBackend(name, first + index)),
-  };
+  });
 }
--- a/src/gue-edge/placement/balance-simulation.ts
+++ b/src/gue-edge/placement/balance-simulation.ts
@@ -3,12 +3,12 @@
  * that report their load late, and faults on demand. It runs the real policies on a virtual clock; no network, no wall time.
  */
 import { VirtualClock } from '../../common/clock.js';
-import { hashString } from '../../common/hash.js';
 import { jitter, seededRandom, type RandomSource } from '../../common/random.js';
 import type { BackendHealth, HealthFeed } from '../health/types.js';
-import { UNLIMITED_SERVICE, type EffectiveBackend, type EffectiveService } from '../../settings/types.js';
+import type { EffectiveBackend, EffectiveService } from '../../settings/types.js';
 import { ImbalanceRecorder, type Imbalance } from './balance-recorder.js';
 import { createPlacementPolicy, type CountingPolicy } from './create-policy.js';
+import { simulatedBackend, simulatedService, simulatedZone } from './simulated-service.js';
 import type { PlacementMode } from './types.js';
 
 /** What is simulated; times in virtual ms. Everything left out has the value of `BALANCE_SIMULATION_DEFAULTS`. */
@@ -69,7 +69,6 @@
   readonly millisecondsToEven: number | null;
 }
 
-const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const;
 const SAMPLE_INTERVAL_MS = 100;
 const MAX_CONNECTIONS = 100_000;
 const INITIAL_WARMUP = 0.1;
@@ -77,6 +76,7 @@
 const MS_PER_SECOND = 1_000;
 const REPORT_JITTER = 0.2;
 const TWO_POW_32 = 0x1_0000_0000;
+const SERVICE = simulatedService('simulation/service', {});
 
 /** Runs one simulation; equal options give equal results. */
 export function runBalanceSimulation(
@@ -142,7 +142,7 @@
       health: (backendId) => this.healthOf(backendId, reports),
       recordPassive: () => undefined,
     };
-    return { policy, zone: ZONES[index % ZONES.length]!, ownFlows, reports, health };
+    return { policy, zone: simulatedZone(index), ownFlows, reports, health };
   }
 
   private healthOf(backendId: number, reports: Keeper['reports']): BackendHealth {
@@ -299,38 +299,11 @@
 }
 
 function makeBackend(index: number): EffectiveBackend {
-  const name = `simulation/service/backend-${index}`;
   const host = '127.0.0.1';
-  return {
-    name,
-    id: hashString(name),
-    zone: ZONES[index % ZONES.length]!,
+  return simulatedBackend(`simulation/service/backend-${index}`, {
+    zone: simulatedZone(index),
     endpoint: { host, port: 10_000 + index },
     health: { host, port: 20_000 + index },
-    weight: 1,
     maxConnections: MAX_CONNECTIONS,
-    slots: 2,
-    draining: false,
-  };
+  });
 }
-
-const SERVICE: EffectiveService = {
-  name: 'simulation/service',
-  id: hashString('simulation/service'),
-  site: 'simulation',
-  address: { host: '127.0.0.1', port: 9_000 },
-  unknownFlow: 'reset',
-  idleTimeoutMs: 3_600_000,
-  zonePreference: 0,
-  limits: UNLIMITED_SERVICE,
-  healthPolicy: {
-    probeIntervalMs: 1_000,
-    probeTimeoutMs: 500,
-    unhealthyThreshold: 2,
-    healthyThreshold: 2,
-    maxEjectedShare: 0.3,
-    panicShare: 0.3,
-    slowStartMs: 10_000,
-  },
-  backends: [],
-};
