--- a/src/gue-edge/flow/kept-flows.ts
+++ b/src/gue-edge/flow/kept-flows.ts
@@ -3,10 +3,10 @@
 import type { PacketView } from '../../fabric/types.js';
 import type { FlowFingerprint } from '../placement/types.js';
 import type { BackendEntry } from './backend-catalogue.js';
-import { LEASE_MS } from './constants.js';
 import { FLOW_EVENTS } from './events.js';
 import type { FlowContext } from './flow-context.js';
 import { FlowFlag } from './flow-table.js';
+import { isSurelyKeeper } from './keeper-authority.js';
 import type { Openings } from './openings.js';
 import type { PacketRelay } from './packet-relay.js';
 import type { ServicePort } from './service-index.js';
@@ -85,7 +85,7 @@
     if (opening && (flags & FlowFlag.CLOSED) !== 0 && kept.role === 'serving') {
       return this.openings.open(kept, fingerprint, packet, port);
     }
-    if ((flags & FlowFlag.ANSWERED) === 0 && !this.isSurelyKeeper(kept)) {
+    if ((flags & FlowFlag.ANSWERED) === 0 && !isSurelyKeeper(this.context, kept)) {
       // Another balancer may have opened the flow on another back end meanwhile.
       this.context.counters.deferred += 1;
       return;
@@ -152,7 +152,7 @@
     packet: PacketView,
     port: ServicePort | undefined,
   ): void {
-    if (!this.isSurelyKeeper(kept)) {
+    if (!isSurelyKeeper(this.context, kept)) {
       // Another balancer may have taken the shard over and know the flow.
       this.context.counters.unknownDropped += 1;
       return;
@@ -184,16 +184,6 @@
     return kept.rebase && next !== entry ? undefined : entry;
   }
 
-  private isSurelyKeeper(kept: KeptShard): boolean {
-    if (!this.context.view.quorate || !this.context.isFresh()) return false;
-    if (kept.backup) return kept.backup.leaseHeld;
-    if (this.context.now() < this.context.cautiousUntilMs) return false;
-    const self = this.context.member(this.context.selfId);
-    if (self && !this.context.map.backup(kept.shard, self)) return true;
-    // Not replicated yet: sure only as long as no other balancer can have given up waiting for this one.
-    return this.context.now() - kept.heldSinceMs < LEASE_MS;
-  }
-
   private countWrongService(kept: KeptShard, entry: BackendEntry): void {
     const { counters, components } = this.context;
     counters.wrongServiceRecords += 1;
--- a/src/gue-edge/flow/openings.ts
+++ b/src/gue-edge/flow/openings.ts
@@ -1,10 +1,12 @@
 /**
- * Openings of flows in shards kept here: choice of the back end, replication of exceptions before the packet goes out,
- * and one more attempt on another back end while the first has accepted nothing.
+ * Openings of flows in shards kept here: carries out what the rules of `opening-rules.ts` say, and follows each opening
+ * until it is answered.
+ *
+ * Owns the openings without an answer, their retained SYNs and the retry budgets. Relies on the placement policy for the
+ * choice, on the backup for the records of exceptions, and on the caller to repeat a SYN that was dropped.
  */
 import type { PacketView } from '../../fabric/types.js';
 import type { FlowFingerprint, PlacementDecision, RefusalReason } from '../placement/types.js';
-import { RetryBudget } from '../placement/retry-budget.js';
 import type { EffectiveService } from '../../settings/types.js';
 import type { RefusalCause } from './types.js';
 import type { BackendEntry } from './backend-catalogue.js';
@@ -12,8 +14,11 @@
 import type { FlowContext } from './flow-context.js';
 import { fingerprintKey } from './flow-key.js';
 import { FlowFlag } from './flow-table.js';
-import { RecordOperation, RecordStatus } from './record-codec.js';
+import { canReplicate, mayOpen } from './keeper-authority.js';
+import { chooseBackend, judgeOpening, judgeRecord, judgeReplication, judgeRetry } from './opening-rules.js';
+import { RecordOperation } from './record-codec.js';
 import type { RecordOutcome } from './replica-peer.js';
+import { RetryBudgets } from './retry-budgets.js';
 import type { ServicePort } from './service-index.js';
 import { copyFingerprint, type KeptShard } from './shard-holding.js';
 
@@ -32,12 +37,17 @@
   readonly tried: Set<number>;
 }
 
+/** What a back end is chosen for; `tried` are the back ends that have reset the opening. */
+type PlacementSubject = Pick<Opening, 'kept' | 'fingerprint' | 'service'> & Partial<Pick<Opening, 'tried'>>;
+
 /** Places openings and follows them until they are answered. */
 export class Openings {
   private readonly unanswered = new Map<string, Opening>();
-  private readonly retryBudgets = new Map<number, RetryBudget>();
+  private readonly retryBudgets: RetryBudgets;
 
-  constructor(private readonly context: FlowContext) {}
+  constructor(private readonly context: FlowContext) {
+    this.retryBudgets = new RetryBudgets(context);
+  }
 
   /** Openings without an answer. */
   get size(): number {
@@ -51,31 +61,23 @@
     packet: PacketView,
     port: ServicePort | undefined,
   ): void {
-    const { counters, components } = this.context;
     const service = port?.service;
-    if (!service) return this.refuse(packet, 'no-service');
-    if (!this.mayOpen(kept) || this.unanswered.size >= components.limits.maxPendingOpenings) {
-      counters.deferred += 1;
-      return;
-    }
-    const refusal = this.admissionRefusal(service, packet);
-    if (refusal) return this.refuse(packet, refusal);
-    const decision = this.decide(kept, fingerprint, service, undefined);
-    if (decision === 'deferred') counters.deferred += 1;
-    else if (decision.outcome === 'refuse') this.refuse(packet, decision.reason);
+    const verdict = judgeOpening({
+      served: service !== undefined,
+      mayOpen: () => mayOpen(this.context, kept),
+      unanswered: this.unanswered.size,
+      maxUnanswered: this.context.components.limits.maxPendingOpenings,
+      refusal: () => this.admissionRefusal(service!, packet),
+      choose: () => this.decide({ kept, fingerprint, service: service! }),
+    });
+    if (verdict.outcome === 'defer') this.context.counters.deferred += 1;
+    else if (verdict.outcome === 'refuse') this.refuse(packet, verdict.cause);
     else {
-      const opening = this.begin(kept, fingerprint, service, packet);
-      this.place(opening, this.context.catalogue.entry(service, decision.backend));
+      const opening = this.begin(kept, fingerprint, service!, packet);
+      this.place(opening, this.context.catalogue.entry(service!, verdict.backend));
     }
   }
 
-  /** True while no other balancer can open flows of the shard. */
-  mayOpen(kept: KeptShard): boolean {
-    if (kept.role !== 'serving' || !this.context.view.quorate) return false;
-    if (kept.backup) return kept.backup.leaseHeld;
-    return this.isAlone(kept);
-  }
-
   /** A repeated SYN of an opening that waits for its backup: replaces the retained packet. */
   repeat(fingerprint: FlowFingerprint, packet: PacketView): void {
     this.context.counters.duplicateOpenings += 1;
@@ -105,15 +107,22 @@
   /** The back end reset the opening. True: it is tried on another one, and the caller must not see the reset. */
   retryAfterReset(fingerprint: FlowFingerprint, entry: BackendEntry): boolean {
     const opening = this.unanswered.get(fingerprintKey(fingerprint.high, fingerprint.low));
-    if (!opening?.packet || opening.sentSyns !== 1 || !this.mayOpen(opening.kept)) return false;
-    opening.tried.add(entry.id);
-    const decision = this.decide(opening.kept, opening.fingerprint, opening.service, opening.tried);
-    if (decision === 'deferred' || decision.outcome === 'refuse') return false;
-    if (!this.retryBudget(opening.service).tryRetry()) return false;
+    if (!opening) return false;
+    const verdict = judgeRetry({
+      hasSyn: opening.packet !== undefined,
+      sentSyns: opening.sentSyns,
+      mayOpen: () => mayOpen(this.context, opening.kept),
+      choose: () => {
+        opening.tried.add(entry.id);
+        return this.decide(opening);
+      },
+      takeRetry: () => this.retryBudgets.of(opening.service.id).tryRetry(),
+    });
+    if (verdict.outcome === 'pass-reset') return false;
     this.context.counters.retried += 1;
     opening.retainedAtMs = this.context.now();
     opening.sentSyns = 0;
-    this.place(opening, this.context.catalogue.entry(opening.service, decision.backend));
+    this.place(opening, this.context.catalogue.entry(opening.service, verdict.backend));
     return true;
   }
 
@@ -131,12 +140,6 @@
     }
   }
 
-  private isAlone(kept: KeptShard): boolean {
-    const self = this.context.member(this.context.selfId);
-    if (!self || !this.context.isFresh() || this.context.now() < this.context.cautiousUntilMs) return false;
-    return this.context.map.backup(kept.shard, self) === undefined;
-  }
-
   private admissionRefusal(service: EffectiveService, packet: PacketView): RefusalReason | undefined {
     const { components, catalogue, openFlows } = this.context;
     if (openFlows >= components.limits.maxFlows) return 'balancer-flow-limit';
@@ -149,28 +152,17 @@
     this.context.components.edge.sendReset(packet);
   }
 
-  private decide(
-    kept: KeptShard,
-    fingerprint: FlowFingerprint,
-    service: EffectiveService,
-    exclude: ReadonlySet<number> | undefined,
-  ): PlacementDecision | 'deferred' {
-    const canReplicate = this.canReplicate(kept);
-    const generous = canReplicate && !this.isBudgetShort(kept);
-    const decision = this.choose(kept, fingerprint, service, exclude, generous);
-    if (decision.outcome === 'place' || generous) return decision;
-    // The first choice may not be used: only an exception can help.
-    if (!canReplicate) return 'deferred';
-    return this.choose(kept, fingerprint, service, exclude, true);
+  private decide(subject: PlacementSubject): PlacementDecision | 'deferred' {
+    const { kept } = subject;
+    return chooseBackend({
+      canReplicate: canReplicate(this.context, kept),
+      isBudgetShort: () => this.isBudgetShort(kept),
+      choose: (exceptionsAllowed) => this.choose(subject, exceptionsAllowed),
+    });
   }
 
-  private choose(
-    kept: KeptShard,
-    fingerprint: FlowFingerprint,
-    service: EffectiveService,
-    exclude: ReadonlySet<number> | undefined,
-    exceptionsAllowed: boolean,
-  ): PlacementDecision {
+  private choose(subject: PlacementSubject, exceptionsAllowed: boolean): PlacementDecision {
+    const { kept, fingerprint, service, tried } = subject;
     const { components, bases, catalogue } = this.context;
     return components.policy.choose({
       fingerprint,
@@ -180,17 +172,10 @@
       load: catalogue,
       health: components.health,
       zone: components.zone,
-      exclude,
+      exclude: tried,
     });
   }
 
-  /** True when an exception can be made safe now. */
-  private canReplicate(kept: KeptShard): boolean {
-    if (!kept.backup) return this.isAlone(kept);
-    if (kept.syncingTo !== undefined || !kept.backup.leaseHeld) return false;
-    return kept.formerBackup?.hasLetGo(kept.shard) ?? true;
-  }
-
   private isBudgetShort(kept: KeptShard): boolean {
     const { control } = this.context.components;
     return (
@@ -216,7 +201,7 @@
       tried: new Set(),
     };
     this.unanswered.set(fingerprintKey(fingerprint.high, fingerprint.low), opening);
-    this.retryBudget(service).recordOpening();
+    this.retryBudgets.of(service.id).recordOpening();
     this.context.counters.opened += 1;
     return opening;
   }
@@ -227,15 +212,22 @@
     const exception = !this.isFirstChoice(kept, fingerprint, entry);
     const slot = kept.table.find(fingerprint.high, fingerprint.low);
     const hadRecord = slot >= 0 && kept.table.hasFlag(slot, FlowFlag.EXCEPTION);
-    const needsRecord = (exception || hadRecord) && kept.backup !== undefined;
-    if (needsRecord && !this.canReplicate(kept)) return this.abandon(opening);
+    const hasBackup = kept.backup !== undefined;
+    const need = judgeRecord({
+      exception,
+      hadRecord,
+      hasBackup,
+      canReplicate: () => canReplicate(this.context, kept),
+    });
+    if (need === 'impossible') return this.abandon(opening);
     if (slot >= 0) this.context.removeKept(kept.table, slot);
     if (exception) this.context.counters.exceptions += 1;
-    const flags = exception || needsRecord ? FlowFlag.EXCEPTION : 0;
-    const pending = needsRecord ? FlowFlag.PENDING : 0;
-    this.context.insertKept(kept.table, fingerprint, entry, flags | pending);
-    if (needsRecord) this.replicate(opening, entry);
-    else this.send(opening, entry);
+    if (need === 'replicate') {
+      this.context.insertKept(kept.table, fingerprint, entry, FlowFlag.EXCEPTION | FlowFlag.PENDING);
+      return this.replicate(opening, entry);
+    }
+    this.context.insertKept(kept.table, fingerprint, entry, exception ? FlowFlag.EXCEPTION : 0);
+    this.send(opening, entry);
   }
 
   /** During a rebase a first choice needs no record only when it needs none before and after. */
@@ -259,15 +251,19 @@
 
   private onReplicated(opening: Opening, entry: BackendEntry, outcome: RecordOutcome): void {
     const { kept, fingerprint } = opening;
-    if (this.context.kept.get(kept.shard) !== kept) return;
     const slot = kept.table.find(fingerprint.high, fingerprint.low);
-    if (slot < 0 || !kept.table.hasFlag(slot, FlowFlag.PENDING)) return;
-    if (outcome.status === RecordStatus.NOT_HELD) {
+    const isPending = slot >= 0 && kept.table.hasFlag(slot, FlowFlag.PENDING);
+    const chosen = outcome.ownKey === undefined ? entry : this.context.catalogue.find(outcome.ownKey);
+    const verdict = judgeReplication({
+      isAwaited: this.context.kept.get(kept.shard) === kept && isPending,
+      status: outcome.status,
+      isBackendKnown: chosen !== undefined,
+    });
+    if (verdict === 'abandon') {
       this.context.removeKept(kept.table, slot);
       return this.abandon(opening);
     }
-    const chosen = outcome.ownKey === undefined ? entry : this.context.catalogue.find(outcome.ownKey);
-    if (!chosen) return;
+    if (verdict === 'ignore' || !chosen) return;
     if (chosen !== entry) this.adopt(entry, chosen);
     kept.table.setValue(slot, chosen.index, FlowFlag.EXCEPTION);
     this.send(opening, chosen);
@@ -296,17 +292,4 @@
     }
     if (service.limits.retryBudgetShare <= 0) opening.packet = undefined;
   }
-
-  private retryBudget(service: EffectiveService): RetryBudget {
-    let budget = this.retryBudgets.get(service.id);
-    if (!budget) {
-      const { clock, settings } = this.context.components;
-      const share = (): number =>
-        settings.current()?.services.find((current) => current.id === service.id)?.limits.retryBudgetShare ??
-        0;
-      budget = new RetryBudget({ clock, share });
-      this.retryBudgets.set(service.id, budget);
-    }
-    return budget;
-  }
 }
