--- a/src/gue-edge/flow/ownership.ts
+++ b/src/gue-edge/flow/ownership.ts
@@ -1,26 +1,30 @@
 /**
- * Who holds which shard: takes shards over, replicates them, and hands them on as the membership view changes. A shard
- * is held until its next holder has acknowledged it; the view alone gives nobody a shard.
+ * Who holds which shard: takes shards over, replicates them, and hands them on as the membership view changes, as the rules
+ * of `shard-rules.ts` say. A shard is held until its next holder has acknowledged it; the view alone gives nobody a shard.
+ *
+ * Owns the shards kept here. Relies on the view for the keepers, on the senders of shards to repeat what was not
+ * acknowledged, and on the replica holder for what is held for others.
  */
-import type { Member, MembershipView } from '../membership/types.js';
+import type { MembershipView } from '../membership/types.js';
 import { BackupSync } from './backup-sync.js';
 import { ORPHAN_WAIT_LIMIT_MS, ORPHAN_WAIT_MS, PAUSE_DETECTION_MS, SHARD_COUNT } from './constants.js';
 import { FLOW_EVENTS } from './events.js';
 import type { FlowContext } from './flow-context.js';
-import { FlowFlag } from './flow-table.js';
+import { KeeperTransfers } from './keeper-transfers.js';
 import type { PacketRelay } from './packet-relay.js';
 import { sailquay } from './pb/flow.js';
 import type { ReplicaHolder } from './replica-holder.js';
 import type { ReplicaPeer } from './replica-peer.js';
 import type { ReplicaPeers } from './replica-peers.js';
 import { fromBitmap } from './shard-set.js';
-import { KeptShard, ReplicaShard } from './shard-holding.js';
+import { KeptShard, type ReplicaShard } from './shard-holding.js';
+import { judgeAcquiring, mayUseUntrusted } from './shard-rules.js';
+import { ReplicaInstaller } from './replica-installer.js';
 import { ReplicaRecovery } from './replica-recovery.js';
 import { ShardInstaller } from './shard-installer.js';
 import type { IncomingShard, InstallOutcome, ShardReceiver } from './shard-receiver.js';
-import type { ShardSnapshot } from './outgoing-shard.js';
 import type { ShardSender } from './shard-sender.js';
-import { snapshotKept, snapshotReplica } from './shard-snapshot.js';
+import { snapshotReplica } from './shard-snapshot.js';
 
 const { ShardPurpose } = sailquay.flow;
 
@@ -41,6 +45,8 @@
   /** Shards since the last tick, for one log event each. */
   private startedEmpty = 0;
   private readonly installer: ShardInstaller;
+  private readonly replicaInstaller: ReplicaInstaller;
+  private readonly transfers: KeeperTransfers;
   private readonly recovery: ReplicaRecovery;
 
   constructor(
@@ -49,6 +55,12 @@
   ) {
     this.installer = new ShardInstaller(context);
     this.backups = new BackupSync(context, parts);
+    this.replicaInstaller = new ReplicaInstaller(context, parts.holder);
+    this.transfers = new KeeperTransfers(context, {
+      sender: parts.sender,
+      installer: this.installer,
+      onGiven: (kept, keeperId) => this.onGiven(kept, keeperId),
+    });
     this.recovery = new ReplicaRecovery(context, parts, {
       promote: (replica) => this.promote(replica),
     });
@@ -85,11 +97,11 @@
 
   /** Takes in a shard from another balancer. */
   install(incoming: IncomingShard): InstallOutcome {
-    if (incoming.header.purpose === ShardPurpose.REPLICA) return this.installReplica(incoming);
+    if (incoming.header.purpose === ShardPurpose.REPLICA) return this.replicaInstaller.install(incoming);
     if (!this.isOwnKeeper(incoming.shard)) return 'refused';
     const { header } = incoming;
     const kept = this.context.kept.get(incoming.shard);
-    if (!header.trusted && !this.hasWaitedForBetter(kept)) return 'refused';
+    if (!header.trusted && !this.mayUseUntrusted(kept)) return 'refused';
     const target = kept ?? this.acquire(incoming.shard);
     const outcome = this.installer.install(target, header, incoming.records);
     if (outcome === 'superseded') return 'done';
@@ -139,7 +151,7 @@
     for (const kept of [...this.context.kept.values()]) {
       if (kept.role === 'acquiring' || kept.backup || kept.lastBackupId === undefined) continue;
       if (!isConcerned(kept)) continue;
-      this.giveUp(kept, [kept.lastBackupId, ...this.probableHolders(kept.shard)], true);
+      this.giveUp(kept, [kept.lastBackupId, ...this.parts.relay.probableHolders(kept.shard)], true);
       given += 1;
     }
     if (given > 0) this.context.components.events.emit(FLOW_EVENTS.steppedDown, { shards: given });
@@ -190,111 +202,60 @@
   }
 
   private acquire(shard: number): KeptShard {
-    const kept = new KeptShard(shard, this.context.now(), this.probableHolders(shard));
+    const kept = new KeptShard(shard, this.context.now(), this.parts.relay.probableHolders(shard));
     this.context.kept.set(shard, kept);
     return kept;
   }
 
-  private probableHolders(shard: number): string[] {
-    const { previousMap } = this.parts.relay;
-    const keeper = previousMap.keeper(shard);
-    const backups = keeper ? [previousMap.backup(shard, keeper), ...previousMap.backups(keeper)] : [];
-    const ids = [keeper, ...backups].flatMap((member) => (member ? [member.id] : []));
-    return [...new Set(ids)].filter((id) => id !== this.context.selfId);
-  }
-
   private isOwnKeeper(shard: number): boolean {
     return this.context.view.quorate && this.context.map.keeper(shard)?.id === this.context.selfId;
   }
 
-  private hasWaitedForBetter(kept: KeptShard | undefined): boolean {
-    if (!kept) return false;
-    const waitedFromMs = Math.max(kept.acquiringSinceMs, this.context.cautiousUntilMs);
-    return kept.role !== 'acquiring' || this.context.now() - waitedFromMs > ORPHAN_WAIT_MS;
+  private mayUseUntrusted(kept: KeptShard | undefined): boolean {
+    return mayUseUntrusted({
+      kept: kept && { acquiring: kept.role === 'acquiring', acquiringSinceMs: kept.acquiringSinceMs },
+      nowMs: this.context.now(),
+      cautiousUntilMs: this.context.cautiousUntilMs,
+    });
   }
 
   private reconcileKept(kept: KeptShard): void {
     const keeper = this.context.map.keeper(kept.shard);
-    if (kept.role === 'acquiring') this.reconcileAcquiring(kept, keeper);
-    else if (kept.role === 'transferring') this.reconcileTransferring(kept);
-    else if (keeper && keeper.id !== this.context.selfId) this.handToNextKeeper(kept, keeper);
+    if (kept.role === 'acquiring') this.reconcileAcquiring(kept, keeper?.id);
+    else if (kept.role === 'transferring') this.transfers.reconcile(kept);
+    else if (keeper && keeper.id !== this.context.selfId) this.transfers.handOn(kept, keeper);
     else this.backups.ensure(kept);
   }
 
-  private reconcileAcquiring(kept: KeptShard, keeper: Member | undefined): void {
-    const nowMs = this.context.now();
-    if (keeper?.id !== this.context.selfId) {
-      this.installer.forgetFlows(kept);
-      this.context.kept.delete(kept.shard);
-      return;
-    }
-    const settings = this.context.components.settings.current();
-    const ready =
-      this.context.view.quorate && settings !== undefined && nowMs >= this.context.cautiousUntilMs;
-    const replica = this.context.replicas.get(kept.shard);
-    const heldHere = replica?.trusted === true && this.context.member(replica.keeperId) !== undefined;
-    const mayWait = nowMs - kept.acquiringSinceMs < 3 * ORPHAN_WAIT_MS;
-    if (!ready || (heldHere && mayWait)) kept.awaitedSinceMs = nowMs;
-    else if (nowMs - kept.awaitedSinceMs > ORPHAN_WAIT_MS) {
-      this.installer.startUnoffered(kept, settings.version);
+  private reconcileAcquiring(kept: KeptShard, keeperId: string | undefined): void {
+    const { context, installer } = this;
+    const nowMs = context.now();
+    const settings = context.components.settings.current();
+    const replica = context.replicas.get(kept.shard);
+    const verdict = judgeAcquiring({
+      isKeeper: keeperId === context.selfId,
+      quorate: context.view.quorate,
+      hasSettings: settings !== undefined,
+      replicaHeldHere: replica?.trusted === true && context.member(replica.keeperId) !== undefined,
+      nowMs,
+      cautiousUntilMs: context.cautiousUntilMs,
+      acquiringSinceMs: kept.acquiringSinceMs,
+      awaitedSinceMs: kept.awaitedSinceMs,
+    });
+    if (verdict === 'forget') {
+      installer.forgetFlows(kept);
+      context.kept.delete(kept.shard);
+    } else if (verdict === 'postpone') kept.awaitedSinceMs = nowMs;
+    else if (verdict === 'start-unoffered') {
+      installer.startUnoffered(kept, settings!.version);
       this.startedEmpty += 1;
       this.backups.ensure(kept);
     }
   }
 
-  private reconcileTransferring(kept: KeptShard): void {
-    if (kept.targetGoneSinceMs === undefined) return;
-    if (this.context.now() - kept.targetGoneSinceMs < ORPHAN_WAIT_MS) return;
-    kept.targetGoneSinceMs = undefined;
-    kept.transferTarget = undefined;
-    kept.role = 'serving';
-  }
-
-  private handToNextKeeper(kept: KeptShard, keeper: Member): void {
-    if (kept.transferTarget !== undefined || keeper.state !== 'active' || !this.context.view.quorate) return;
-    kept.transferTarget = keeper.id;
-    this.parts.sender.enqueue({
-      shard: kept.shard,
-      purpose: ShardPurpose.TRANSFER,
-      targetId: keeper.id,
-      snapshot: () => this.beginTransfer(kept, keeper.id),
-      onDone: () => this.onTransferred(kept, keeper.id),
-      onFailed: () => this.onTransferFailed(kept, keeper.id),
-    });
-  }
-
-  private beginTransfer(kept: KeptShard, targetId: string): ShardSnapshot | undefined {
-    const current = this.context.kept.get(kept.shard) === kept && kept.role === 'serving';
-    if (!current || this.context.map.keeper(kept.shard)?.id !== targetId) return undefined;
-    kept.role = 'transferring';
-    this.dropPending(kept);
-    return snapshotKept(this.context, kept, true);
-  }
-
-  /** Openings that wait for the backup have not reached a back end; the caller's next SYN goes to the new keeper. */
-  private dropPending(kept: KeptShard): void {
-    for (let slot = kept.table.capacity - 1; slot >= 0; slot -= 1) {
-      while (kept.table.isOccupied(slot) && kept.table.hasFlag(slot, FlowFlag.PENDING)) {
-        this.context.removeKept(kept.table, slot);
-      }
-    }
-  }
-
-  private onTransferred(kept: KeptShard, targetId: string): void {
-    if (this.context.kept.get(kept.shard) !== kept) return;
+  private onGiven(kept: KeptShard, keeperId: string): void {
     this.givenShards += 1;
-    this.giveUp(kept, [targetId], false);
-  }
-
-  private onTransferFailed(kept: KeptShard, targetId: string): void {
-    if (this.context.kept.get(kept.shard) !== kept || kept.transferTarget !== targetId) return;
-    if (kept.role === 'transferring' && !this.context.member(targetId)) {
-      // The target may have taken the shard before it failed: its backup may still hand it on.
-      kept.targetGoneSinceMs = this.context.now();
-      return;
-    }
-    kept.transferTarget = undefined;
-    kept.role = 'serving';
+    this.giveUp(kept, [keeperId], false);
   }
 
   /**
@@ -309,50 +270,17 @@
       this.parts.receiver.acknowledge(owed.senderId, owed.transferId, false);
     this.context.kept.delete(kept.shard);
     const stillKeeper = this.context.map.keeper(kept.shard)?.id === this.context.selfId;
-    if (stillKeeper && keepFlows) this.dropPending(kept);
+    if (stillKeeper && keepFlows) this.installer.dropPending(kept);
     else this.installer.forgetFlows(kept);
     if (!stillKeeper) return;
     const next = new KeptShard(kept.shard, this.context.now(), holders, keepFlows ? kept : undefined);
     this.context.kept.set(kept.shard, next);
   }
 
-  private installReplica(incoming: IncomingShard): InstallOutcome {
-    const { header, shard, from } = incoming;
-    const epoch = header.epoch ?? 0;
-    const earlier = this.context.replicas.get(shard);
-    const sameKeeper = earlier?.keeperId === from.senderId && earlier.keeperBoot === from.senderIncarnation;
-    if (earlier && !sameKeeper && earlier.epoch >= epoch && !this.parts.holder.keeperFailed(earlier))
-      return 'refused';
-    const own = this.context.kept.get(shard);
-    if (own && own.role !== 'acquiring' && own.epoch >= epoch) return 'refused';
-    const replica = new ReplicaShard(
-      shard,
-      from.senderId,
-      from.senderIncarnation,
-      epoch,
-      header.baseVersion ?? 0,
-      header.oldestBaseVersion ?? 0,
-      this.context.now(),
-    );
-    if (header.complete) replica.completeSinceMs = this.context.now();
-    for (const record of incoming.records) {
-      const entry = this.context.catalogue.find(record.backendKey)!;
-      if (replica.table.find(record.high, record.low) >= 0) continue;
-      replica.table.insert(
-        record.high,
-        record.low,
-        entry.index,
-        FlowFlag.EXCEPTION,
-        this.context.nowSeconds(),
-      );
-    }
-    return this.parts.holder.install(replica, header.generation ?? 0) ? 'done' : 'refused';
-  }
-
   /** This balancer is the next keeper itself. */
   private promote(replica: ReplicaShard): void {
     const kept = this.context.kept.get(replica.shard);
-    if (!replica.trusted && !this.hasWaitedForBetter(kept)) return;
+    if (!replica.trusted && !this.mayUseUntrusted(kept)) return;
     this.recovery.begin(replica);
     const { records, ...header } = snapshotReplica(this.context, replica);
     const target = kept ?? this.acquire(replica.shard);
--- a/src/gue-edge/flow/packet-relay.ts
+++ b/src/gue-edge/flow/packet-relay.ts
@@ -29,6 +29,15 @@
     this.send(packet, memberId === undefined ? undefined : this.firstUsable(packet, [memberId]));
   }
 
+  /** Members that probably hold a shard that this balancer is to keep: those of the map before, its keeper first. */
+  probableHolders(shard: number): string[] {
+    const { previousMap } = this;
+    const keeper = previousMap.keeper(shard);
+    const backups = keeper ? [previousMap.backup(shard, keeper), ...previousMap.backups(keeper)] : [];
+    const ids = [keeper, ...backups].flatMap((member) => (member ? [member.id] : []));
+    return [...new Set(ids)].filter((id) => id !== this.context.selfId);
+  }
+
   private send(packet: PacketView, target: Member | undefined): void {
     const { counters, components } = this.context;
     if (!target || packet.hops >= RELAY_HOP_LIMIT) {
--- a/src/gue-edge/flow/shard-holding.ts
+++ b/src/gue-edge/flow/shard-holding.ts
@@ -87,6 +87,12 @@
   }
 }
 
+/** Where a replica comes from. */
+type ReplicaOrigin = Pick<
+  ReplicaShard,
+  'shard' | 'keeperId' | 'keeperBoot' | 'epoch' | 'baseVersion' | 'oldestBaseVersion' | 'installedAtMs'
+>;
+
 /** A replica of another keeper's exceptions. */
 export class ReplicaShard {
   readonly table = new FlowTable();
@@ -105,16 +111,25 @@
   /** Flows in the table that were placed here and are not yet known to the keeper. */
   ownPlacements = 0;
 
-  constructor(
-    readonly shard: number,
-    readonly keeperId: string,
-    /** Boot of the keeper's process. */
-    readonly keeperBoot: number,
-    readonly epoch: number,
-    public baseVersion: number,
-    public oldestBaseVersion: number,
-    readonly installedAtMs: number,
-  ) {}
+  readonly shard: number;
+  readonly keeperId: string;
+  /** Boot of the keeper's process. */
+  readonly keeperBoot: number;
+  readonly epoch: number;
+  baseVersion: number;
+  oldestBaseVersion: number;
+  /** Monotonic ms. */
+  readonly installedAtMs: number;
+
+  constructor(origin: ReplicaOrigin) {
+    this.shard = origin.shard;
+    this.keeperId = origin.keeperId;
+    this.keeperBoot = origin.keeperBoot;
+    this.epoch = origin.epoch;
+    this.baseVersion = origin.baseVersion;
+    this.oldestBaseVersion = origin.oldestBaseVersion;
+    this.installedAtMs = origin.installedAtMs;
+  }
 }
 
 /** Copies a reused fingerprint. */
