--- a/src/gue-edge/health/own-votes.ts
+++ b/src/gue-edge/health/own-votes.ts
@@ -1,17 +1,16 @@
-/** This balancer's own votes: merges what its prober and its data path say, numbers each change and has it spread. */
+/**
+ * This balancer's own votes: merges what its prober and its data path say, numbers each change and has it sent.
+ *
+ * Owns the votes in its name in the `VoteTable`; relies on gossip to deliver each change, and on the wall clock for versions
+ * that rise over a restart.
+ */
 import type { Clock } from '../../common/clock.js';
-import { isNewer, Verdict, type ReportedLoad, type Vote, type VoteChange, type VoteTable } from './votes.js';
+import { isChanged, nextVersion, patchedVote, type VoteContent, type VotePatch } from './own-vote-rules.js';
+import type { Vote, VoteChange, VoteTable } from './votes.js';
 
 /** Unit of the version's wall-clock part; 2^32 units are 34 years, so a restarted balancer's versions go on rising. */
 const VERSION_UNIT_MS = 250;
 
-/** The parts of a vote that can change. */
-export interface VotePatch {
-  readonly verdict?: Verdict;
-  readonly passiveFailures?: number;
-  readonly load?: ReportedLoad;
-}
-
 /** Own votes of one balancer. */
 export class OwnVotes {
   constructor(
@@ -25,12 +24,8 @@
   /** Changes parts of the vote on a back end; nothing happens when they are as they were. */
   update(backendId: number, patch: VotePatch): void {
     const known = this.table.get(backendId, this.memberHash);
-    const verdict = patch.verdict ?? known?.verdict ?? Verdict.VERDICT_NONE;
-    const passiveFailures = patch.passiveFailures ?? known?.passiveFailures ?? 0;
-    const load = patch.load ?? known?.load;
-    const said = known ?? { verdict: Verdict.VERDICT_NONE, passiveFailures: 0, load: undefined };
-    if (said.verdict === verdict && said.passiveFailures === passiveFailures && said.load === load) return;
-    this.publish({ backendId, verdict, passiveFailures, load }, known?.version);
+    const next = patchedVote(known, patch);
+    if (isChanged(known, next)) this.publish(backendId, next, known?.version);
   }
 
   /**
@@ -38,23 +33,19 @@
    * goes out again with a higher version.
    */
   reclaim(foreign: Vote, now: VotePatch): void {
-    const { backendId } = foreign;
-    const verdict = now.verdict ?? Verdict.VERDICT_NONE;
-    this.publish(
-      { backendId, verdict, passiveFailures: now.passiveFailures ?? 0, load: now.load },
-      foreign.version,
-    );
+    this.publish(foreign.backendId, patchedVote(undefined, now), foreign.version);
   }
 
-  private publish(
-    vote: Pick<Vote, 'backendId' | 'verdict' | 'passiveFailures' | 'load'>,
-    previousVersion: number | undefined,
-  ): void {
+  private publish(backendId: number, content: VoteContent, previousVersion: number | undefined): void {
     const fromClock = Math.floor(this.clock.wall() / VERSION_UNIT_MS) >>> 0;
-    const following = previousVersion === undefined ? fromClock : (previousVersion + 1) >>> 0;
-    const version = isNewer(fromClock, following) ? fromClock : following;
-    const complete = { ...vote, memberHash: this.memberHash, version, learnedAtMs: this.clock.now() };
-    const change = this.table.apply(complete);
-    if (change !== 'stale') this.onChange(complete, change);
+    const vote: Vote = {
+      backendId,
+      memberHash: this.memberHash,
+      version: nextVersion(previousVersion, fromClock),
+      ...content,
+      learnedAtMs: this.clock.now(),
+    };
+    const change = this.table.apply(vote);
+    if (change !== 'stale') this.onChange(vote, change);
   }
 }
--- a/src/gue-edge/health/prober.ts
+++ b/src/gue-edge/health/prober.ts
@@ -24,7 +24,7 @@
   type Probe,
   type ProbeResponse,
 } from './probe.js';
-import type { VotePatch } from './own-votes.js';
+import type { VotePatch } from './own-vote-rules.js';
 import { Verdict } from './votes.js';
 
 const MS_PER_SECOND = 1_000;
