--- a/src/gue-edge/placement/constants.ts
+++ b/src/gue-edge/placement/constants.ts
@@ -13,6 +13,13 @@
 export const BIAS_GAIN = 0.03;
 /** Candidates compared for an exception. */
 export const EXCEPTION_CANDIDATES = 5;
+/** Flows by which an exception must be less loaded than the first choice: the one flow that it moves. */
+export const LEAST_GAIN_FLOWS = 1;
+/**
+ * Flows beyond its share that a first choice may hold however strong the preference for the zone. Not measured; chosen above
+ * 0, so that only a first choice above its share loses openings to the own zone.
+ */
+export const MIN_ZONE_TOLERANCE_FLOWS = 0.5;
 /** The load that back ends report moves an own count by at most this part of the back end's share. */
 export const REPORT_CORRECTION_SHARE = 0.4;
 /** Turnovers of the flows over which a constant error of a report is learned. */
