--- a/src/gue-edge/placement/opening-limiter.ts
+++ b/src/gue-edge/placement/opening-limiter.ts
@@ -6,15 +6,16 @@
  * gets more than its part refuses although the fleet is below L (about sqrt(n / L) of the limit, one standard deviation), and a
  * client with few flows whose shards fall to one balancer gets about max(1, L / n) there. Each share allows at least one
  * opening a second and one connection, so a fleet larger than the limit admits up to one for each balancer.
+ *
+ * Owns the token buckets of services and of client addresses; the rule is in `limit-rules.ts`.
  */
 import type { Clock } from '../../common/clock.js';
 import type { EffectiveService } from '../../settings/types.js';
-import { BURST_MS, MAX_TRACKED_CLIENTS } from './constants.js';
+import { MAX_TRACKED_CLIENTS } from './constants.js';
+import { judgeLimits, ownOpenings } from './limit-rules.js';
 import { TokenBucket } from './token-bucket.js';
 import type { RefusalReason } from './types.js';
 
-const MS_PER_SECOND = 1_000;
-
 /** Options of `OpeningLimiter`. */
 interface OpeningLimiterOptions {
   readonly clock: Clock;
@@ -54,18 +55,13 @@
   ): RefusalReason | undefined {
     const { maxConnections, openingsPerSecond, openingsPerSecondPerClient } = service.limits;
     const share = this.options.share();
-    if (
-      maxConnections !== undefined &&
-      openFlowsOfService >= Math.max(1, Math.ceil(maxConnections * share))
-    ) {
-      return 'service-connections';
-    }
-    const serviceBucket = this.serviceBucket(service.id, openingsPerSecond, share);
-    if (serviceBucket && !serviceBucket.available()) return 'service-openings';
-    const clientBucket = this.clientBucket(service.id, clientAddress, openingsPerSecondPerClient, share);
-    if (clientBucket && !clientBucket.take()) return 'client-openings';
-    serviceBucket?.take();
-    return undefined;
+    return judgeLimits({
+      maxConnections,
+      openFlows: openFlowsOfService,
+      share,
+      serviceTokens: () => this.serviceBucket(service.id, openingsPerSecond, share),
+      clientTokens: () => this.clientBucket(service.id, clientAddress, openingsPerSecondPerClient, share),
+    });
   }
 
   private serviceBucket(id: number, limit: number | undefined, share: number): TokenBucket | undefined {
@@ -94,8 +90,7 @@
   }
 
   private configured(known: TokenBucket | undefined, limit: number, share: number): TokenBucket {
-    const rate = Math.max(1, limit * share);
-    const burst = Math.max(1, (rate * BURST_MS) / MS_PER_SECOND);
+    const { rate, burst } = ownOpenings(limit, share);
     if (!known) return new TokenBucket(this.options.clock, rate, burst);
     known.configure(rate, burst);
     return known;
