--- a/src/gue-edge/flow/kept-flows.ts
+++ b/src/gue-edge/flow/kept-flows.ts
@@ -1,4 +1,9 @@
-/** Packets of shards that are kept here. */
+/**
+ * Packets of shards that are kept here: forwards those of known flows, opens flows, and answers for unknown ones.
+ *
+ * Owns the state of each flow in the kept tables. Relies on `known-flow-rule.ts` and `keeper-authority.ts` for what may be
+ * done, and on `Openings` for flows without an answer.
+ */
 import { sameEndpoint, type Endpoint } from '../../common/types.js';
 import type { PacketView } from '../../fabric/types.js';
 import type { FlowFingerprint } from '../placement/types.js';
@@ -7,6 +12,7 @@
 import type { FlowContext } from './flow-context.js';
 import { FlowFlag } from './flow-table.js';
 import { isSurelyKeeper } from './keeper-authority.js';
+import { isForwardedAnyway, judgeKnownFlow, type KnownFlowVerdict } from './known-flow-rule.js';
 import type { Openings } from './openings.js';
 import type { PacketRelay } from './packet-relay.js';
 import type { ServicePort } from './service-index.js';
@@ -29,7 +35,7 @@
   handle(kept: KeptShard, fingerprint: FlowFingerprint, packet: PacketView): void {
     const port = this.context.services.find(packet.destinationAddress, packet.destinationPort);
     const slot = kept.table.find(fingerprint.high, fingerprint.low);
-    if (slot >= 0) this.handleKnown(kept, slot, fingerprint, packet, port);
+    if (slot >= 0) this.handleKnown(kept, slot, packet, port);
     else if (kept.role === 'transferring') this.relay.relayTo(packet, kept.transferTarget);
     else if (packet.syn && !packet.ack) this.openings.open(kept, fingerprint, packet, port);
     else this.handleUnknown(kept, fingerprint, packet, port);
@@ -45,7 +51,7 @@
     if (slot < 0 || packet.syn || table.hasFlag(slot, FlowFlag.CLOSED | FlowFlag.PENDING)) return false;
     if (!table.hasFlag(slot, FlowFlag.ANSWERED)) return false;
     const port = this.context.services.find(packet.destinationAddress, packet.destinationPort);
-    this.handleKnown(kept, slot, fingerprint, packet, port);
+    this.handleKnown(kept, slot, packet, port);
     return true;
   }
 
@@ -69,45 +75,69 @@
   private handleKnown(
     kept: KeptShard,
     slot: number,
-    fingerprint: FlowFingerprint,
     packet: PacketView,
     port: ServicePort | undefined,
   ): void {
-    const { table } = kept;
-    const flags = table.flags(slot);
-    const entry = this.context.catalogue.at(table.backendIndex(slot));
-    if (!port?.serviceIds.has(entry.serviceId)) return this.countWrongService(kept, entry);
-    if ((flags & FlowFlag.PENDING) !== 0) {
-      if (packet.syn) this.openings.repeat(fingerprint, packet);
-      return;
-    }
+    const flags = kept.table.flags(slot);
+    const entry = this.context.catalogue.at(kept.table.backendIndex(slot));
+    const isOfService = port?.serviceIds.has(entry.serviceId) === true;
     const opening = packet.syn && !packet.ack;
-    if (opening && (flags & FlowFlag.CLOSED) !== 0 && kept.role === 'serving') {
-      return this.openings.open(kept, fingerprint, packet, port);
-    }
-    if ((flags & FlowFlag.ANSWERED) === 0 && !isSurelyKeeper(this.context, kept)) {
-      // Another balancer may have opened the flow on another back end meanwhile.
-      this.context.counters.deferred += 1;
-      return;
-    }
-    if (opening && (flags & FlowFlag.ANSWERED) === 0) this.openings.countSyn(fingerprint);
-    this.context.components.edge.sendToBackend(packet, entry.endpoint);
-    if ((flags & FlowFlag.CLOSED) === 0) this.follow(kept, slot, fingerprint, packet, entry);
+    if (isOfService && isForwardedAnyway(flags, opening)) this.forward(kept, slot, packet, entry);
+    else this.handleDoubtful(kept, slot, packet, isOfService ? port : undefined);
   }
 
-  /** Updates the state of an open flow after a packet of its caller. */
-  private follow(
+  /** A packet that the rule has to judge; `port` is undefined when the flow's back end is of another service. */
+  private handleDoubtful(
     kept: KeptShard,
     slot: number,
-    fingerprint: FlowFingerprint,
     packet: PacketView,
-    entry: BackendEntry,
+    port: ServicePort | undefined,
   ): void {
+    const entry = this.context.catalogue.at(kept.table.backendIndex(slot));
+    switch (this.judge(kept, slot, packet, port !== undefined)) {
+      case 'wrong-service':
+        return this.countWrongService(kept, entry);
+      case 'repeat-syn':
+        return this.openings.repeat(fingerprintAt(kept, slot), packet);
+      case 'open':
+        return this.openings.open(kept, fingerprintAt(kept, slot), packet, port);
+      case 'defer':
+        this.context.counters.deferred += 1;
+        return;
+      case 'drop':
+        return;
+      case 'forward-syn':
+        this.openings.countSyn(fingerprintAt(kept, slot));
+        return this.forward(kept, slot, packet, entry);
+      case 'forward':
+        return this.forward(kept, slot, packet, entry);
+    }
+  }
+
+  private forward(kept: KeptShard, slot: number, packet: PacketView, entry: BackendEntry): void {
+    const isOpen = !kept.table.hasFlag(slot, FlowFlag.CLOSED);
+    this.context.components.edge.sendToBackend(packet, entry.endpoint);
+    if (isOpen) this.follow(kept, slot, packet, entry);
+  }
+
+  private judge(kept: KeptShard, slot: number, packet: PacketView, isOfService: boolean): KnownFlowVerdict {
+    return judgeKnownFlow({
+      flags: kept.table.flags(slot),
+      isOfService,
+      syn: packet.syn,
+      opening: packet.syn && !packet.ack,
+      serving: kept.role === 'serving',
+      isSurelyKeeper: () => isSurelyKeeper(this.context, kept),
+    });
+  }
+
+  /** Updates the state of an open flow after a packet of its caller. */
+  private follow(kept: KeptShard, slot: number, packet: PacketView, entry: BackendEntry): void {
     const { table } = kept;
     table.touch(slot, this.context.nowSeconds());
     if (!packet.syn && !table.hasFlag(slot, FlowFlag.ANSWERED)) {
       table.setFlags(slot, table.flags(slot) | FlowFlag.ANSWERED);
-      this.openings.answered(fingerprint, entry);
+      this.openings.answered(fingerprintAt(kept, slot), entry);
     }
     if (packet.rst) this.close(kept, slot, entry);
     else if (packet.fin) this.finish(kept, slot, entry, FlowFlag.CALLER_FINISHED);
@@ -194,6 +224,10 @@
   }
 }
 
+function fingerprintAt({ table }: KeptShard, slot: number): FlowFingerprint {
+  return { high: table.high(slot), low: table.low(slot) };
+}
+
 /**
  * Answers a packet of a flow without a record. A reset needs certainty that the flow would be known: the shard's table
  * has held every open flow for a whole learning time. In any other case the packet is dropped.
--- a/src/gue-edge/flow/rebase.ts
+++ b/src/gue-edge/flow/rebase.ts
@@ -1,6 +1,9 @@
 /**
  * Moves shards to the back ends of a newer settings version. The open flows whose first choice would move are replicated
  * as exceptions first; then the backup takes the new base, then the keeper. Paced by the byte budget.
+ *
+ * Owns the progress of each move. Relies on `rebase-rules.ts` for when one starts, on the backup's acknowledgements for its
+ * steps, and repeats an advance that is not answered.
  */
 import type { InboundControlMessage } from '../control/types.js';
 import { REBASE_RESERVE_BYTES_PER_SECOND, REBASE_SHARDS_PER_TICK } from './constants.js';
@@ -9,6 +12,7 @@
 import { FlowFlag } from './flow-table.js';
 import type { sailquay } from './pb/flow.js';
 import { RecordOperation, RecordStatus } from './record-codec.js';
+import { isRebaseDue, rebaseObstacle } from './rebase-rules.js';
 import type { ReplicaPeer } from './replica-peer.js';
 import type { KeptShard, RebaseProgress } from './shard-holding.js';
 import { packShards, unpackShards } from './shard-set.js';
@@ -41,10 +45,7 @@
   onAdvanceAck(ack: sailquay.flow.BaseAdvanceAck.$Properties, from: InboundControlMessage): void {
     for (const shard of unpackShards(ack.shards ?? new Uint8Array())) {
       const kept = this.context.kept.get(shard);
-      const fromBackup =
-        kept?.backup?.memberId === from.senderId && kept.backup.boot === from.senderIncarnation;
-      const matches = kept?.rebase?.phase === 'advancing' && kept.rebase.toVersion === ack.baseVersion;
-      if (kept && fromBackup && matches) finishRebase(kept);
+      if (kept && isBackupOf(kept, from) && isAdvancingTo(kept, ack.baseVersion)) finishRebase(kept);
     }
   }
 
@@ -59,10 +60,14 @@
     }
   }
 
-  /** A newer base is in force, or a table without all flows has by now seen every flow that can still be open. */
-  private isDue(kept: KeptShard, version: number): boolean {
-    if (kept.role === 'acquiring') return false;
-    return kept.baseVersion < version || (!kept.complete && this.hasSeenAllFlows(kept));
+  private isDue(kept: KeptShard, currentVersion: number): boolean {
+    return isRebaseDue({
+      acquiring: kept.role === 'acquiring',
+      baseVersion: kept.baseVersion,
+      currentVersion,
+      complete: kept.complete,
+      hasSeenAllFlows: this.hasSeenAllFlows(kept),
+    });
   }
 
   private learnedMs(kept: KeptShard): number {
@@ -75,13 +80,25 @@
   }
 
   private mayStart(kept: KeptShard): boolean {
-    if (!this.context.view.quorate || kept.role !== 'serving' || kept.rebase || kept.syncingTo !== undefined)
-      return false;
-    if (kept.transferTarget !== undefined) return false;
-    if (!kept.complete && this.learnedMs(kept) < this.context.learningMs) return false;
-    if (!(kept.formerBackup?.hasLetGo(kept.shard) ?? true)) return false;
+    const { context } = this;
+    const obstacle = rebaseObstacle({
+      quorate: context.view.quorate,
+      serving: kept.role === 'serving',
+      rebasing: kept.rebase !== undefined,
+      syncing: kept.syncingTo !== undefined,
+      handingOn: kept.transferTarget !== undefined,
+      complete: kept.complete,
+      learnedMs: this.learnedMs(kept),
+      learningMs: context.learningMs,
+      formerBackupHasLetGo: () => kept.formerBackup?.hasLetGo(kept.shard) ?? true,
+      isCovered: () => kept.backup?.leaseHeld ?? this.needsNoBackup(kept),
+    });
+    return obstacle === undefined;
+  }
+
+  private needsNoBackup(kept: KeptShard): boolean {
     const self = this.context.member(this.context.selfId);
-    return kept.backup?.leaseHeld ?? (self !== undefined && !this.context.map.backup(kept.shard, self));
+    return self !== undefined && !this.context.map.backup(kept.shard, self);
   }
 
   private start(kept: KeptShard, toVersion: number): void {
@@ -134,12 +151,7 @@
     for (const kept of this.context.kept.values()) {
       if (!kept.rebase || kept.role !== 'serving') continue;
       if (kept.rebase.phase === 'replicating') this.advanceWhenReplicated(kept, kept.rebase);
-      if (kept.rebase?.phase !== 'advancing' || !kept.backup || kept.syncingTo !== undefined) continue;
-      const { toVersion, toOldestVersion } = kept.rebase;
-      const key = `${kept.backup.memberId} ${toVersion} ${toOldestVersion}`;
-      const group = groups.get(key) ?? { peer: kept.backup, toVersion, toOldestVersion, shards: [] };
-      groups.set(key, group);
-      group.shards.push(kept.shard);
+      addToGroup(groups, kept);
     }
     for (const { peer, toVersion, toOldestVersion, shards } of groups.values()) {
       const packed = packShards(shards.slice(0, MAX_ADVANCE_SHARDS));
@@ -157,6 +169,25 @@
   readonly shards: number[];
 }
 
+/** Adds a shard whose backup may take the new base now. */
+function addToGroup(groups: Map<string, AdvanceGroup>, kept: KeptShard): void {
+  const { rebase, backup } = kept;
+  if (rebase?.phase !== 'advancing' || !backup || kept.syncingTo !== undefined) return;
+  const { toVersion, toOldestVersion } = rebase;
+  const key = `${backup.memberId} ${toVersion} ${toOldestVersion}`;
+  const group = groups.get(key) ?? { peer: backup, toVersion, toOldestVersion, shards: [] };
+  groups.set(key, group);
+  group.shards.push(kept.shard);
+}
+
+function isBackupOf({ backup }: KeptShard, from: InboundControlMessage): boolean {
+  return backup?.memberId === from.senderId && backup.boot === from.senderIncarnation;
+}
+
+function isAdvancingTo({ rebase }: KeptShard, baseVersion: number | null | undefined): boolean {
+  return rebase?.phase === 'advancing' && rebase.toVersion === baseVersion;
+}
+
 /** The backup has the new base, so the keeper takes it as well. */
 export function finishRebase(kept: KeptShard): void {
   const rebase = kept.rebase!;
