--- a/src/fabric/data-sockets.ts
+++ b/src/fabric/data-sockets.ts
@@ -6,11 +6,10 @@
 import { createSocket, type RemoteInfo, type Socket } from 'node:dgram';
 import type { Clock } from '../common/clock.js';
 import { numericLookup } from '../common/numeric-lookup.js';
-import { formatEndpoint, type Endpoint } from '../common/types.js';
+import type { Endpoint } from '../common/types.js';
 import type { EventLog } from '../observability/event.js';
 import { MAX_CONNECTED_SOCKETS, SOCKET_BUFFER_BYTES } from './constants.js';
 import { EdgeBindError } from './errors.js';
-import { FABRIC_EVENTS } from './events.js';
 import { SocketErrorReporter } from './socket-error-reporter.js';
 
 /** Receives every datagram of every socket. */
@@ -49,7 +48,6 @@
     private readonly shared: Socket,
     readonly endpoint: Endpoint,
     private readonly listener: DatagramListener,
-    private readonly events: EventLog,
     private readonly errors: SocketErrorReporter,
   ) {
     this.adopt(shared);
@@ -67,7 +65,7 @@
     await bindSocket(socket, address);
     socket.removeAllListeners('error');
     const endpoint = { host: address.host, port: socket.address().port };
-    return new DataSockets(socket, endpoint, listener, events, new SocketErrorReporter(events, clock));
+    return new DataSockets(socket, endpoint, listener, new SocketErrorReporter(events, clock));
   }
 
   /** Sends one datagram; a failure is logged and the datagram lost. */
@@ -100,10 +98,7 @@
     try {
       socket.connect(to.port, to.host);
     } catch (error) {
-      this.events.emit(FABRIC_EVENTS.connectFailed, {
-        destination: formatEndpoint(to),
-        error: String(error),
-      });
+      this.errors.reportConnect(error, to);
     }
     return this.connected.get(to.host)?.get(to.port);
   }
--- a/src/fabric/packet-decoder.ts
+++ b/src/fabric/packet-decoder.ts
@@ -1,4 +1,7 @@
-/** Decodes a bare IPv4/TCP packet in place into a reused view, without allocation. */
+/**
+ * Decodes a bare IPv4/TCP packet in place into a reused view, without allocation. Owns no state; relies on the caller to
+ * keep `bytes` unchanged for as long as it uses the view.
+ */
 import { headerChecksum, isPlainHeaderIntact } from './checksum.js';
 import { IPV4_HEADER_BYTES, MAX_PACKET_BYTES, PROTOCOL_TCP, TCP_HEADER_BYTES } from './constants.js';
 import type { EdgeDropReason, PacketView } from './types.js';
@@ -43,7 +46,11 @@
   return headerChecksum(bytes, headerBytes) === 0;
 }
 
-function checkIpv4(bytes: Buffer): EdgeDropReason | undefined {
+/**
+ * Why the IPv4 packet is malformed; undefined when it is sound. Order: the version before the lengths, because another
+ * protocol says nothing by its lengths; the lengths before anything that reads the whole header.
+ */
+function ipv4Fault(bytes: Buffer): EdgeDropReason | undefined {
   const length = bytes.length;
   if (length === 0) return 'truncated';
   if (bytes[0]! >>> 4 !== 4) return 'not-ipv4';
@@ -54,6 +61,11 @@
   const totalBytes = readUint16(bytes, 2);
   if (totalBytes > length || headerBytes > totalBytes) return 'truncated';
   if (totalBytes < length) return 'oversized';
+  return headerFault(bytes, headerBytes);
+}
+
+/** Why a header of sound lengths is not accepted. The checksum comes first: without it no field can be believed. */
+function headerFault(bytes: Buffer, headerBytes: number): EdgeDropReason | undefined {
   if (!isHeaderIntact(bytes, headerBytes)) return 'bad-checksum';
   if (bytes[8] === 0) return 'ttl-exceeded';
   if ((readUint16(bytes, 6) & FRAGMENT_MASK) !== 0) return 'fragment';
@@ -65,7 +77,7 @@
  * undefined when the view is valid. The TCP checksum is left to the end points.
  */
 export function decodePacket(bytes: Buffer, view: PacketView): EdgeDropReason | undefined {
-  const fault = checkIpv4(bytes);
+  const fault = ipv4Fault(bytes);
   if (fault !== undefined) return fault;
   const tcp = (bytes[0]! & 0x0f) * 4;
   if (tcp + TCP_HEADER_BYTES > bytes.length) return 'truncated';
--- a/src/fabric/socket-error-reporter.ts
+++ b/src/fabric/socket-error-reporter.ts
@@ -22,6 +22,12 @@
     private readonly clock: Clock,
   ) {}
 
+  /** A socket could not be connected to its destination; logged each time, since it happens once for each socket. */
+  reportConnect(error: unknown, to: Endpoint): void {
+    this.events.emit(FABRIC_EVENTS.connectFailed, { destination: formatEndpoint(to), error: String(error) });
+  }
+
+  /** An error of a socket; `to` is undefined for the shared one. */
   report(error: unknown, to: Endpoint | undefined): void {
     const destination = to ? formatEndpoint(to) : NO_DESTINATION;
     const last = this.reported.get(destination);
--- a/src/gue-edge/flow/knowledge-exchange.ts
+++ b/src/gue-edge/flow/knowledge-exchange.ts
@@ -133,16 +133,26 @@
 
   private learnBase(reply: sailquay.flow.BaseReply.$Properties, from: InboundControlMessage): void {
     const version = reply.baseVersion ?? 0;
+    const differenceFrom = reply.differenceFrom ?? 0;
     if (version <= 0 || this.context.bases.has(version)) return;
-    const key = `${from.senderId} ${version} ${reply.differenceFrom ?? 0}`;
+    const parts = this.collectParts(`${from.senderId} ${version} ${differenceFrom}`, reply);
+    if (!parts) return;
+    const reference = this.context.bases.get(differenceFrom);
+    if (differenceFrom > 0 && !reference) return;
+    this.context.bases.learn(version, assembleBase(parts, reference));
+  }
+
+  /** Adds one part of a base; every part once the base is whole. */
+  private collectParts(
+    key: string,
+    reply: sailquay.flow.BaseReply.$Properties,
+  ): sailquay.flow.BaseReply.$Properties[] | undefined {
     const assembly = this.assemblies.get(key) ?? { parts: new Map(), partCount: reply.partCount ?? 1 };
     this.assemblies.set(key, assembly);
     assembly.parts.set(reply.part ?? 0, reply);
-    if (assembly.parts.size < assembly.partCount) return;
+    if (assembly.parts.size < assembly.partCount) return undefined;
     this.assemblies.delete(key);
-    const reference = this.context.bases.get(reply.differenceFrom ?? 0);
-    if ((reply.differenceFrom ?? 0) > 0 && !reference) return;
-    this.context.bases.learn(version, assembleBase([...assembly.parts.values()], reference));
+    return [...assembly.parts.values()];
   }
 
   private send(message: sailquay.flow.HandoverMessage.$Properties, to: InboundControlMessage): void {
@@ -182,6 +192,15 @@
 ): BaseSet {
   const base = new Map(reference ?? []);
   for (const reply of replies) for (const id of reply.removedServiceIds ?? []) base.delete(id);
+  const changed = changedBackends(replies);
+  for (const [id, backends] of changed) base.set(id, restoreService(id, backends));
+  return base;
+}
+
+/** Back ends of each changed service, in the order of the parts: a large service is continued in the next part. */
+function changedBackends(
+  replies: readonly sailquay.flow.BaseReply.$Properties[],
+): Map<number, EffectiveBackend[]> {
   const ordered = [...replies].sort((left, right) => (left.part ?? 0) - (right.part ?? 0));
   const changed = new Map<number, EffectiveBackend[]>();
   for (const service of ordered.flatMap((reply) => reply.services ?? [])) {
@@ -189,8 +208,7 @@
     changed.set(service.id ?? 0, backends);
     backends.push(...(service.backends ?? []).map(restoreBackend));
   }
-  for (const [id, backends] of changed) base.set(id, restoreService(id, backends));
-  return base;
+  return changed;
 }
 
 /** A back end of an older base: only what the first choice needs is known. */
--- a/src/gue-edge/flow/replica-holder.ts
+++ b/src/gue-edge/flow/replica-holder.ts
@@ -1,61 +1,41 @@
-/** The backup's side of replication: stores exceptions, acknowledges heartbeats, and answers with its own placements. */
-import type { Endpoint } from '../../common/types.js';
+/**
+ * The backup's side of replication: stores exceptions, acknowledges heartbeats, and answers with its own placements.
+ *
+ * Owns the replicas held for other keepers and what is known of each keeper's process. Relies on keepers to repeat batches
+ * that are not acknowledged: a batch that refers to unknown back ends or comes out of order is left unanswered.
+ */
 import type { InboundControlMessage } from '../control/types.js';
 import { HEARTBEAT_MS, LEASE_MARGIN_MS, LEASE_MS } from './constants.js';
 import type { FlowContext } from './flow-context.js';
 import { shardOf } from './flow-key.js';
 import { FlowFlag } from './flow-table.js';
+import { KeeperLink } from './keeper-link.js';
 import type { KnowledgeExchange } from './knowledge-exchange.js';
 import { sailquay } from './pb/flow.js';
-import { packBatch, RecordOperation, RecordStatus, unpackBatch, type BatchRecord } from './record-codec.js';
+import { hasUnreported, keepOwnPlacements, OwnPlacements } from './own-placements.js';
+import { RecordOperation, RecordStatus, unpackBatch, type BatchRecord } from './record-codec.js';
 import type { ReplicaShard } from './shard-holding.js';
-import { DigestedShardSet, fromBitmap, packShards, toBitmap, unpackShards } from './shard-set.js';
+import { fromBitmap, packShards, toBitmap, unpackShards } from './shard-set.js';
 
 const { ReplicationMessage, HandoverMessage } = sailquay.flow;
 
 /** A replica this young is not dropped by an assignment that may have been sent before it. */
 const ASSIGNMENT_GRACE_MS = 1_000;
-/** Acknowledgements kept to answer copies of batches. */
-const REMEMBERED_ACKS = 64;
-/** Own placements reported in one message. */
-const MAX_REPORTED = 60;
 /** A keeper that is silent here but active in the view for this long may have chosen another backup. */
 const TRUSTED_SILENCE_MS = 10_000;
 
-/** What a backup knows of one keeper's process. */
-class KeeperLink {
-  lastAckSentAtMs = Number.NEGATIVE_INFINITY;
-  lastHeardAtMs: number;
-  generation = 0;
-  /** Generation of the keeper whose shards this backup has begun to hand on; -1 when it has not. */
-  lapsedGeneration = -1;
-  session = 0;
-  nextSequence = 1;
-  readonly acks = new Map<number, sailquay.flow.RecordBatchAck.$Properties>();
-  readonly shards = new DigestedShardSet();
-
-  constructor(
-    readonly boot: number,
-    nowMs: number,
-  ) {
-    this.lastHeardAtMs = nowMs;
-  }
-
-  /** The keeper has not yet taken notice that its shards were handed on. */
-  get lapsed(): boolean {
-    return this.generation <= this.lapsedGeneration;
-  }
-}
-
 /** Replicas of other keepers' shards. */
 export class ReplicaHolder {
   private readonly keepers = new Map<string, KeeperLink>();
+  private readonly ownPlacements: OwnPlacements;
   private nextReportMs = 0;
 
   constructor(
     private readonly context: FlowContext,
     private readonly knowledge: KnowledgeExchange,
-  ) {}
+  ) {
+    this.ownPlacements = new OwnPlacements(context);
+  }
 
   /**
    * Stores a snapshot of a keeper's exceptions in place of any earlier replica of the shard. False when the keeper's
@@ -67,7 +47,7 @@
     if (link.boot !== replica.keeperBoot || link.lapsed) return false;
     const earlier = this.context.replicas.get(replica.shard);
     if (earlier) {
-      this.keepOwnPlacements(earlier, replica);
+      keepOwnPlacements(earlier, replica);
       this.remove(earlier);
     }
     this.context.replicas.set(replica.shard, replica);
@@ -132,14 +112,15 @@
     }
     if (nowMs < this.nextReportMs) return;
     this.nextReportMs = nowMs + HEARTBEAT_MS;
-    this.reportOwnPlacements();
+    this.ownPlacements.reportAll(this.keepers.keys());
   }
 
   /** Takes in a keeper's message; false when it is not one. */
   handle(message: sailquay.flow.ReplicationMessage, from: InboundControlMessage): boolean {
     if (message.heartbeat) this.onHeartbeat(message.heartbeat, from);
     else if (message.records && !message.records.fromBackup) this.onRecords(message.records, from);
-    else if (message.recordsAck?.fromBackup) this.onReportAck(message.recordsAck, from);
+    else if (message.recordsAck?.fromBackup)
+      this.ownPlacements.onAck(message.recordsAck, (shard) => this.held(shard, from));
     else if (message.assignment) this.onAssignment(message.assignment, from);
     else if (message.baseAdvance) this.onBaseAdvance(message.baseAdvance, from);
     else return false;
@@ -187,7 +168,7 @@
     this.reply(from, {
       heartbeatAck: { echo: heartbeat.sentAt, sentAt: nowMs, shards: size, digest, lapsed: link.lapsed },
     });
-    this.reportTo(from.senderId, from.from);
+    this.ownPlacements.report(from.senderId, from.from);
   }
 
   private trust(keeperId: string, link: KeeperLink): void {
@@ -207,24 +188,16 @@
     const link = this.link(from.senderId, from.senderIncarnation);
     if (link.boot !== from.senderIncarnation || link.lapsed) return;
     const session = batch.session ?? 0;
-    if (session < link.session) return;
-    if (session > link.session) {
-      link.session = session;
-      link.nextSequence = 1;
-      link.acks.clear();
-    }
     const sequence = batch.sequence ?? 0;
-    const known = link.acks.get(sequence);
-    if (known) return this.reply(from, { recordsAck: known });
-    if (sequence !== link.nextSequence) return;
+    const verdict = link.receive(session, sequence);
+    if (verdict === 'ignore') return;
+    if (verdict !== 'apply') return this.reply(from, { recordsAck: verdict.acknowledged });
     const backendKeys = [...(batch.backendKeys ?? [])];
     if (!this.knowledge.requireBackends(backendKeys, from)) return;
     const records = unpackBatch({ backendKeys, records: batch.records ?? new Uint8Array() });
     const ack = this.store(records, from);
     const recordsAck = { ...ack, sequence, session };
-    link.nextSequence += 1;
-    link.acks.set(sequence, recordsAck);
-    link.acks.delete(sequence - REMEMBERED_ACKS);
+    link.acknowledge(sequence, recordsAck);
     this.reply(from, { recordsAck });
   }
 
@@ -292,80 +265,13 @@
       if (oldestBaseVersion === baseVersion) replica.completeSinceMs ??= this.context.now();
       return true;
     });
-    if (advanced.length < (advance.shards?.length ?? 0) / 2) this.reportOwnPlacements();
+    if (advanced.length < (advance.shards?.length ?? 0) / 2)
+      this.ownPlacements.reportAll(this.keepers.keys());
     this.reply(from, { baseAdvanceAck: { baseVersion, shards: packShards(advanced) } });
   }
 
-  private reportOwnPlacements(): void {
-    for (const keeperId of this.keepers.keys()) {
-      const member = this.context.member(keeperId);
-      if (member) this.reportTo(keeperId, member.control);
-    }
-  }
-
-  private reportTo(keeperId: string, control: Endpoint): void {
-    const records = this.unreported(keeperId).slice(0, MAX_REPORTED);
-    if (records.length === 0) return;
-    const message = { records: { fromBackup: true, sequence: 0, ...packBatch(records) } };
-    const payload = ReplicationMessage.encode(message).finish();
-    this.context.components.control.send(control, 'replication', payload);
-  }
-
-  private unreported(keeperId: string): BatchRecord[] {
-    const records: BatchRecord[] = [];
-    for (const replica of this.context.replicas.values()) {
-      if (replica.keeperId !== keeperId || replica.ownPlacements === 0) continue;
-      const { table } = replica;
-      for (let slot = 0; slot < table.capacity; slot += 1) {
-        if (!table.isOccupied(slot) || !table.hasFlag(slot, FlowFlag.UNREPORTED)) continue;
-        const backendKey = this.context.catalogue.at(table.backendIndex(slot)).key;
-        records.push({
-          high: table.high(slot),
-          low: table.low(slot),
-          backendKey,
-          operation: RecordOperation.PUT,
-        });
-      }
-    }
-    return records;
-  }
-
-  /** The keeper has taken in reported placements; `ownKeys` holds the fingerprints as pairs of halves. */
-  private onReportAck(ack: sailquay.flow.RecordBatchAck.$Properties, from: InboundControlMessage): void {
-    const halves = ack.ownKeys ?? [];
-    for (let index = 0; index + 1 < halves.length; index += 2) {
-      const replica = this.held(shardOf(halves[index]!), from);
-      const slot = replica?.table.find(halves[index]!, halves[index + 1]!) ?? -1;
-      if (!replica || slot < 0 || !replica.table.hasFlag(slot, FlowFlag.UNREPORTED)) continue;
-      replica.table.setFlags(slot, replica.table.flags(slot) & ~FlowFlag.UNREPORTED);
-      replica.ownPlacements -= 1;
-    }
-  }
-
-  /** Flows placed here for an earlier keeper stay known until the new keeper has them. */
-  private keepOwnPlacements(earlier: ReplicaShard, replica: ReplicaShard): void {
-    if (earlier.ownPlacements === 0) return;
-    const { table } = earlier;
-    for (let slot = 0; slot < table.capacity; slot += 1) {
-      if (!table.isOccupied(slot) || !table.hasFlag(slot, FlowFlag.UNREPORTED)) continue;
-      if (replica.table.find(table.high(slot), table.low(slot)) >= 0) continue;
-      replica.table.insert(
-        table.high(slot),
-        table.low(slot),
-        table.backendIndex(slot),
-        FlowFlag.UNREPORTED,
-        table.seenSeconds(slot),
-      );
-      replica.ownPlacements += 1;
-    }
-  }
-
   private reply(to: InboundControlMessage, message: sailquay.flow.ReplicationMessage.$Properties): void {
     const payload = ReplicationMessage.encode(message).finish();
     this.context.components.control.send(to.from, 'replication', payload);
   }
 }
-
-function hasUnreported(replica: ReplicaShard): boolean {
-  return replica.ownPlacements > 0;
-}
--- a/src/gue-edge/flow/replica-peer.ts
+++ b/src/gue-edge/flow/replica-peer.ts
@@ -48,8 +48,23 @@
   onMissing(peer: ReplicaPeer, shards: Iterable<number>): void;
 }
 
+/** What tells one link from another. */
+interface LinkIdentity {
+  readonly memberId: string;
+  /** Boot of the backup's process. */
+  readonly boot: number;
+  /** Rises with each link of this process; batches are numbered within it. */
+  readonly session: number;
+  /** Rises with each lapse that this backup has told of. */
+  readonly generation: number;
+}
+
 /** Link to one boot of one backup. */
 export class ReplicaPeer {
+  readonly memberId: string;
+  readonly boot: number;
+  private readonly session: number;
+  private readonly generation: number;
   /** Shards whose exceptions the backup holds. */
   readonly shards = new DigestedShardSet();
   /** Shards that the backup still has to let go of. */
@@ -67,15 +82,13 @@
 
   constructor(
     private readonly context: FlowContext,
-    readonly memberId: string,
-    /** Boot of the backup's process. */
-    readonly boot: number,
-    /** Rises with each link of this process; batches are numbered within it. */
-    private readonly session: number,
-    /** Rises with each lapse that this backup has told of. */
-    private readonly generation: number,
+    identity: LinkIdentity,
     private readonly listener: ReplicaPeerListener,
   ) {
+    this.memberId = identity.memberId;
+    this.boot = identity.boot;
+    this.session = identity.session;
+    this.generation = identity.generation;
     this.openedAtMs = context.now();
     this.lastAckReceivedAtMs = this.openedAtMs;
   }
--- a/src/gue-edge/flow/replica-peers.ts
+++ b/src/gue-edge/flow/replica-peers.ts
@@ -31,7 +31,11 @@
     if (known && known.boot === boot) return known;
     if (known) this.close(known);
     const generation = this.generationOf(memberId);
-    const peer = new ReplicaPeer(this.context, memberId, boot, this.nextSession, generation, this.listener);
+    const peer = new ReplicaPeer(
+      this.context,
+      { memberId, boot, session: this.nextSession, generation },
+      this.listener,
+    );
     this.nextSession += 1;
     this.peers.set(memberId, peer);
     return peer;
@@ -69,16 +73,28 @@
 
   /** Takes in a replication message that answers a keeper; false when it is not one. */
   handle(message: sailquay.flow.ReplicationMessage, from: InboundControlMessage): boolean {
+    const peer = this.current(from);
+    if (message.heartbeatAck) this.onHeartbeatAck(message.heartbeatAck, peer, from.senderId);
+    else if (message.recordsAck) peer?.onRecordsAck(message.recordsAck);
+    else if (message.assignmentReply) peer?.onMissing(missingShards(message.assignmentReply));
+    else return false;
+    return true;
+  }
+
+  /** The link that a message belongs to; closes a link to an earlier boot of its sender. */
+  private current(from: InboundControlMessage): ReplicaPeer | undefined {
     const peer = this.peers.get(from.senderId);
     if (peer && from.senderIncarnation > peer.boot) this.close(peer);
-    const current = peer && peer.boot === from.senderIncarnation && !peer.closed ? peer : undefined;
-    if (message.heartbeatAck?.lapsed && !current) this.listener.onLapsedUnseen(from.senderId);
-    else if (message.heartbeatAck) current?.onHeartbeatAck(message.heartbeatAck);
-    else if (message.recordsAck) current?.onRecordsAck(message.recordsAck);
-    else if (message.assignmentReply) {
-      current?.onMissing(fromBitmap(message.assignmentReply.missing ?? new Uint8Array()));
-    } else return false;
-    return true;
+    return peer && peer.boot === from.senderIncarnation && !peer.closed ? peer : undefined;
+  }
+
+  private onHeartbeatAck(
+    ack: sailquay.flow.HeartbeatAck.$Properties,
+    peer: ReplicaPeer | undefined,
+    senderId: string,
+  ): void {
+    if (peer) peer.onHeartbeatAck(ack);
+    else if (ack.lapsed) this.listener.onLapsedUnseen(senderId);
   }
 
   onReleaseAck(ack: sailquay.flow.ReleaseAck.$Properties, from: InboundControlMessage): void {
@@ -103,15 +119,14 @@
     if (!self) return;
     for (const backup of this.context.map.backups(self)) {
       if (this.peers.has(backup.id)) continue;
-      const peer = new ReplicaPeer(
-        this.context,
-        backup.id,
-        0,
-        0,
-        this.generationOf(backup.id),
-        this.listener,
-      );
+      const generation = this.generationOf(backup.id);
+      const identity = { memberId: backup.id, boot: 0, session: 0, generation };
+      const peer = new ReplicaPeer(this.context, identity, this.listener);
       peer.sendHeartbeat();
     }
   }
 }
+
+function missingShards(reply: sailquay.flow.AssignmentReply.$Properties): ReadonlySet<number> {
+  return fromBitmap(reply.missing ?? new Uint8Array());
+}
