--- a/src/gue-edge/health/service-health.ts
+++ b/src/gue-edge/health/service-health.ts
@@ -1,4 +1,10 @@
-/** Health of one service: the beliefs about its back ends, the cap on ejections, panic, and trust in reported loads. */
+/**
+ * Health of one service: forms the beliefs about its back ends, applies the rules that hold for them together, judges their
+ * reported loads, and publishes the result.
+ *
+ * Owns the beliefs and the published health. Relies on the vote table for what others say, on the flow keeper for its own
+ * counts of flows, and on its owner to call `evaluate` when time alone changes a belief.
+ */
 import { formatEndpoint } from '../../common/types.js';
 import type { RandomSource } from '../../common/random.js';
 import type { EventFields, EventLog } from '../../observability/event.js';
@@ -10,6 +16,7 @@
 import { HEALTH_EVENTS } from './events.js';
 import { countingVotes } from './probe-verdict.js';
 import { judgeLoads, newestLoad, type LoadObservation, type LoadTrust } from './reported-load.js';
+import { ejectionsOverCap, judgePanic } from './service-rules.js';
 import type { BackendHealth, HealthEvidence } from './types.js';
 import type { ReportedLoad, VoteTable } from './votes.js';
 
@@ -27,9 +34,6 @@
   readonly memberName: (memberHash: number) => string;
 }
 
-/** A service is in panic until the healthy share is this much above the limit. */
-const PANIC_HYSTERESIS = 0.05;
-
 /** Health of one service. */
 export class ServiceHealth {
   readonly beliefs = new Map<number, BackendBelief>();
@@ -122,15 +126,13 @@
     this.capped.delete(id);
   }
 
-  /** Keeps the earliest ejections up to the cap in force; one is always allowed beside another back end. */
   private updateCap(): void {
-    const { maxEjectedShare } = this.service.healthPolicy;
-    const count = [...this.beliefs.values()].filter((belief) => belief.condition !== 'draining').length;
-    const atLeastOne = maxEjectedShare > 0 && count > 1 ? 1 : 0;
-    const allowed = Math.max(atLeastOne, Math.floor(maxEjectedShare * count));
-    const ejected = [...this.beliefs].filter(([, belief]) => belief.condition === 'ejected');
-    ejected.sort(([, left], [, right]) => left.ejectedSinceMs - right.ejectedSinceMs);
-    const over = new Set(ejected.slice(allowed).map(([id]) => id));
+    const backends = [...this.beliefs].map(([id, { condition, ejectedSinceMs }]) => ({
+      id,
+      condition,
+      ejectedSinceMs,
+    }));
+    const over = ejectionsOverCap(backends, this.service.healthPolicy.maxEjectedShare);
     for (const id of over) {
       if (!this.capped.has(id)) this.emit('ejectionCapped', id);
     }
@@ -144,13 +146,15 @@
 
   private updatePanic(): void {
     const inUse = [...this.beliefs].filter(([, belief]) => belief.condition !== 'draining');
-    const healthy = inUse.filter(([id, belief]) => this.isUsable(id, belief)).length;
-    const share = inUse.length === 0 ? 1 : healthy / inUse.length;
-    const limit = this.service.healthPolicy.panicShare;
-    const panic = this.panic ? share < Math.min(1, limit + PANIC_HYSTERESIS) : share < limit;
+    const { panic, usableShare } = judgePanic({
+      inPanic: this.panic,
+      inUse: inUse.length,
+      usable: inUse.filter(([id, belief]) => this.isUsable(id, belief)).length,
+      panicShare: this.service.healthPolicy.panicShare,
+    });
     if (panic !== this.panic) {
       const event = panic ? HEALTH_EVENTS.panicStarted : HEALTH_EVENTS.panicEnded;
-      this.options.events.emit(event, { service: this.service.name, healthyShare: share });
+      this.options.events.emit(event, { service: this.service.name, healthyShare: usableShare });
     }
     this.panic = panic;
   }
@@ -191,6 +195,17 @@
 
   private publish(id: number, belief: BackendBelief, report: ReportedLoad | undefined, nowMs: number): void {
     const before = this.published.get(id);
+    const next = this.compose(id, belief, report, nowMs);
+    this.published.set(id, next);
+    if (before) this.emitTransition(id, before, next, belief);
+  }
+
+  private compose(
+    id: number,
+    belief: BackendBelief,
+    report: ReportedLoad | undefined,
+    nowMs: number,
+  ): BackendHealth {
     const rescued = this.panic && belief.condition !== 'draining';
     const trust = this.trust.get(id) ?? 'missing';
     const capped = this.capped.has(id);
@@ -208,7 +223,7 @@
         nowMs,
       });
     const trusted = report && trust === 'trusted' ? report : undefined;
-    const next: BackendHealth = {
+    return {
       backendId: id,
       condition: belief.condition,
       eligible: usable || rescued,
@@ -220,8 +235,6 @@
         return describe();
       },
     };
-    this.published.set(id, next);
-    if (before) this.emitTransition(id, before, next, belief);
   }
 
   private emitTransition(
