--- a/src/gue-edge/flow/keeper-link.ts
+++ b/src/gue-edge/flow/keeper-link.ts
@@ -12,7 +12,7 @@
 type BatchAck = sailquay.flow.RecordBatchAck.$Properties;
 
 /** What becomes of a received batch: an old link's or an out-of-order one is ignored, a copy is acknowledged again. */
-export type BatchVerdict = 'ignore' | 'apply' | { readonly acknowledged: BatchAck };
+type BatchVerdict = 'ignore' | 'apply' | { readonly acknowledged: BatchAck };
 
 /** State of one keeper's process at its backup. */
 export class KeeperLink {
--- a/src/gue-edge/flow/opening-rules.ts
+++ b/src/gue-edge/flow/opening-rules.ts
@@ -15,7 +15,7 @@
 import type { RefusalCause } from './types.js';
 
 /** What becomes of an opening that is not in the table. */
-export type OpeningVerdict =
+type OpeningVerdict =
   | { readonly outcome: 'place'; readonly backend: EffectiveBackend }
   | { readonly outcome: 'refuse'; readonly cause: RefusalCause }
   | { readonly outcome: 'defer' };
@@ -72,7 +72,7 @@
 }
 
 /** What must happen before the SYN goes to its back end. */
-export type RecordNeed =
+type RecordNeed =
   /** Nothing: every balancer can reconstruct the first choice, or there is no backup. */
   | 'none'
   /** The backup must acknowledge the record first. */
@@ -97,7 +97,7 @@
 }
 
 /** What becomes of an opening whose record the backup has answered. */
-export type ReplicationVerdict = 'send' | 'abandon' | 'ignore';
+type ReplicationVerdict = 'send' | 'abandon' | 'ignore';
 
 /** What the backup's answer is judged by. */
 interface ReplicationInput {
@@ -120,7 +120,7 @@
 }
 
 /** Whether an opening that its back end has reset is tried on another one. */
-export type RetryVerdict =
+type RetryVerdict =
   | { readonly outcome: 'retry'; readonly backend: EffectiveBackend }
   | { readonly outcome: 'pass-reset'; readonly reason: RetryObstacle };
 
--- a/src/gue-edge/flow/rebase-rules.ts
+++ b/src/gue-edge/flow/rebase-rules.ts
@@ -7,7 +7,7 @@
  */
 
 /** Why a move may not start now. */
-export type RebaseObstacle =
+type RebaseObstacle =
   | 'no-quorum'
   | 'not-serving'
   | 'rebasing'
--- a/src/gue-edge/flow/shard-rules.ts
+++ b/src/gue-edge/flow/shard-rules.ts
@@ -43,7 +43,7 @@
 }
 
 /** What becomes of a shard that is awaited. */
-export type AcquiringVerdict =
+type AcquiringVerdict =
   /** Another balancer is the keeper now. */
   | 'forget'
   /** The wait begins anew. */
@@ -100,7 +100,7 @@
 }
 
 /** What becomes of a shard whose transfer failed. */
-export type FailedTransferVerdict =
+type FailedTransferVerdict =
   /** The transfer was not for the present target, or the shard is not kept here any more. */
   | 'ignore'
   /** The target is gone and may have taken the shard before: its backup may still hand it on. */
--- a/src/gue-edge/health/health-monitor.ts
+++ b/src/gue-edge/health/health-monitor.ts
@@ -1,4 +1,9 @@
-/** Wires probing, gossip and beliefs together; the health feed of one balancer. */
+/**
+ * Wires probing, gossip and beliefs together; the health feed of one balancer.
+ *
+ * Owns the vote table, the assignment of probers and one `ServiceHealth` for each service. Relies on settings for the back
+ * ends, on membership for probers and witnesses, and on the data path to report each opening and its outcome.
+ */
 import type { Clock } from '../../common/clock.js';
 import { Ticker } from '../../common/event-stream.js';
 import { hashString } from '../../common/hash.js';
@@ -10,18 +15,16 @@
 import type { LoadView } from '../placement/types.js';
 import type { EffectiveBackend, EffectiveSettings } from '../../settings/types.js';
 import {
-  CONFLICT_FRESH_MS,
   EVALUATION_INTERVAL_MS,
-  PASSIVE_FAILURE_THRESHOLD,
   PAUSE_DETECTION_MS,
   PROBERS_PER_BACKEND,
   PROBERS_PER_REMOTE_BACKEND,
   REMOTE_PROBE_INTERVAL_FACTOR,
 } from './constants.js';
 import { HealthGossip, type GossipStatistics } from './gossip.js';
+import { sharedFailures } from './own-vote-rules.js';
 import { OwnVotes } from './own-votes.js';
 import type { Probe } from './probe.js';
-import type { PassiveTracker } from './passive-tracker.js';
 import { Prober, type ProberStatistics, type ProbeTarget } from './prober.js';
 import { proberCandidates, ProberRanking } from './prober-assignment.js';
 import { ServiceHealth } from './service-health.js';
@@ -283,18 +286,7 @@
   }
 }
 
-/**
- * Failures that other members are told of. A single failure beside openings that were just answered is not worth a message;
- * beyond the threshold the exact count tells nothing more.
- */
-function sharedFailures(passive: PassiveTracker, nowMs: number): number {
-  const failures = passive.failures(nowMs);
-  const answersHere = nowMs - passive.lastAnsweredAtMs <= CONFLICT_FRESH_MS;
-  if (answersHere && failures < PASSIVE_FAILURE_THRESHOLD) return 0;
-  return Math.min(PASSIVE_FAILURE_THRESHOLD, failures);
-}
-
-/** Belief about a back end of which nothing is known: eligible until something speaks against it. */
+/** Belief about a back end that is not in the settings in force: eligible, since there is no evidence against it. */
 function unknownBackend(backendId: number): BackendHealth {
   return {
     backendId,
--- a/src/gue-edge/health/own-vote-rules.test.ts
+++ b/src/gue-edge/health/own-vote-rules.test.ts
@@ -1,5 +1,6 @@
 import test from 'ava';
-import { isChanged, nextVersion, patchedVote, type VotePatch } from './own-vote-rules.js';
+import { isChanged, nextVersion, patchedVote, sharedFailures, type VotePatch } from './own-vote-rules.js';
+import { CONFLICT_FRESH_MS, PASSIVE_FAILURE_THRESHOLD } from './constants.js';
 import { Verdict } from './votes.js';
 
 const LOAD = { openFlows: 1, capacity: 2, sampledAtMs: 3 };
@@ -44,3 +45,18 @@
 for (const [name, previous, fromClock, expected] of VERSIONS) {
   test(`version of an own vote: ${name}`, (t) => t.is(nextVersion(previous, fromClock), expected));
 }
+
+const NOW_MS = 10_000;
+const SHARED = [
+  ['none', 0, -Infinity, 0],
+  ['one without answers', 1, -Infinity, 1],
+  ['one beside a fresh answer', 1, NOW_MS - CONFLICT_FRESH_MS, 0],
+  ['one after an older answer', 1, NOW_MS - CONFLICT_FRESH_MS - 1, 1],
+  ['as many as eject, beside a fresh answer', PASSIVE_FAILURE_THRESHOLD, NOW_MS, PASSIVE_FAILURE_THRESHOLD],
+  ['more than eject', PASSIVE_FAILURE_THRESHOLD + 5, -Infinity, PASSIVE_FAILURE_THRESHOLD],
+] as const;
+for (const [name, failures, lastAnsweredAtMs, expected] of SHARED) {
+  test(`shared failures: ${name}`, (t) => {
+    t.is<number, number>(sharedFailures({ failures: () => failures, lastAnsweredAtMs }, NOW_MS), expected);
+  });
+}
--- a/src/gue-edge/health/own-vote-rules.ts
+++ b/src/gue-edge/health/own-vote-rules.ts
@@ -3,6 +3,8 @@
  * it gets. They prevent a restarted balancer from being outvoted by its own votes from before the restart. No input or
  * output.
  */
+import { CONFLICT_FRESH_MS, PASSIVE_FAILURE_THRESHOLD } from './constants.js';
+import type { PassiveTracker } from './passive-tracker.js';
 import { isNewer, Verdict, type Vote } from './votes.js';
 
 /** What a vote says. */
@@ -41,3 +43,19 @@
   const following = (previous + 1) >>> 0;
   return isNewer(fromClock, following) ? fromClock : following;
 }
+
+/**
+ * Failures that the vote reports to the other members. A single failure beside openings that were just answered is not worth
+ * a message; beyond the threshold the exact count adds nothing.
+ *
+ * @param nowMs monotonic ms
+ */
+export function sharedFailures(
+  passive: Pick<PassiveTracker, 'failures' | 'lastAnsweredAtMs'>,
+  nowMs: number,
+): number {
+  const failures = passive.failures(nowMs);
+  const answersHere = nowMs - passive.lastAnsweredAtMs <= CONFLICT_FRESH_MS;
+  if (answersHere && failures < PASSIVE_FAILURE_THRESHOLD) return 0;
+  return Math.min(PASSIVE_FAILURE_THRESHOLD, failures);
+}
--- a/src/gue-edge/placement/balance-simulation.test.ts
+++ b/src/gue-edge/placement/balance-simulation.test.ts
@@ -1,5 +1,6 @@
 import test from 'ava';
-import { runBalanceSimulation, type BalanceSimulationOptions } from './balance-simulation.js';
+import type { BalanceSimulationOptions } from './balance-simulation-options.js';
+import { runBalanceSimulation } from './balance-simulation.js';
 
 interface BalanceCase {
   readonly name: string;
--- a/src/gue-edge/placement/balance-table.ts
+++ b/src/gue-edge/placement/balance-table.ts
@@ -1,5 +1,6 @@
 /** The table of policies beside each other: the balance simulation over modes, sizes and seeds. */
-import { runBalanceSimulation, type BalanceSimulationOptions } from './balance-simulation.js';
+import type { BalanceSimulationOptions } from './balance-simulation-options.js';
+import { runBalanceSimulation } from './balance-simulation.js';
 import { PLACEMENT_MODES } from './create-policy.js';
 import type { PlacementMode } from './types.js';
 
--- a/src/gue-edge/placement/bounded-load-rule.ts
+++ b/src/gue-edge/placement/bounded-load-rule.ts
@@ -25,7 +25,7 @@
   | 'alternative';
 
 /** The back end of an opening, and why it. */
-export interface BoundedLoadChoice {
+interface BoundedLoadChoice {
   readonly candidate: Candidate;
   readonly reason: BoundedLoadReason;
 }
