--- a/knip.config.js
+++ b/knip.config.js
@@ -26,12 +26,6 @@
 const EXCEPTIONS = {
   // `aliasedType` finds these types by their names when the contract test runs.
   'contract/surfaces/operator-admin.ts': ['types'],
-  // Being removed with the readers' round on src/gue-edge.
-  'src/gue-edge/flow/constants.ts': ['exports'],
-  'src/gue-edge/flow/model/schedule.ts': ['exports'],
-  'src/gue-edge/flow/service-index.ts': ['exports'],
-  'src/gue-edge/health/health-simulation.ts': ['exports'],
-  'src/gue-edge/placement/balance-simulation.ts': ['exports'],
 };
 
 export default {
--- a/src/gue-edge/flow/model/schedule.ts
+++ b/src/gue-edge/flow/model/schedule.ts
@@ -59,7 +59,7 @@
 const PARTITION_MS = [8_000, 12_000] as const;
 
 /** Draws a schedule. */
-export function drawSchedule(options: ScheduleOptions): ScheduledAction[] {
+function drawSchedule(options: ScheduleOptions): ScheduledAction[] {
   const random = seededRandom(options.seed ^ 0x5eed);
   const actions: ScheduledAction[] = [];
   const add = (kind: ActionKind): void => {
@@ -78,7 +78,7 @@
 }
 
 /** Runs a schedule. */
-export async function runSchedule(
+async function runSchedule(
   options: ScheduleOptions,
   actions: readonly ScheduledAction[],
 ): Promise<ModelResult> {
--- a/src/gue-edge/flow/packet-relay.ts
+++ b/src/gue-edge/flow/packet-relay.ts
@@ -1,8 +1,8 @@
 /** Relays packets of shards that are not held here to the balancer that holds them. */
 import { sameEndpoint } from '../../common/types.js';
+import { RELAY_HOP_LIMIT } from '../../fabric/constants.js';
 import type { PacketView } from '../../fabric/types.js';
 import type { Member } from '../membership/types.js';
-import { RELAY_HOP_LIMIT } from './constants.js';
 import type { FlowContext } from './flow-context.js';
 import type { KeptShard } from './shard-holding.js';
 import type { ShardMap } from './shard-map.js';
@@ -29,6 +29,15 @@
     this.send(packet, memberId === undefined ? undefined : this.firstUsable(packet, [memberId]));
   }
 
+  /** Members that probably hold a shard that this balancer is to keep: those of the map before, its keeper first. */
+  probableHolders(shard: number): string[] {
+    const { previousMap } = this;
+    const keeper = previousMap.keeper(shard);
+    const backups = keeper ? [previousMap.backup(shard, keeper), ...previousMap.backups(keeper)] : [];
+    const ids = [keeper, ...backups].flatMap((member) => (member ? [member.id] : []));
+    return [...new Set(ids)].filter((id) => id !== this.context.selfId);
+  }
+
   private send(packet: PacketView, target: Member | undefined): void {
     const { counters, components } = this.context;
     if (!target || packet.hops >= RELAY_HOP_LIMIT) {
--- a/src/gue-edge/flow/shard-installer.ts
+++ b/src/gue-edge/flow/shard-installer.ts
@@ -17,11 +17,11 @@
   'epoch' | 'purpose' | 'baseVersion' | 'oldestBaseVersion' | 'complete' | 'learningMs'
 >;
 
-/** Installs transfers and recoveries, and starts shards that nobody holds. */
+/** Installs transfers and recoveries, and starts shards that no balancer holds. */
 export class ShardInstaller {
   constructor(private readonly context: FlowContext) {}
 
-  /** Starts a shard that nobody offered, from what was retained of it; flows may exist that are not in the table. */
+  /** Starts a shard that was not offered, from what was retained of it; flows may exist that are not in the table. */
   startUnoffered(kept: KeptShard, baseVersion: number): void {
     const { retained } = kept;
     const wallSeconds = Math.floor(this.context.components.clock.wall() / MS_PER_SECOND);
@@ -58,6 +58,15 @@
     }
   }
 
+  /** Removes openings that wait for the backup: none has reached a back end, and the next SYN goes to the new keeper. */
+  dropPending(kept: KeptShard): void {
+    for (let slot = kept.table.capacity - 1; slot >= 0; slot -= 1) {
+      while (kept.table.isOccupied(slot) && kept.table.hasFlag(slot, FlowFlag.PENDING)) {
+        this.context.removeKept(kept.table, slot);
+      }
+    }
+  }
+
   private adoptBase(kept: KeptShard, header: ShardHeader, held: boolean): void {
     const baseVersion = header.baseVersion ?? 0;
     const oldest = header.oldestBaseVersion ?? baseVersion;
--- a/src/gue-edge/placement/balance-simulation.ts
+++ b/src/gue-edge/placement/balance-simulation.ts
@@ -3,73 +3,18 @@
  * that report their load late, and faults on demand. It runs the real policies on a virtual clock; no network, no wall time.
  */
 import { VirtualClock } from '../../common/clock.js';
-import { hashString } from '../../common/hash.js';
 import { jitter, seededRandom, type RandomSource } from '../../common/random.js';
 import type { BackendHealth, HealthFeed } from '../health/types.js';
-import { UNLIMITED_SERVICE, type EffectiveBackend, type EffectiveService } from '../../settings/types.js';
-import { ImbalanceRecorder, type Imbalance } from './balance-recorder.js';
+import type { EffectiveBackend, EffectiveService } from '../../settings/types.js';
+import { ImbalanceRecorder } from './balance-recorder.js';
+import {
+  BALANCE_SIMULATION_DEFAULTS,
+  type BalanceSimulationOptions,
+  type BalanceSimulationResult,
+} from './balance-simulation-options.js';
 import { createPlacementPolicy, type CountingPolicy } from './create-policy.js';
-import type { PlacementMode } from './types.js';
+import { simulatedBackend, simulatedService, simulatedZone } from './simulated-service.js';
 
-/** What is simulated; times in virtual ms. Everything left out has the value of `BALANCE_SIMULATION_DEFAULTS`. */
-export interface BalanceSimulationOptions {
-  readonly mode: PlacementMode;
-  readonly seed: number;
-  readonly keepers: number;
-  readonly backends: number;
-  /** Mean open flows of a back end when the service is steady. */
-  readonly flowsPerBackend: number;
-  /** Mean lifetime of a flow; lifetimes are exponential. */
-  readonly meanLifetimeMs: number;
-  /** Length of the run; the second half is measured. */
-  readonly durationMs: number;
-  /** Time between two reports of a back end, and how long one takes until all keepers have it. */
-  readonly reportIntervalMs: number;
-  readonly reportLagMs: number;
-  /** Index of a back end that reports the given share of its real load; undefined: all are honest. */
-  readonly liar: { readonly backend: number; readonly factor: number } | undefined;
-  /** A back end that joins cold and empty at the given time; undefined: none. */
-  readonly join:
-    { readonly atMs: number; readonly slowStartMs: number; readonly rebaseAtMs: number } | undefined;
-  readonly targetExceptionShare: number | undefined;
-  readonly zonePreference: number;
-}
-
-/** Defaults; the size is that of a service of ten back ends with 100 flows each. */
-export const BALANCE_SIMULATION_DEFAULTS: BalanceSimulationOptions = {
-  mode: 'bounded-load',
-  seed: 1,
-  keepers: 3,
-  backends: 10,
-  flowsPerBackend: 100,
-  meanLifetimeMs: 30_000,
-  durationMs: 120_000,
-  reportIntervalMs: 1_000,
-  reportLagMs: 500,
-  liar: undefined,
-  join: undefined,
-  targetExceptionShare: undefined,
-  zonePreference: 0,
-};
-
-/** What one run gave. */
-export interface BalanceSimulationResult extends Imbalance {
-  readonly mode: PlacementMode;
-  readonly seed: number;
-  readonly keepers: number;
-  readonly flowsPerBackend: number;
-  readonly openings: number;
-  /** Exceptions over openings in the measured half, 0–1. */
-  readonly exceptionShare: number;
-  /** Openings in the measured half that stayed in their keeper's zone, 0–1. */
-  readonly sameZoneShare: number;
-  /** Most openings that the joining back end got in any second; null without a join. */
-  readonly peakOpeningsOfJoiner: number | null;
-  /** Time from the join until the joiner first held 95% of the mean; null without a join or when it never did. */
-  readonly millisecondsToEven: number | null;
-}
-
-const ZONES = ['zone-a', 'zone-b', 'zone-c'] as const;
 const SAMPLE_INTERVAL_MS = 100;
 const MAX_CONNECTIONS = 100_000;
 const INITIAL_WARMUP = 0.1;
@@ -77,6 +22,7 @@
 const MS_PER_SECOND = 1_000;
 const REPORT_JITTER = 0.2;
 const TWO_POW_32 = 0x1_0000_0000;
+const SERVICE = simulatedService('simulation/service', {});
 
 /** Runs one simulation; equal options give equal results. */
 export function runBalanceSimulation(
@@ -142,7 +88,7 @@
       health: (backendId) => this.healthOf(backendId, reports),
       recordPassive: () => undefined,
     };
-    return { policy, zone: ZONES[index % ZONES.length]!, ownFlows, reports, health };
+    return { policy, zone: simulatedZone(index), ownFlows, reports, health };
   }
 
   private healthOf(backendId: number, reports: Keeper['reports']): BackendHealth {
@@ -299,38 +245,11 @@
 }
 
 function makeBackend(index: number): EffectiveBackend {
-  const name = `simulation/service/backend-${index}`;
   const host = '127.0.0.1';
-  return {
-    name,
-    id: hashString(name),
-    zone: ZONES[index % ZONES.length]!,
+  return simulatedBackend(`simulation/service/backend-${index}`, {
+    zone: simulatedZone(index),
     endpoint: { host, port: 10_000 + index },
     health: { host, port: 20_000 + index },
-    weight: 1,
     maxConnections: MAX_CONNECTIONS,
-    slots: 2,
-    draining: false,
-  };
+  });
 }
-
-const SERVICE: EffectiveService = {
-  name: 'simulation/service',
-  id: hashString('simulation/service'),
-  site: 'simulation',
-  address: { host: '127.0.0.1', port: 9_000 },
-  unknownFlow: 'reset',
-  idleTimeoutMs: 3_600_000,
-  zonePreference: 0,
-  limits: UNLIMITED_SERVICE,
-  healthPolicy: {
-    probeIntervalMs: 1_000,
-    probeTimeoutMs: 500,
-    unhealthyThreshold: 2,
-    healthyThreshold: 2,
-    maxEjectedShare: 0.3,
-    panicShare: 0.3,
-    slowStartMs: 10_000,
-  },
-  backends: [],
-};
