--- a/docs/checks/decision-rules.test.ts
+++ b/docs/checks/decision-rules.test.ts
@@ -44,7 +44,7 @@
 
 test('each module that is named a rule stands on the page', (t) => {
   const listed = RULES.flatMap(({ modules }) => modules);
-  const rules = SOURCES.filter((name) => /-rule\.ts$/.test(name)).map((name) => `src/${name}`);
+  const rules = SOURCES.filter((name) => /-rules?\.ts$/.test(name)).map((name) => `src/${name}`);
   t.deepEqual(
     rules.filter((path) => !listed.includes(path)),
     [],
