--- /dev/null
+++ b/src/gue-edge/membership/member-merge.ts
@@ -0,0 +1,118 @@
+/**
+ * Decides which report about a member overrules what is known of it.
+ *
+ * What the rule prevents: that a late report revives a member that left, that the sides of a healed partition remove each other's
+ * members on hearsay, and that a restarted process is taken for the one before it.
+ *
+ * Owns nothing; returns the outcome and the record to store, and the member table carries it out.
+ */
+import {
+  compareVersions,
+  isRemoved,
+  LIFECYCLES,
+  newRecord,
+  type Lifecycle,
+  type MemberRecord,
+} from './member-record.js';
+import type { MemberNews } from './wire.js';
+
+/**
+ * What becomes of a report. `changed`: it is stored. `known`: it says nothing new, or is out of date. `unknown`: it names a member
+ * or an incarnation that was never introduced. `accused`: it says that this member is suspected or removed. `collision`: another
+ * member has the same id hash. `outdated-accusation`: as `accused`, but this member has refuted it already and the sender has not
+ * heard. `reported-failed`: it says that a member that is live here has failed; the member is now suspected here, because the
+ * report may come from the other side of a healed partition and the member must get the time to refute it.
+ */
+export type MergeOutcome =
+  'changed' | 'known' | 'unknown' | 'accused' | 'outdated-accusation' | 'collision' | 'reported-failed';
+
+/** An outcome and what to store for it. */
+export interface MergeDecision {
+  readonly outcome: MergeOutcome;
+  /** The record that holds from now on; undefined when nothing changes. */
+  readonly record?: MemberRecord;
+  /** The record is that of a later process: what the earlier one reported of itself no longer holds. */
+  readonly isNewProcess?: boolean;
+}
+
+/** Where and when a report is merged. */
+interface MergeContext {
+  /** The known record is that of this member itself. */
+  readonly isSelf: boolean;
+  /** Monotonic ms. */
+  readonly nowMs: number;
+}
+
+const KNOWN: MergeDecision = { outcome: 'known' };
+const UNKNOWN: MergeDecision = { outcome: 'unknown' };
+
+/**
+ * Decides what becomes of the report `news` about the member whose record is `known`.
+ *
+ * Order: a collision makes the report one about somebody else. A report about this member is never stored, only refuted. A later
+ * incarnation overrules everything about the earlier one. A failure of a live member is only suspected. Else the version decides
+ * (incarnation, then refutation); equal versions take the later lifecycle and keep a suspicion, which ends by a refutation only.
+ */
+export function decideMerge(
+  known: MemberRecord | undefined,
+  news: MemberNews,
+  { isSelf, nowMs }: MergeContext,
+): MergeDecision {
+  if (known && news.identity && news.identity.id !== known.identity.id) return { outcome: 'collision' };
+  if (!known) return admit(news, nowMs);
+  if (isSelf) return judgeAccusation(known, news);
+  if (news.incarnation > known.incarnation) return replace(known, news, nowMs);
+  const reportedFailed = news.lifecycle === 'failed' && !isRemoved(known);
+  if (!reportedFailed || compareVersions(news, known) < 0) return mergeSameProcess(known, news, nowMs);
+  const suspicion = { ...news, lifecycle: known.lifecycle, suspected: true };
+  return { ...mergeSameProcess(known, suspicion, nowMs), outcome: 'reported-failed' };
+}
+
+/** First report of a member. One that is removed already gets no record. */
+function admit(news: MemberNews, nowMs: number): MergeDecision {
+  if (isRemovedLifecycle(news.lifecycle)) return KNOWN;
+  if (!news.identity) return UNKNOWN;
+  const record = newRecord(news.identity, news, news.lifecycle, nowMs);
+  return { outcome: 'changed', record: { ...record, suspected: news.suspected } };
+}
+
+/** A later incarnation: the process was restarted, perhaps elsewhere, and holds nothing. */
+function replace(known: MemberRecord, news: MemberNews, nowMs: number): MergeDecision {
+  if (!news.identity && !isRemovedLifecycle(news.lifecycle)) return UNKNOWN;
+  const record = newRecord(news.identity ?? known.identity, news, news.lifecycle, nowMs);
+  return { outcome: 'changed', record: { ...record, suspected: news.suspected }, isNewProcess: true };
+}
+
+function mergeSameProcess(known: MemberRecord, news: MemberNews, nowMs: number): MergeDecision {
+  const order = compareVersions(news, known);
+  if (order < 0) return KNOWN;
+  const removed = order === 0 && isRemoved(known);
+  if (removed && !isRemovedLifecycle(news.lifecycle)) return KNOWN;
+  const lifecycle = order > 0 ? news.lifecycle : laterLifecycle(known.lifecycle, news.lifecycle);
+  const isLive = !isRemovedLifecycle(lifecycle);
+  const suspected = isLive && (news.suspected || (order === 0 && known.suspected));
+  if (order === 0 && lifecycle === known.lifecycle && suspected === known.suspected) return KNOWN;
+  const { incarnation, refutation } = news;
+  return {
+    outcome: 'changed',
+    record: { ...known, incarnation, refutation, lifecycle, suspected, changedAtMs: nowMs },
+  };
+}
+
+/** A report about this member. A newer version than its own can only be an accusation; a member that left refutes nothing. */
+function judgeAccusation(self: MemberRecord, news: MemberNews): MergeDecision {
+  if (self.lifecycle === 'left') return KNOWN;
+  const order = compareVersions(news, self);
+  if (news.incarnation > self.incarnation && !news.identity) return UNKNOWN;
+  const accused = order > 0 || news.suspected || isRemovedLifecycle(news.lifecycle);
+  if (!accused) return KNOWN;
+  return { outcome: order < 0 ? 'outdated-accusation' : 'accused' };
+}
+
+function isRemovedLifecycle(lifecycle: Lifecycle): boolean {
+  return lifecycle === 'failed' || lifecycle === 'left';
+}
+
+function laterLifecycle(left: Lifecycle, right: Lifecycle): Lifecycle {
+  return LIFECYCLES.indexOf(left) >= LIFECYCLES.indexOf(right) ? left : right;
+}
--- a/src/gue-edge/membership/member-table.test.ts
+++ b/src/gue-edge/membership/member-table.test.ts
@@ -4,8 +4,9 @@
 import { FAILED_RETENTION_MS, LEFT_RETENTION_MS } from './constants.js';
 import { GossipQueue, retransmitLimit } from './gossip-queue.js';
 import type { Lifecycle, MemberIdentity } from './member-record.js';
-import { MemberTable, type MergeOutcome } from './member-table.js';
-import { suspicionTimeoutMs } from './suspicion.js';
+import type { MergeOutcome } from './member-merge.js';
+import { MemberTable } from './member-table.js';
+import { suspicionTimeoutMs } from './suspicion-timeout.js';
 import { DEFAULT_MEMBERSHIP_TIMING } from './constants.js';
 import type { MemberNews } from './wire.js';
 
--- a/src/gue-edge/membership/member-table.ts
+++ b/src/gue-edge/membership/member-table.ts
@@ -1,12 +1,15 @@
-/** All known members and the rules by which news about them is merged. */
+/**
+ * All known members, and what may change them: reports of others, this member's own findings, its own course, and time.
+ *
+ * Owns the records, the tree version that each member last reported, and the digests by which two members compare their tables.
+ * Relies on `member-merge.ts` for which report overrules which record.
+ */
 import type { Clock } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
 import { hashString } from '../../common/hash.js';
 import { DIGEST_BUCKETS, FAILED_RETENTION_MS, LEFT_RETENTION_MS } from './constants.js';
 import {
-  compareVersions,
   isRemoved,
-  LIFECYCLES,
   newRecord,
   recordDigest,
   type Lifecycle,
@@ -14,28 +17,19 @@
   type MemberRecord,
   type MemberVersion,
 } from './member-record.js';
+import { decideMerge, type MergeOutcome } from './member-merge.js';
 import type { MemberNews } from './wire.js';
 
 /** One change of the table; `previous` is undefined for a new member. */
 export interface RecordChange {
   readonly record: MemberRecord;
   readonly previous: MemberRecord | undefined;
-  /** True when the news came from another member, false when this one decided it. */
+  /** True when another member reported the change, false when this one decided it. */
   readonly heard: boolean;
   /** Hash of the accuser's id for a suspicion; 0 otherwise. */
   readonly accuserHash: number;
 }
 
-/**
- * What became of a piece of news. `unknown`: it names a member or an incarnation that was never introduced.
- * `accused`: it holds this member for suspected or removed. `collision`: another member has the same id hash.
- * `outdated-accusation`: as `accused`, but this member has refuted it already and the sender has not heard.
- * `reported-failed`: it says that a member that is live here has failed; the member is now suspected here, because the
- * report may come from the other side of a healed partition and the member must get the time to refute it.
- */
-export type MergeOutcome =
-  'changed' | 'known' | 'unknown' | 'accused' | 'outdated-accusation' | 'collision' | 'reported-failed';
-
 /** Mutable table of the members that this one knows. */
 export class MemberTable {
   /** Every change, after it took effect. */
@@ -111,7 +105,7 @@
     return this.settingsVersion(hashString(id));
   }
 
-  /** Notes the tree version that a live member reported; true when it is news. */
+  /** Records the tree version that a live member reported; true when it differs from the one known. */
   noteSettingsVersion(idHash: number, version: number): boolean {
     const record = this.records.get(idHash);
     if (!record || isRemoved(record) || version === 0 || this.versions.get(idHash) === version) return false;
@@ -119,17 +113,16 @@
     return true;
   }
 
-  /** Merges what another member said. */
+  /** Merges what another member reported, and returns what became of it. */
   merge(news: MemberNews): MergeOutcome {
     const known = this.records.get(news.idHash);
-    if (known && news.identity && news.identity.id !== known.identity.id) return 'collision';
-    if (!known) return this.admit(news);
-    if (known === this.selfRecord) return this.judgeAccusation(news);
-    if (news.incarnation > known.incarnation) return this.replace(known, news);
-    const reportedFailed = news.lifecycle === 'failed' && !isRemoved(known);
-    if (!reportedFailed || compareVersions(news, known) < 0) return this.mergeSameIncarnation(known, news);
-    this.mergeSameIncarnation(known, { ...news, lifecycle: known.lifecycle, suspected: true });
-    return 'reported-failed';
+    const { outcome, record, isNewProcess } = decideMerge(known, news, {
+      isSelf: known === this.selfRecord,
+      nowMs: this.clock.now(),
+    });
+    if (isNewProcess) this.versions.delete(news.idHash);
+    if (record) this.store(record, true, news.accuserHash);
+    return outcome;
   }
 
   /** Marks a live member as suspected by `accuserHash`; false when it already is, or is no longer live. */
@@ -184,53 +177,6 @@
     }
   }
 
-  private admit(news: MemberNews): MergeOutcome {
-    if (!news.identity) return isRemovedLifecycle(news.lifecycle) ? 'known' : 'unknown';
-    if (isRemovedLifecycle(news.lifecycle)) return 'known';
-    const record = newRecord(news.identity, news, news.lifecycle, this.clock.now());
-    this.store({ ...record, suspected: news.suspected }, true, news.accuserHash);
-    return 'changed';
-  }
-
-  /** A later incarnation: the process was restarted, perhaps elsewhere, and holds nothing. */
-  private replace(known: MemberRecord, news: MemberNews): MergeOutcome {
-    if (!news.identity && !isRemovedLifecycle(news.lifecycle)) return 'unknown';
-    const identity = news.identity ?? known.identity;
-    const record = newRecord(identity, news, news.lifecycle, this.clock.now());
-    this.versions.delete(known.idHash);
-    this.store({ ...record, suspected: news.suspected }, true, news.accuserHash);
-    return 'changed';
-  }
-
-  private mergeSameIncarnation(known: MemberRecord, news: MemberNews): MergeOutcome {
-    const order = compareVersions(news, known);
-    if (order < 0) return 'known';
-    const removed = order === 0 && isRemoved(known);
-    if (removed && !isRemovedLifecycle(news.lifecycle)) return 'known';
-    const lifecycle = order > 0 ? news.lifecycle : laterLifecycle(known.lifecycle, news.lifecycle);
-    const isLive = !isRemovedLifecycle(lifecycle);
-    const suspected = isLive && (news.suspected || (order === 0 && known.suspected));
-    const same = order === 0 && lifecycle === known.lifecycle && suspected === known.suspected;
-    if (same) return 'known';
-    const { incarnation, refutation } = news;
-    const changedAtMs = this.clock.now();
-    this.store(
-      { ...known, incarnation, refutation, lifecycle, suspected, changedAtMs },
-      true,
-      news.accuserHash,
-    );
-    return 'changed';
-  }
-
-  private judgeAccusation(news: MemberNews): MergeOutcome {
-    if (this.selfRecord.lifecycle === 'left') return 'known';
-    const order = compareVersions(news, this.selfRecord);
-    if (news.incarnation > this.selfRecord.incarnation && !news.identity) return 'unknown';
-    const accused = order > 0 || news.suspected || isRemovedLifecycle(news.lifecycle);
-    if (!accused) return 'known';
-    return order < 0 ? 'outdated-accusation' : 'accused';
-  }
-
   private store(record: MemberRecord, heard: boolean, accuserHash = 0): void {
     const previous = this.records.get(record.idHash);
     if (previous) this.toggleDigest(previous);
@@ -260,11 +206,3 @@
 export function bucketOf(idHash: number): number {
   return idHash >>> (32 - Math.log2(DIGEST_BUCKETS));
 }
-
-function isRemovedLifecycle(lifecycle: Lifecycle): boolean {
-  return lifecycle === 'failed' || lifecycle === 'left';
-}
-
-function laterLifecycle(left: Lifecycle, right: Lifecycle): Lifecycle {
-  return LIFECYCLES.indexOf(left) >= LIFECYCLES.indexOf(right) ? left : right;
-}
--- a/src/gue-edge/membership/quorum-lease.ts
+++ b/src/gue-edge/membership/quorum-lease.ts
@@ -11,7 +11,7 @@
 export type LeasePlatform = Pick<StoreClient, 'acquireLease' | 'releaseLease'>;
 
 /** `unknown`: not asked yet or trust has run out. `unavailable`: the platform did not answer. */
-type LeaseStanding = 'unknown' | 'held' | 'held-by-other' | 'unavailable';
+export type LeaseStanding = 'unknown' | 'held' | 'held-by-other' | 'unavailable';
 
 /** Renewals in the duration of a lease. */
 const RENEWALS_PER_LEASE = 3;
--- a/src/gue-edge/membership/quorum.ts
+++ b/src/gue-edge/membership/quorum.ts
@@ -1,8 +1,22 @@
-/** Decides whether this member may open flows: see docs/DESIGN.md, "Quorum". */
+/**
+ * Quorum of one member: gathers what the decision rests on, carries the decision out, and keeps the base and the lease up to date.
+ *
+ * Owns the last decision, the time since when this member is alone, and the lease. Relies on the rules in `quorum-decision.ts`,
+ * on the member table, on running suspicions and on the silence of zones. docs/DESIGN.md, "Quorum", describes the whole.
+ */
 import type { MembershipTiming } from './constants.js';
 import type { GuardedTimers } from './guarded-timers.js';
 import type { MemberRecord } from './member-record.js';
 import type { Messenger } from './messenger.js';
+import {
+  decideFounding,
+  decideLeaseDemand,
+  decideQuorum,
+  isQuorateVerdict,
+  isReachableForQuorum,
+  type QuorumEvidence,
+  type QuorumFacts,
+} from './quorum-decision.js';
 import { QuorumExchange } from './quorum-exchange.js';
 import { isFailure, type MemberTable, type RecordChange } from './member-table.js';
 import type { QuorumBase, QuorumStanding } from './quorum-base.js';
@@ -29,7 +43,7 @@
   readonly base: QuorumBase;
 }
 
-/** Quorum of one member. */
+/** One for each process. */
 export class Quorum {
   /** Pushed when the decision may have changed outside `update`. */
   readonly changes = new Subject<void>();
@@ -37,7 +51,7 @@
   private readonly lease: QuorumLease;
   /** Another member was met. */
   private met = false;
-  /** No seeds and nobody met: a site of one. */
+  /** No seed is configured and no other member was met: a site of one. */
   private sole = false;
   /** False from a pause until another member has answered. */
   private validated = true;
@@ -70,13 +84,9 @@
     return this.decision;
   }
 
-  /**
-   * True when this member may become active with nobody else in sight, to make the region's first base: it has met nobody
-   * for the witness's waiting time and holds the region's lease, which a running region would hold itself.
-   */
+  /** True when this member may become active with nobody else in sight, to make the region's first base. */
   get mayFoundRegion(): boolean {
-    if (this.withdrawn || this.isBootstrapped || this.exchange.seenEpoch > 0) return false;
-    return this.isAlone() && this.waitedLongEnough() && this.lease.standing() === 'held';
+    return decideFounding(this.facts(), this.lease.standing(), this.exchange.seenEpoch > 0);
   }
 
   start(hasSeeds: boolean): void {
@@ -126,8 +136,9 @@
     else this.aloneSinceMs ??= nowMs;
     const before = this.decision;
     this.bootstrap();
-    if (alone && this.standing() === 'minority' && !this.waitedLongEnough()) this.lease.drop();
-    this.decision = this.decide(alone);
+    const facts = this.facts();
+    if (alone && facts.standing === 'minority' && !facts.wasAloneLong) this.lease.drop();
+    this.decision = isQuorateVerdict(decideQuorum(facts, this.evidence()));
     if (this.decision && this.isBootstrapped) {
       this.context.base.evolve(this.context.table.live(), nowMs, this.context.timing.settleMs, !alone);
     }
@@ -149,15 +160,25 @@
     return this.context.base.epoch > 0;
   }
 
-  private decide(alone: boolean): boolean {
-    if (this.withdrawn) return false;
-    if (this.sole) return true;
-    if (!this.validated || !this.isBootstrapped || this.context.isCutOff()) return false;
-    if (!this.decision && this.exchange.isBehind) return false;
-    if (!alone) return this.standing() !== 'minority';
-    const lease = this.lease.standing();
-    if (lease === 'held') return true;
-    return lease === 'unavailable' && this.standing() !== 'minority';
+  private evidence(): QuorumEvidence {
+    return {
+      isCutOff: this.context.isCutOff(),
+      isBehind: this.exchange.isBehind,
+      lease: this.lease.standing(),
+    };
+  }
+
+  private facts(): QuorumFacts {
+    return {
+      withdrawn: this.withdrawn,
+      isSole: this.sole,
+      isConfirmed: this.validated,
+      hasBase: this.isBootstrapped,
+      isAlone: this.isAlone(),
+      wasAloneLong: this.waitedLongEnough(),
+      wasQuorate: this.decision,
+      standing: this.standing(),
+    };
   }
 
   /** No other live member is reachable. */
@@ -172,21 +193,22 @@
     );
   }
 
-  /** A suspect counts as reachable for the grace time only, and not at all when most of its zone is silent. */
   private isReachable(record: MemberRecord): boolean {
-    if (!record.suspected) return true;
+    const { suspected, idHash, identity } = record;
+    // Most members are not suspected: spares the look-ups.
+    if (!suspected) return true;
     const { clock, suspicions, timing, isZoneSilent } = this.context;
-    if (isZoneSilent(record.identity.zone)) return false;
-    const sinceMs = suspicions.startedMs(record.idHash);
-    return sinceMs !== undefined && clock.now() - sinceMs < timing.quorumGraceMs;
+    const silence = {
+      suspected,
+      isZoneSilent: isZoneSilent(identity.zone),
+      suspectedSinceMs: suspicions.startedMs(idHash),
+    };
+    return isReachableForQuorum(silence, clock.now(), timing);
   }
 
   private wantsLease(): boolean {
-    if (this.sole || this.withdrawn || !this.validated) return false;
-    if (this.isAlone()) {
-      return (this.isBootstrapped && this.standing() !== 'minority') || this.waitedLongEnough();
-    }
-    return (this.decision || !this.isBootstrapped) && this.isLowestReachable();
+    const demand = decideLeaseDemand(this.facts(), this.isLowestReachable());
+    return demand === 'alone' || demand === 'representative';
   }
 
   private waitedLongEnough(): boolean {
--- a/src/gue-edge/membership/suspicion.ts
+++ b/src/gue-edge/membership/suspicion.ts
@@ -1,7 +1,13 @@
-/** Running suspicions: each ends by a refutation or, after a time that confirmations shorten, by removal. */
+/**
+ * Running suspicions: each ends by a refutation or, after a time that confirmations shorten, by removal.
+ *
+ * Owns the accusers and the timer of each suspicion. Relies on `suspicion-timeout.ts` for the time, and on timers that stand still
+ * while the process is paused.
+ */
 import type { TimerHandle } from '../../common/clock.js';
-import { SUSPICION_CONFIRMATIONS, SUSPICION_MAX_FACTOR, type MembershipTiming } from './constants.js';
+import { SUSPICION_CONFIRMATIONS, type MembershipTiming } from './constants.js';
 import type { GuardedTimers } from './guarded-timers.js';
+import { suspicionTimeoutMs } from './suspicion-timeout.js';
 
 interface Suspicion {
   startedMs: number;
@@ -12,23 +18,6 @@
 
 const NO_TIMER: TimerHandle = { cancel: () => undefined };
 
-/** Shortest and longest time between suspicion and removal in a region of `members`. */
-function suspicionBounds(members: number, timing: MembershipTiming): { minMs: number; maxMs: number } {
-  const scaledMs = timing.suspicionPerDecadeMs * Math.log10(Math.max(1, members));
-  const minMs = Math.max(timing.suspicionMinMs, scaledMs);
-  return { minMs, maxMs: minMs * SUSPICION_MAX_FACTOR };
-}
-
-/** Time from start to removal with `accusers` accusers in a region of `members`. */
-export function suspicionTimeoutMs(accusers: number, members: number, timing: MembershipTiming): number {
-  const { minMs, maxMs } = suspicionBounds(members, timing);
-  const confirmationsPossible = Math.min(SUSPICION_CONFIRMATIONS, members - 2);
-  if (confirmationsPossible <= 0) return minMs;
-  const confirmations = Math.min(accusers - 1, confirmationsPossible);
-  const share = Math.log(confirmations + 1) / Math.log(confirmationsPossible + 1);
-  return maxMs - (maxMs - minMs) * share;
-}
-
 /** Suspicions by the id hash of the suspected member. */
 export class Suspicions {
   private readonly running = new Map<number, Suspicion>();
