--- a/src/gue-edge/control/budget.test.ts
+++ b/src/gue-edge/control/budget.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
-import { ControlBudget, MINIMUM_SHARE } from './budget.js';
+import { chooseBudgetSource, ControlBudget, MINIMUM_SHARE, type BudgetSource } from './budget.js';
 import { CONTROL_KINDS, type ControlKind } from './types.js';
 
 const RATE = 28_000;
@@ -48,3 +48,26 @@
 test('one kind alone may use the whole rate', (t) => {
   t.true(runUnderLoad(['status'], 2).get('status')! >= RATE * 0.95);
 });
+
+/** Kind, bytes, bytes left in the shared bucket of 1,000 and in the kind's own. */
+const CHOICES: readonly (readonly [string, ControlKind, number, number, number, BudgetSource])[] = [
+  ['membership empties the shared bucket', 'membership', 200, 200, 500, 'shared'],
+  ['replication too', 'replication', 200, 200, 500, 'shared'],
+  ['the floor itself may remain', 'status', 200, 800, 500, 'shared'],
+  ['below the floor the own bucket pays', 'status', 200, 799, 200, 'own'],
+  ['the own bucket is short', 'status', 200, 799, 199, 'wait'],
+  ['where status waits, health goes on', 'health', 200, 799, 0, 'shared'],
+  ['where health waits, dissemination goes on', 'dissemination', 200, 649, 0, 'shared'],
+  ['where dissemination waits, handover goes on', 'handover', 200, 499, 0, 'shared'],
+  ['where handover waits, membership goes on', 'membership', 200, 349, 0, 'shared'],
+  ['health waits', 'health', 200, 649, 0, 'wait'],
+  ['dissemination waits', 'dissemination', 200, 499, 0, 'wait'],
+  ['handover waits', 'handover', 200, 349, 0, 'wait'],
+  ['membership waits', 'membership', 200, 199, 199, 'wait'],
+];
+
+for (const [name, kind, bytes, sharedBytes, ownBytes, source] of CHOICES) {
+  test(`bucket: ${name}`, (t) => {
+    t.is(chooseBudgetSource(kind, bytes, { sharedBytes, sharedCapacityBytes: 1_000, ownBytes }), source);
+  });
+}
--- a/src/gue-edge/control/budget.ts
+++ b/src/gue-edge/control/budget.ts
@@ -1,15 +1,20 @@
 /**
- * Token bucket for the control bytes a daemon sends.
+ * Decides, message by message, which control bytes a daemon may send now.
  *
- * Under pressure the kinds wait in this order, first to wait first: status, health, dissemination, handover; then
- * replication and membership last of all. A kind may draw from the shared bucket only while more than its floor is left in it. Besides,
- * each kind has a small bucket of its own (MINIMUM_SHARE of the rate) that no other kind can empty, so that none starves;
- * what a full own bucket cannot hold flows into the shared one. The sum never exceeds the rate.
+ * What the rule prevents: that the control channel exceeds the platform's bound (`DEFAULT_BUDGET_BYTES_PER_SECOND`), that a burst of
+ * one kind delays membership, and that any kind starves.
+ *
+ * Two token buckets: one shared by all kinds, and a small one for each kind that no other kind can empty (`MINIMUM_SHARE` of the
+ * rate). A kind draws from the shared bucket only while more than its floor is left there; so under pressure the kinds wait in
+ * this order, first to wait first: status, health, dissemination, handover, and last replication and membership together. What a
+ * full own bucket cannot hold flows into the shared one. The sum never exceeds the rate.
+ *
+ * Owns the levels of the buckets. Relies on a monotonic clock; both levels are brought up to date at each message.
  */
 import type { Clock } from '../../common/clock.js';
 import { CONTROL_KINDS, type ControlKind } from './types.js';
 
-/** Share of the shared bucket that must remain after a message of the kind was sent from it. */
+/** Share of the shared bucket that must remain after a message of the kind was sent from it. Not measured; chosen evenly apart, so that the order of the kinds holds. */
 const SHARED_FLOOR: Readonly<Record<ControlKind, number>> = {
   membership: 0,
   replication: 0,
@@ -22,13 +27,34 @@
 /** Share of the rate that each kind has for itself, so that none starves. Not measured; six kinds take 24% of the rate. */
 export const MINIMUM_SHARE = 0.04;
 
-/** Time whose budget the shared bucket can hold. */
+/** Time in ms whose budget the shared bucket can hold. Not measured; chosen because the rate is a bound per second. */
 const BURST_MS = 1_000;
 
 /** Smallest capacity of a kind's own bucket: one full datagram. */
 const MIN_OWN_CAPACITY_BYTES = 1_472;
 
-/** Decides, message by message, what may be sent now. */
+/** Bytes in the buckets that a message may draw from. */
+interface BucketLevels {
+  readonly sharedBytes: number;
+  readonly sharedCapacityBytes: number;
+  /** Own bucket of the message's kind. */
+  readonly ownBytes: number;
+}
+
+/** Bucket that a message is paid from; `wait`: neither has enough. */
+export type BudgetSource = 'shared' | 'own' | 'wait';
+
+/**
+ * Chooses the bucket for a message of `bytes`. The shared bucket comes first, so that the own one is still full when others have
+ * emptied the shared one. Exactly the floor may remain in the shared bucket, and exactly nothing in the own one.
+ */
+export function chooseBudgetSource(kind: ControlKind, bytes: number, levels: BucketLevels): BudgetSource {
+  const floorBytes = SHARED_FLOOR[kind] * levels.sharedCapacityBytes;
+  if (levels.sharedBytes - bytes >= floorBytes) return 'shared';
+  return levels.ownBytes >= bytes ? 'own' : 'wait';
+}
+
+/** The buckets of one daemon. */
 export class ControlBudget {
   private readonly sharedCapacity: number;
   private readonly ownCapacity: number;
@@ -51,15 +77,12 @@
   /** Takes `bytes` for a message of `kind`; false when it has to wait. */
   take(kind: ControlKind, bytes: number): boolean {
     this.refill();
-    const floorBytes = SHARED_FLOOR[kind] * this.sharedCapacity;
-    if (this.sharedBytes - bytes >= floorBytes) {
-      this.sharedBytes -= bytes;
-      return true;
-    }
-    const own = this.ownBytes.get(kind) as number;
-    if (own < bytes) return false;
-    this.ownBytes.set(kind, own - bytes);
-    return true;
+    const ownBytes = this.ownBytes.get(kind) as number;
+    const { sharedBytes, sharedCapacity: sharedCapacityBytes } = this;
+    const source = chooseBudgetSource(kind, bytes, { sharedBytes, sharedCapacityBytes, ownBytes });
+    if (source === 'shared') this.sharedBytes -= bytes;
+    if (source === 'own') this.ownBytes.set(kind, ownBytes - bytes);
+    return source !== 'wait';
   }
 
   private refill(): void {
--- a/src/gue-edge/control/replay-guard.test.ts
+++ b/src/gue-edge/control/replay-guard.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { VirtualClock } from '../../common/clock.js';
 import { MAX_CLOCK_SKEW_MS, REPLAY_FORGET_MS, REPLAY_WINDOW } from './constants.js';
-import { ReplayGuard } from './replay-guard.js';
+import { judgeIncarnation, ReplayGuard, type IncarnationVerdict } from './replay-guard.js';
 
 function wallSeconds(clock: VirtualClock): number {
   return Math.floor(clock.wall() / 1_000);
@@ -48,3 +48,39 @@
   t.is(guard.size, 0);
   t.is(guard.judge('near', 2, 1, recorded), 'stale', 'a recording is useless after forgetting');
 });
+
+/** Incarnation, the known one, its silence, and the skew of the clocks. */
+const INCARNATIONS: readonly (readonly [
+  string,
+  number,
+  number | undefined,
+  number,
+  number,
+  IncarnationVerdict,
+])[] = [
+  ['the known one, whatever its clock', 5, 5, 0, 10 * MAX_CLOCK_SKEW_MS, 'known'],
+  ['a sender not known', 5, undefined, Infinity, MAX_CLOCK_SKEW_MS, 'new'],
+  ['a sender not known, clock ahead', 5, undefined, Infinity, MAX_CLOCK_SKEW_MS + 1, 'clock-skew'],
+  ['a sender not known, clock behind', 5, undefined, Infinity, -MAX_CLOCK_SKEW_MS - 1, 'clock-skew'],
+  ['a later one', 6, 5, 0, 0, 'new'],
+  ['a later one, clock behind', 6, 5, 0, -MAX_CLOCK_SKEW_MS - 1, 'clock-skew'],
+  ['an earlier one', 4, 5, 2 * MAX_CLOCK_SKEW_MS, 0, 'earlier-incarnation'],
+  ['an earlier one after long silence', 4, 5, 2 * MAX_CLOCK_SKEW_MS + 1, 0, 'new'],
+  ['a recording of it', 4, 5, 2 * MAX_CLOCK_SKEW_MS + 1, -2 * MAX_CLOCK_SKEW_MS, 'clock-skew'],
+];
+
+for (const [name, incarnation, knownIncarnation, knownSilentMs, clockSkewMs, verdict] of INCARNATIONS) {
+  test(`incarnation: ${name}`, (t) => {
+    t.is(judgeIncarnation({ incarnation, knownIncarnation, knownSilentMs, clockSkewMs }), verdict);
+  });
+}
+
+test('sequence numbers: fresh, replayed, or too old to tell', (t) => {
+  const clock = new VirtualClock();
+  const guard = new ReplayGuard(clock);
+  const judge = (sequence: number): string => guard.judge('a', 1, sequence, wallSeconds(clock));
+  const far = 2 * REPLAY_WINDOW;
+  t.deepEqual([judge(5), judge(5), judge(7), judge(6)], ['fresh', 'replayed', 'fresh', 'fresh']);
+  t.deepEqual([judge(far), judge(far - REPLAY_WINDOW)], ['fresh', 'replayed']);
+  t.deepEqual([judge(far - REPLAY_WINDOW + 1), judge(far - 1)], ['fresh', 'fresh']);
+});
--- a/src/gue-edge/dissemination/store-reader.ts
+++ b/src/gue-edge/dissemination/store-reader.ts
@@ -1,22 +1,28 @@
 /**
  * Reads the tree from the platform while this member holds one of its region's reader leases. Whatever arrives after
  * the lease can no longer be trusted is discarded, and what passes carries the store's version and the lease's token.
+ *
+ * Owns the lease and the watch of this member. Relies on `reader-candidates.ts` for who may take which lease, and on
+ * `reader-term.ts` for how long a term lasts.
  */
+import type Result from 'true-myth/result';
 import type { Clock } from '../../common/clock.js';
 import { jitter, type RandomSource } from '../../common/random.js';
 import type { MembershipFeed } from '../membership/types.js';
 import type { EventLog } from '../../observability/event.js';
 import { pause } from '../../common/pause.js';
-import type { Lease, StoreClient, StoredObject } from '../../store/index.js';
-import {
-  CANDIDATE_PAUSE_MS,
-  PAUSE_SPREAD,
-  READER_LEASE_MS,
-  READER_RENEW_MS,
-  UNREACHABLE_PAUSE_MS,
-} from './constants.js';
+import type { Lease, StoreClient, StoredObject, StoreError } from '../../store/index.js';
+import { PAUSE_SPREAD, READER_LEASE_MS, READER_RENEW_MS } from './constants.js';
 import { DISSEMINATION_EVENTS } from './events.js';
 import { readerLeaseName, slotsOf } from './reader-candidates.js';
+import {
+  candidatePauseMs,
+  isLeaseTrusted,
+  judgeTerm,
+  leaseAfterAnswer,
+  type LeaseAnswer,
+  type TermVerdict,
+} from './reader-term.js';
 import type { DisseminationCounters } from './statistics.js';
 
 /** Number of different suffixes of lease holder names. */
@@ -65,8 +71,7 @@
       attempt += 1;
       this.storeFailed = false;
       if (slot !== undefined && (await this.acquire(slot))) await this.serve(slot, signal);
-      if (!signal.aborted)
-        await this.pause(this.storeFailed ? UNREACHABLE_PAUSE_MS : CANDIDATE_PAUSE_MS, signal);
+      if (!signal.aborted) await this.pause(candidatePauseMs(this.storeFailed), signal);
     }
   }
 
@@ -80,7 +85,7 @@
   }
 
   private isTrusted(): boolean {
-    return this.lease !== undefined && this.options.clock.now() < this.lease.trustedUntilMs;
+    return isLeaseTrusted(this.lease, this.options.clock.now());
   }
 
   /** Takes or renews the lease; false when another member has it. Keeps a lease that could not be renewed. */
@@ -88,12 +93,20 @@
     const { platform, region } = this.options;
     const name = readerLeaseName(region, slot);
     const granted = await platform.acquireLease(name, this.holder, READER_LEASE_MS);
-    this.storeFailed = granted.isErr && granted.error.kind !== 'platform.lease-held';
-    if (granted.isOk) this.lease = granted.value;
-    else if (!this.storeFailed) this.lease = undefined;
+    const answer = leaseAnswer(granted);
+    this.storeFailed = answer.kind === 'unanswered';
+    this.lease = leaseAfterAnswer(this.lease, answer);
     return this.isTrusted();
   }
 
+  private judgeTerm(slot: number, signal: AbortSignal): TermVerdict {
+    return judgeTerm({
+      isTrusted: this.isTrusted(),
+      isEnding: signal.aborted,
+      isCandidate: this.slots().includes(slot),
+    });
+  }
+
   /** Watches the tree while the lease is held; returns when it is lost or no longer this member's. */
   private async serve(slot: number, signal: AbortSignal): Promise<void> {
     const { events, platform } = this.options;
@@ -101,7 +114,7 @@
     const termSignal = AbortSignal.any([signal, term.signal]);
     events.emit(DISSEMINATION_EVENTS.readerStarted, { lease: this.lease?.name });
     const watching = this.watch(termSignal, term);
-    while (this.isTrusted() && !termSignal.aborted && this.slots().includes(slot)) {
+    while (this.judgeTerm(slot, termSignal) === 'go-on') {
       await this.pause(READER_RENEW_MS, termSignal);
       if (!termSignal.aborted && !(await this.acquire(slot))) break;
     }
@@ -129,3 +142,8 @@
     }
   }
 }
+
+function leaseAnswer(granted: Result<Lease, StoreError>): LeaseAnswer {
+  if (granted.isOk) return { kind: 'granted', lease: granted.value };
+  return { kind: granted.error.kind === 'platform.lease-held' ? 'refused' : 'unanswered' };
+}
--- a/src/gue-edge/dissemination/tree-holder.ts
+++ b/src/gue-edge/dissemination/tree-holder.ts
@@ -1,6 +1,8 @@
 /**
  * The tree in force on this balancer. The only place where a tree takes effect: nothing older than the one in force,
  * nothing with faults and nothing that fails its digest gets past it.
+ *
+ * Owns the tree, the log of its changes and the stamps of rejected trees. Relies on `tree-replacement.ts` for which tree wins.
  */
 import type { Clock } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
@@ -18,8 +20,9 @@
 import type { DisseminationError } from './errors.js';
 import { DISSEMINATION_EVENTS } from './events.js';
 import type { NodeChanges } from './node-set.js';
-import { NO_TREE, sameTree, stampKey, supersedes, type TreeStamp } from './stamp.js';
+import { NO_TREE, sameTree, stampKey, type TreeStamp } from './stamp.js';
 import type { DisseminationCounters } from './statistics.js';
+import { judgeFetch, judgeReplacement, mayReplace, type HeldTree } from './tree-replacement.js';
 
 /** How a tree came here. */
 export type TreeOrigin = 'store' | 'push' | 'pull';
@@ -66,14 +69,13 @@
 
   /** True when `stamp` should be fetched: it wins over the tree in force and was not found faulty before. */
   wants(stamp: TreeStamp): boolean {
-    if (this.rejected.includes(stampKey(stamp))) return false;
-    return this.mayReplace(stamp);
+    return judgeFetch(stamp, this.held(), this.rejected.includes(stampKey(stamp))) === 'fetch';
   }
 
   /** Puts a built tree in force if it wins over the one that is; false when it does not. */
   install(built: BuiltTree, origin: TreeOrigin): boolean {
     const { stamp } = built.tree;
-    if (!this.mayReplace(stamp)) {
+    if (!mayReplace(judgeReplacement(stamp, this.held()))) {
       this.counters.ignoredOlder += 1;
       return false;
     }
@@ -148,7 +150,7 @@
     }
   }
 
-  /** A corrupt tree is offered to nobody and replaced by a peer's; its settings stay in force until then. */
+  /** From now on the tree is offered to no peer, and that of a peer replaces it; its settings stay in force until then. */
   private markCorrupt(tree: DistributedTree): void {
     this.corrupt = true;
     this.log.clear();
@@ -156,10 +158,8 @@
     this.events.emit(DISSEMINATION_EVENTS.treeCorrupted, { version: tree.stamp.version });
   }
 
-  private mayReplace(stamp: TreeStamp): boolean {
-    if (!this.tree) return stamp.version > 0;
-    if (this.corrupt) return stamp.version >= this.tree.stamp.version;
-    return supersedes(stamp, this.tree.stamp);
+  private held(): HeldTree {
+    return this.tree && { stamp: this.tree.stamp, isCorrupt: this.corrupt };
   }
 
   private recordChanges(base: TreeStamp, changes: NodeChanges): void {
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,6 +1,9 @@
 /**
  * Client of the platform's object API over HTTP. Reads and lease requests are repeated within the deadline; a write is
  * repeated only while it has certainly not been sent, and else ends as `platform.unknown-outcome`.
+ *
+ * Owns the connections and the circuit breaker of one platform. Relies on `retry-rule.ts` for what is tried again, on
+ * `lease-trust.ts` for how long a lease holds, and on `watch.ts` for watches.
  */
 import Result from 'true-myth/result';
 import type { z } from 'zod';
@@ -13,6 +16,8 @@
 import * as errors from './errors.js';
 import type { StoreError } from './errors.js';
 import { STORE_EVENTS } from './events.js';
+import { trustedDurationMs } from './lease-trust.js';
+import { hasTimeForRetry, isSignOfLife, judgeRepeatable, judgeWrite } from './retry-rule.js';
 import { PlatformTransport, type Exchange, type ExchangeOutcome } from './transport.js';
 import type { Lease, MachineEntry, StoreClient, StoredObject } from './types.js';
 import { watchObject } from './watch.js';
@@ -174,10 +179,11 @@
       beforeAttempt();
       const remainingMs = deadlineAtMs - this.clock.now();
       const outcome = await this.attempt(exchange, Math.min(this.attemptDeadlineMs, remainingMs));
-      if (outcome.kind === 'unreadable') return Result.err(this.badAnswer(action, 'the body is not JSON'));
-      if (outcome.kind === 'answered' && outcome.status < 500) return Result.ok(outcome);
+      const verdict = judgeRepeatable(outcome);
+      if (verdict.kind === 'answered') return Result.ok(verdict.answer);
+      if (verdict.kind === 'bad-answer') return Result.err(this.badAnswer(action, 'the body is not JSON'));
       const pauseMs = this.backoffMs(attempt);
-      if (this.closing.signal.aborted || this.clock.now() + pauseMs >= deadlineAtMs) {
+      if (!this.mayRetry(pauseMs, deadlineAtMs)) {
         return Result.err(this.failure(action, outcome));
       }
       await pause(this.clock, pauseMs, this.closing.signal);
@@ -194,14 +200,16 @@
     for (let attempt = 0; ; attempt += 1) {
       if (!this.circuit.tryPass()) return Result.err(errors.unreachable(action));
       const outcome = await this.attempt(exchange, deadlineAtMs - this.clock.now());
-      if (outcome.kind === 'answered' && outcome.status < 500) return Result.ok(outcome);
-      if (outcome.kind !== 'not-sent') {
+      const verdict = judgeWrite(outcome);
+      if (verdict.kind === 'answered') return Result.ok(verdict.answer);
+      const cause = 'cause' in outcome ? outcome.cause : undefined;
+      if (verdict.kind === 'unknown-outcome') {
         this.options.events.emit(STORE_EVENTS.unknownOutcome, { action });
-        return Result.err(errors.unknownOutcome(action, 'cause' in outcome ? outcome.cause : undefined));
+        return Result.err(errors.unknownOutcome(action, cause));
       }
       const pauseMs = this.backoffMs(attempt);
-      if (this.closing.signal.aborted || this.clock.now() + pauseMs >= deadlineAtMs) {
-        return Result.err(errors.unreachable(action, outcome.cause));
+      if (!this.mayRetry(pauseMs, deadlineAtMs)) {
+        return Result.err(errors.unreachable(action, cause));
       }
       await pause(this.clock, pauseMs, this.closing.signal);
     }
@@ -209,12 +217,15 @@
 
   private async attempt(exchange: Exchange, deadlineMs: number): Promise<ExchangeOutcome> {
     const outcome = await this.transport.exchange(exchange, deadlineMs);
-    const alive = outcome.kind === 'unreadable' || (outcome.kind === 'answered' && outcome.status < 500);
-    if (alive) this.circuit.succeeded();
+    if (isSignOfLife(outcome)) this.circuit.succeeded();
     else this.circuit.failed();
     return outcome;
   }
 
+  private mayRetry(pauseMs: number, deadlineAtMs: number): boolean {
+    return !this.closing.signal.aborted && hasTimeForRetry(this.clock.now(), pauseMs, deadlineAtMs);
+  }
+
   private failure(action: string, outcome: ExchangeOutcome): StoreError {
     if (outcome.kind === 'lost' && outcome.timedOut) {
       return errors.deadlineExceeded(action, this.callDeadlineMs, outcome.cause);
@@ -256,8 +267,3 @@
     clearTimeout(hold);
   }
 }
-
-/** How long a granted lease is trusted, counted from the moment its request was sent. */
-export function trustedDurationMs(grantedMs: number): number {
-  return Math.max(0, grantedMs * (1 - limits.LEASE_DRIFT_SHARE) - limits.LEASE_MARGIN_MS);
-}
