--- a/src/settings/tree-editor.ts
+++ b/src/settings/tree-editor.ts
@@ -1,6 +1,9 @@
 /**
  * Edits the stored tree: read, change, validate, write if the version is still the same. An idempotency token in the
- * edit's record tells after a lost answer whether the write took effect. Source of versions: the platform.
+ * edit's record tells after a lost answer whether the write took effect.
+ *
+ * Owns the attempts of each edit. Relies on the platform alone for versions, on `edit-rebase.ts` for what an edit makes of a tree
+ * that was changed meanwhile, and on `edit-attempts.ts` for what a failed write means.
  */
 import Result from 'true-myth/result';
 import type { Clock } from '../common/clock.js';
@@ -8,15 +11,15 @@
 import { SILENT_EVENT_LOG, type EventLog } from '../observability/event.js';
 import type { StoreError } from '../store/errors.js';
 import type { StoreClient } from '../store/types.js';
-import { findConflicts } from './conflicts.js';
 import * as limits from './constants.js';
-import { applyChanges, diffTrees } from './diff.js';
+import { diffTrees } from './diff.js';
+import { giveUpKind, judgeReadBack, mayHaveTakenEffect } from './edit-attempts.js';
+import { isRaced, rebaseEdit, type PreparedEdit } from './edit-rebase.js';
 import type { TreeEdit } from './edits.js';
 import { EditConflictError, InvalidTreeError, TreeError } from './errors.js';
 import { SETTINGS_EVENTS } from './events.js';
 import { readStoredTree } from './stored-tree.js';
 import type { EditRecord, TreeChange, TreeDocument, VersionedTree } from './tree.js';
-import { validateDocument } from './validate.js';
 
 /** What a `TreeEditor` needs. */
 interface TreeEditorOptions {
@@ -47,12 +50,6 @@
   readonly attempts: number;
 }
 
-/** An edit under way: the changes it makes and the tree that they were computed on. */
-interface PreparedEdit {
-  readonly base: TreeDocument;
-  readonly changes: readonly TreeChange[];
-}
-
 /** One call of `edit`. */
 interface EditRun {
   readonly request: EditRequest;
@@ -92,7 +89,8 @@
     const edited = edit(first.value.document);
     if (edited.isErr) return Result.err(edited.error);
     const changes = diffTrees(first.value.document, edited.value);
-    const result = await this.writeUntilSettled({ base: first.value.document, changes }, first.value, run);
+    const prepared = { author: request.author, base: first.value.document, changes };
+    const result = await this.writeUntilSettled(prepared, first.value, run);
     this.report(result, request);
     return result;
   }
@@ -104,9 +102,9 @@
   ): Promise<Result<EditOutcome, TreeError>> {
     let current = first;
     for (;;) {
-      const next = this.rebase(prepared, current, run.request);
+      const next = this.rebase(prepared, current, run);
       if (next.isErr) return Result.err(next.error);
-      if (next.value === current.document) return unchanged(current, run);
+      if (!next.value) return unchanged(current, run);
       run.attempts += 1;
       const written = await this.options.platform.putIfVersion(
         limits.TREE_OBJECT_KEY,
@@ -121,32 +119,34 @@
       const replay = findReplay(read.value, run.request);
       if (replay)
         return replay.map((outcome) => ({ ...outcome, outcome: 'applied', attempts: run.attempts }));
-      // A newer version without the token: a lost write can no longer take effect.
-      if (read.value.version > current.version) run.outcomeOpen = false;
-      if (run.attempts >= limits.MAX_EDIT_ATTEMPTS || this.isLate(run))
-        return Result.err(gaveUp(run, written.error));
+      const verdict = judgeReadBack({
+        isTokenFound: false,
+        isNewerVersion: read.value.version > current.version,
+        isOutcomeOpen: run.outcomeOpen,
+        attempts: run.attempts,
+        isLate: this.isLate(run),
+      });
+      run.outcomeOpen = verdict.isOutcomeOpen;
+      if (verdict.kind === 'give-up') return Result.err(gaveUp(run, written.error));
       current = read.value;
     }
   }
 
-  /** The document to write: our changes on the current tree; the current document itself when nothing changes. */
+  /** The document to write; undefined when there is nothing to change. */
   private rebase(
     prepared: PreparedEdit,
     current: VersionedTree,
-    request: EditRequest,
-  ): Result<TreeDocument, TreeError> {
-    if (current.document !== prepared.base) {
-      const ours = { author: request.author, changes: prepared.changes };
-      const conflicts = findConflicts(ours, prepared.base, current.document);
-      if (conflicts.length > 0) return Result.err(new EditConflictError(conflicts));
+    run: EditRun,
+  ): Result<TreeDocument | undefined, TreeError> {
+    const { request } = run;
+    const next = rebaseEdit(prepared, current.document);
+    if (next.kind === 'conflict') return Result.err(new EditConflictError(next.conflicts));
+    if (isRaced(prepared, current.document)) {
       this.events.emit(SETTINGS_EVENTS.editRebased, { author: request.author, version: current.version });
     }
-    const target = applyChanges(current.document, prepared.changes);
-    const changes = diffTrees(current.document, target);
-    if (changes.length === 0) return Result.ok(current.document);
-    const faults = validateDocument(target);
-    if (faults.length > 0) return Result.err(new InvalidTreeError(faults));
-    return Result.ok(this.withRecord(target, changes, request));
+    if (next.kind === 'unchanged') return Result.ok(undefined);
+    if (next.kind === 'invalid') return Result.err(new InvalidTreeError(next.faults));
+    return Result.ok(this.withRecord(next.target, next.changes, request));
   }
 
   private withRecord(
@@ -166,7 +166,7 @@
   }
 
   private noteFailure(error: StoreError, run: EditRun): void {
-    if (error.kind === 'platform.version-conflict' || error.kind === 'platform.unreachable') return;
+    if (!mayHaveTakenEffect(error.kind)) return;
     run.outcomeOpen = true;
     const fields = { token: run.request.token, reason: error.kind };
     this.events.emit(SETTINGS_EVENTS.outcomeReadBack, fields);
@@ -243,12 +243,13 @@
 }
 
 function gaveUp(run: EditRun, error: StoreError): TreeError {
-  if (run.outcomeOpen) {
+  const kind = giveUpKind(run.outcomeOpen, error.kind);
+  if (kind === 'settings.outcome-unknown') {
     const message = `It is not known whether the edit took effect: ${error.problem}`;
     const remedy = `Repeat it with the same token (${run.request.token}); it is applied at most once`;
-    return new TreeError('settings.outcome-unknown', message, remedy, { cause: error });
+    return new TreeError(kind, message, remedy, { cause: error });
   }
-  if (error.kind !== 'platform.version-conflict') return unavailable(error);
+  if (kind === 'settings.platform-unavailable') return unavailable(error);
   const message = `Other edits came first ${run.attempts} times; nothing was written`;
-  return new TreeError('settings.too-many-races', message, 'Repeat the edit', { cause: error });
+  return new TreeError(kind, message, 'Repeat the edit', { cause: error });
 }
