--- a/src/gue-edge/daemon/control-plane.ts
+++ b/src/gue-edge/daemon/control-plane.ts
@@ -12,6 +12,7 @@
 import type { EventLog } from '../../observability/event.js';
 import type { LoadView } from '../placement/types.js';
 import type { StoreClient } from '../../store/index.js';
+import { mayBecomeActive } from './readiness.js';
 
 /** Who this balancer is and where it is reached; all ports are bound already. */
 export interface BalancerIdentity {
@@ -100,8 +101,12 @@
   ) {}
 
   mayActivate(): boolean {
-    const meetsRegion = this.joined || this.membership.view().quorate || this.membership.mayFoundRegion();
-    return this.settings.current() !== undefined && meetsRegion;
+    return mayBecomeActive({
+      hasSettings: this.settings.current() !== undefined,
+      hasJoined: this.joined,
+      isQuorate: this.membership.view().quorate,
+      mayFoundRegion: this.membership.mayFoundRegion(),
+    });
   }
 
   start(): void {
--- a/src/gue-edge/daemon/daemon.ts
+++ b/src/gue-edge/daemon/daemon.ts
@@ -1,4 +1,10 @@
-/** The life of one balancer: it joins, becomes active, rereads its configuration, hands over and stops. */
+/**
+ * The life of one balancer: it joins, becomes active, rereads its configuration, hands over and stops.
+ *
+ * Owns the phase and the configuration in force. Relies on `readiness.ts` for when new flows may come, on `planned-stop.ts` for
+ * the hand-over, and on the wired components. The end of every life has one order: guards, control plane, data path, the client of
+ * the store, the sockets of data and control, and the admin address last, so that it shows the phase until then.
+ */
 import { formatEndpoint } from '../../common/types.js';
 import type { AdminSource, Readiness } from '../../observability/index.js';
 import { DaemonMetrics } from './metrics.js';
@@ -8,6 +14,7 @@
 import { delay } from '../../common/drain.js';
 import { DAEMON_EVENTS } from './events.js';
 import { leaveAndHandOver } from './planned-stop.js';
+import { reasonsNotReady } from './readiness.js';
 import type { DaemonPhase, DaemonStatus, DaemonSummary } from './status.js';
 import { describeDaemon, snapshotMetrics, summarizeDaemon } from './status-source.js';
 import { wireDaemon } from './wiring.js';
@@ -33,10 +40,7 @@
   private phase: DaemonPhase = 'starting';
   private stopped: Promise<void> | undefined;
   private lastReady: boolean | undefined;
-  /**
-   * True once the first shards were taken over. Later takeovers do not end readiness: meanwhile packets are relayed
-   * to the previous holder, and all balancers that take over at once would leave the fabric with none.
-   */
+  /** True once the first shards were taken over. */
   private hasServed = false;
   readonly metrics = new DaemonMetrics(() => snapshotMetrics(this.components, this.readiness()));
 
@@ -89,11 +93,12 @@
   /** Whether new flows may come here, with every reason why not. */
   readiness(): Readiness {
     const { controlPlane, dataPlane } = this.components;
-    const reasons: string[] = [];
-    if (this.phase !== 'active') reasons.push(this.phase);
-    if (!controlPlane.settings.current()) reasons.push('no settings');
-    if (!controlPlane.membership.view().quorate) reasons.push('no quorum');
-    if (!this.hasServed && !dataPlane.forwarder.isServing()) reasons.push('first shards not taken over yet');
+    const reasons = reasonsNotReady({
+      phase: this.phase,
+      hasSettings: controlPlane.settings.current() !== undefined,
+      isQuorate: controlPlane.membership.view().quorate,
+      hasServed: this.hasServed || dataPlane.forwarder.isServing(),
+    });
     return { ready: reasons.length === 0, reasons };
   }
 
--- a/src/gue-edge/daemon/limit-guard.ts
+++ b/src/gue-edge/daemon/limit-guard.ts
@@ -1,4 +1,10 @@
-/** Compares a measure of the process with its limit and reports when it is reached and when it has fallen again. */
+/**
+ * Compares a measure of the process with its limit and reports when it is reached and when it has fallen again.
+ *
+ * What the rule prevents: that openings are refused and accepted in turns while the measure moves about its limit (hysteresis).
+ *
+ * Owns the last verdict. Relies on a clock for the checks, so a limit is passed by what comes within `LIMIT_CHECK_INTERVAL_MS`.
+ */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { EventDefinition, EventLog } from '../../observability/event.js';
 import { LIMIT_CHECK_INTERVAL_MS, LIMIT_RECOVERY_SHARE } from './constants.js';
@@ -14,6 +20,14 @@
   readonly recovered: EventDefinition;
 }
 
+/**
+ * True when `value` counts as above `limit`, in the same unit: at the limit itself it does, and once it did, until it is below
+ * `LIMIT_RECOVERY_SHARE` of the limit.
+ */
+export function isLimitExceeded(wasExceeded: boolean, value: number, limit: number): boolean {
+  return value >= (wasExceeded ? limit * LIMIT_RECOVERY_SHARE : limit);
+}
+
 /** Checks once a second; a limit that was reached counts as exceeded until the measure falls below 90% of it. */
 export class LimitGuard {
   private above = false;
@@ -41,7 +55,7 @@
     const { events, reached, recovered } = this.options;
     const value = this.options.measure();
     const limit = this.options.limit();
-    const above = value >= (this.above ? limit * LIMIT_RECOVERY_SHARE : limit);
+    const above = isLimitExceeded(this.above, value, limit);
     if (above === this.above) return;
     this.above = above;
     events.emit(above ? reached : recovered, { value: Math.round(value), limit });
--- a/src/gue-edge/daemon/planned-stop.ts
+++ b/src/gue-edge/daemon/planned-stop.ts
@@ -1,16 +1,25 @@
-/** The planned stop of a balancer: it leaves, hands its flows over and relays until no packet arrives. */
+/**
+ * The planned stop of a balancer: it leaves, hands its flows over and relays until no packet arrives.
+ *
+ * What the order prevents: that flows are lost. The heirs are counted before the leave is announced, while the view still shows
+ * them all; the leave comes before the hand-over, because it makes the others owners of the shards; the wait comes last, because
+ * the fabric and the back ends send to this balancer until they have turned away.
+ *
+ * Owns nothing. Relies on the membership view, the flow keeper's hand-over and the count of packets received.
+ */
 import type { Components } from './components.js';
 import type { DaemonConfig } from './config.js';
 import { HANDOVER_TIMEOUT_MS } from './constants.js';
 import { waitUntilQuiet } from '../../common/drain.js';
 import { DAEMON_EVENTS } from './events.js';
+import type { Member } from '../membership/index.js';
 
 /** Announces the leave, hands over and waits for quiet. Packets are relayed to the new keepers until it resolves. */
 export async function leaveAndHandOver(components: Components, drain: DaemonConfig['drain']): Promise<void> {
-  const { clock, events, gate, controlPlane } = components;
-  const hasHeirs = countOtherOwners(components) > 0;
+  const { clock, events, gate, controlPlane, identity } = components;
+  const canHandOver = hasHeirs(identity.id, controlPlane.membership.view().members);
   controlPlane.membership.leave();
-  if (!hasHeirs) {
+  if (!canHandOver) {
     events.emit(DAEMON_EVENTS.noHeir, { openFlows: components.dataPlane.forwarder.statistics().open });
     return;
   }
@@ -20,10 +29,17 @@
   if (!quiet) events.emit(DAEMON_EVENTS.drainTimedOut, { maxMs });
 }
 
-function countOtherOwners({ controlPlane, identity }: Components): number {
-  const { members } = controlPlane.membership.view();
-  return members.filter(({ id, state }) => id !== identity.id && (state === 'active' || state === 'suspect'))
-    .length;
+/** A member of the view, as far as it matters here. */
+type Heir = Pick<Member, 'id' | 'state'>;
+
+/** True when another member can take over the shards of `selfId`: an active one, also while it is suspected. */
+export function hasHeirs(selfId: string, members: readonly Heir[]): boolean {
+  return members.some(({ id, state }) => id !== selfId && (state === 'active' || state === 'suspect'));
+}
+
+/** True when a hand-over left nothing behind: neither own flows nor replicas without a holder. */
+export function isHandedOver({ left, replicasLeft }: { left: number; replicasLeft: number }): boolean {
+  return left + replicasLeft === 0;
 }
 
 async function handOver({ clock, events, dataPlane }: Components): Promise<void> {
@@ -31,6 +47,7 @@
   const timer = clock.schedule(HANDOVER_TIMEOUT_MS, () => timeout.abort());
   const report = await dataPlane.forwarder.handOver(timeout.signal);
   timer.cancel();
-  const complete = report.left + report.replicasLeft === 0;
-  events.emit(complete ? DAEMON_EVENTS.handedOver : DAEMON_EVENTS.handoverIncomplete, { ...report });
+  events.emit(isHandedOver(report) ? DAEMON_EVENTS.handedOver : DAEMON_EVENTS.handoverIncomplete, {
+    ...report,
+  });
 }
