--- a/src/common/drain.ts
+++ b/src/common/drain.ts
@@ -1,7 +1,7 @@
 /** Waits until no data packet arrives any more, within a longest time. */
 import type { Clock } from './clock.js';
 
-/** How often a stopping daemon looks whether packets still arrive, in ms. */
+/** How often a stopping daemon looks whether packets still arrive, in ms. Not measured; chosen small against the seconds of a drain. */
 const DRAIN_POLL_INTERVAL_MS = 100;
 
 /** What the wait looks at. */
--- a/src/common/mechanisms.ts
+++ b/src/common/mechanisms.ts
@@ -36,7 +36,7 @@
   'standing-down',
   /** Proofs are sent once more after a change. */
   'repeated-confirmations',
-  /** Who lags gets the changes that it lacks; otherwise everything. */
+  /** A daemon that lags behind is sent the changes that it lacks; without this, the whole state. */
   'change-log',
   /** Topics that seldom change are watched less often; answers about another topic confirm them. */
   'long-watches',
--- a/src/common/pause-detector.ts
+++ b/src/common/pause-detector.ts
@@ -1,9 +1,11 @@
 /**
- * Detects that the process was paused. What was queued in a socket meanwhile is old: a copy of a SYN may long have opened its
- * flow through another balancer, and a message between daemons seems newer than it is.
+ * Detects that the process was paused. What was queued in a socket meanwhile is old: a later retransmission of a SYN may have
+ * opened its flow through another daemon, and a message between daemons seems newer than it is.
+ *
+ * Owns the time of the last tick and whether datagrams from before it are still being read. Relies on its caller for ticks and reads.
  */
 
-/** A tick this late, in ms, means that the process was paused. */
+/** A tick this late, in ms, means that the process was paused. Not measured; chosen longer than the 100 ms between two ticks. */
 const PAUSE_MS = 150;
 
 /**
@@ -18,7 +20,7 @@
 /** Calls back at the end of the turn of the event loop, after what could be read was read. */
 type AfterReads = (callback: () => void) => void;
 
-/** See the module. Times are monotonic ms. */
+/** One for each process with a data path. Times are monotonic ms. */
 export class PauseDetector {
   private lastTickMs: number;
   /** True from the end of a pause until all that waited through it has been read. */
--- a/src/gue-edge/control/constants.ts
+++ b/src/gue-edge/control/constants.ts
@@ -1,7 +1,8 @@
 /** Limits and defaults of the control channel. */
 
-/** Protocol versions that this build speaks: so far there is one. */
+/** Lowest protocol version that this build speaks: there is one so far. */
 export const PROTOCOL_VERSION_MIN = 1;
+/** Highest protocol version that this build speaks: there is one so far. */
 export const PROTOCOL_VERSION_MAX = 1;
 
 /** Bytes of the truncated HMAC-SHA256 at the end of each datagram: half of the code's length, the least that RFC 2104 recommends. */
@@ -22,7 +23,7 @@
 /** Sequence numbers behind the highest seen one that are still accepted once each. Not measured; chosen above the datagrams that a sender's whole budget of a second gives. */
 export const REPLAY_WINDOW = 1_024;
 
-/** A sender not heard for this long is forgotten and must show a fresh clock again; above twice the skew. */
+/** A sender not heard for this long, in ms, is forgotten and must show a fresh clock again. Not measured; chosen far above twice `MAX_CLOCK_SKEW_MS`, below which its recorded datagrams could pass. */
 export const REPLAY_FORGET_MS = 600_000;
 
 /** Control bytes a second that one daemon may send, IP and UDP headers included: a bound of the platform. */
--- a/src/gue-edge/control/meter.ts
+++ b/src/gue-edge/control/meter.ts
@@ -1,4 +1,8 @@
-/** Counts control bytes by kind and direction and averages them over the last RATE_WINDOW_MS. */
+/**
+ * Counts control bytes by kind and direction and averages them over the last RATE_WINDOW_MS.
+ *
+ * Owns the counts; decides nothing. The budget (`budget.ts`) limits what is sent, this module only reports it.
+ */
 import type { Clock } from '../../common/clock.js';
 import { RATE_WINDOW_MS, RATE_WINDOW_SLOTS } from './constants.js';
 import { CONTROL_KINDS, type ControlKind } from './types.js';
--- a/src/gue-edge/daemon/constants.ts
+++ b/src/gue-edge/daemon/constants.ts
@@ -6,7 +6,7 @@
 /** Openings that may wait for a backup's acknowledgement at once by default. Not measured; chosen as over 200 s of openings at the size to design for. */
 export const DEFAULT_MAX_PENDING_OPENINGS = 20_000;
 
-/** Resident memory in MB above which openings are refused by default. */
+/** Resident memory in MB above which openings are refused by default. Not measured; chosen without a bound of the platform, for an operator to adapt. */
 export const DEFAULT_MAX_MEMORY_MEGABYTES = 1_024;
 
 /** A limit that was reached counts as exceeded until the measure is below this share of it (hysteresis). Not measured. */
--- a/src/gue-edge/daemon/index.ts
+++ b/src/gue-edge/daemon/index.ts
@@ -1,6 +1,9 @@
 /**
  * The daemon: configuration, wiring and life of one balancer.
  *
+ * Owns the process: sockets, signals, limits on memory and flows, readiness, and the order of start and stop. Relies on every other
+ * folder of the GUE edge, on the store's client and on observability; nothing imports it but the command line and the experiments.
+ *
  * ```ts
  * const config = loadDaemonConfig('balancer-1.yaml', { zone: 'halle-nord' });
  * const daemon = await Daemon.start(config, { clock, random, events });
--- a/src/gue-edge/dissemination/reader-candidates.ts
+++ b/src/gue-edge/dissemination/reader-candidates.ts
@@ -1,4 +1,11 @@
-/** Which members try to take which reader lease: a pure function of the membership view. */
+/**
+ * Decides which members try to take which reader lease: a pure function of the membership view.
+ *
+ * What the rule prevents: that every member asks the store for leases, and that the loss of one zone leaves no candidate. Members with
+ * the same view agree; with different views more members ask, and the store grants each lease to one of them all the same.
+ *
+ * Owns nothing; relies on rendezvous hashes, so that a member that leaves changes the candidates only where it was one.
+ */
 import { hashString } from '../../common/hash.js';
 import type { Member } from '../membership/types.js';
 import { CANDIDATES_PER_LEASE, READER_LEASE_PREFIX, READERS_PER_REGION } from './constants.js';
--- a/src/gue-edge/dissemination/stamp.ts
+++ b/src/gue-edge/dissemination/stamp.ts
@@ -1,4 +1,10 @@
-/** Identity and order of trees. */
+/**
+ * Identity and order of trees: decides which of two trees supersedes the other, for all members alike.
+ *
+ * What the rule prevents: that members which meet in any order end with different trees, or go back to an older version.
+ *
+ * Owns nothing; relies on the version and the fencing token that the store gave.
+ */
 import type { sailquay } from './pb/dissemination.js';
 import { badMessage } from './errors.js';
 
@@ -15,7 +21,7 @@
   readonly nodeCount: number;
 }
 
-/** Bytes of a digest. */
+/** Bytes of a digest on the wire; a change needs a new protocol version. */
 const DIGEST_BYTES = 8;
 
 /** Stamp of a member that has no tree. */
--- a/src/gue-edge/membership/accusations.ts
+++ b/src/gue-edge/membership/accusations.ts
@@ -4,7 +4,7 @@
 import type { MemberRecord } from './member-record.js';
 import type { MemberTable } from './member-table.js';
 import type { Suspicions } from './suspicion.js';
-import type { MemberNews } from './wire.js';
+import type { MemberUpdate } from './wire.js';
 
 /** What accusations are kept and gossiped with. */
 interface AccusationsContext {
@@ -34,10 +34,10 @@
   }
 
   /** Another member suspects a member; counts only while that version of it is suspected here as well. */
-  confirm(news: MemberNews): void {
-    const known = this.context.table.get(news.idHash);
-    const sameVersion = known?.incarnation === news.incarnation && known.refutation === news.refutation;
-    if (known?.suspected && sameVersion) this.accuse(known, news.accuserHash);
+  confirm(update: MemberUpdate): void {
+    const known = this.context.table.get(update.idHash);
+    const sameVersion = known?.incarnation === update.incarnation && known.refutation === update.refutation;
+    if (known?.suspected && sameVersion) this.accuse(known, update.accuserHash);
   }
 
   /** Adds an accuser to a running suspicion and gossips it when it is a new one. */
--- a/src/gue-edge/membership/constants.ts
+++ b/src/gue-edge/membership/constants.ts
@@ -62,20 +62,20 @@
 export const INDIRECT_PROBES = 3;
 
 /** Members that get each gossip round. Not measured; chosen because three reach a region of 400 in about six rounds (3^6 = 729). */
-export const GOSSIP_FANOUT = 3;
+export const MEMBERSHIP_FANOUT = 3;
 
 /** With less of the byte budget free than this, in bytes a second, gossip goes to one member a round. Not measured; chosen as about 40% of the budget, which leaves the rest to hand-overs. */
 export const GOSSIP_RESERVE_BYTES_PER_SECOND = 12_000;
 
-/** Each update is sent RETRANSMIT_FACTOR * ceil(log10(members + 1)) times by each member. Not measured alone; with it 5% of loss removes nobody in a simulated region of 12 for 120 s. */
+/** Each update is sent RETRANSMIT_FACTOR * ceil(log10(members + 1)) times by each member. Not measured alone; with it 5% of loss removes no member of a simulated region of 12 within 120 s. */
 export const RETRANSMIT_FACTOR = 4;
 
 /** Bytes of entries in a probe, and in a gossip or state message: about 18 updates of 16 bytes, and what fits a datagram beside the envelope. Not measured against others. */
 export const PIGGYBACK_BYTES = 300;
 export const GOSSIP_BYTES = 1_000;
 
-/** Buckets of the state digest; fixed by the 32-bit mask on the wire. */
-export const DIGEST_BUCKETS = 32;
+/** Buckets of the digest of members: one for each bit of the 32-bit mask on the wire, which cannot change without a new protocol version. */
+export const MEMBER_DIGEST_BUCKETS = 32;
 
 /** Time between the messages of one state transfer, in ms: 1,000 bytes each 50 ms stay below the 28 KB/s of the control budget. */
 export const SYNC_CHUNK_INTERVAL_MS = 50;
@@ -92,7 +92,7 @@
 /** A probe round that starts this late, in ms, is a sign that the process is slow. Not measured; chosen as a fifth of the probe interval. */
 export const LATE_ROUND_MS = 100;
 
-/** Members that left are remembered this long, in ms, so that late news cannot revive them. Not measured; chosen well above the longest state exchange interval. */
+/** Members that left are remembered this long, in ms, so that a late update cannot revive them. Not measured; chosen well above the longest state exchange interval. */
 export const LEFT_RETENTION_MS = 300_000;
 
 /** Members that failed are remembered, and now and then contacted, this long, in ms: a partition may last hours. Not measured; chosen as a day. */
@@ -110,11 +110,11 @@
 /** Seeds asked in one attempt. Not measured; chosen so that two of them may be down. */
 export const JOIN_FANOUT = 3;
 
-/** Probes in a row without an answer from the target or from any helper, after which this member counts as cut off. */
+/** Probes in a row without an answer from the target or from any helper, after which this member counts as cut off. Not measured; chosen so that one or two members that crash together do not look like a cut. */
 export const BLIND_PROBES = 3;
 
-/** Changes are gathered this long while a zone is silent, so that its loss is one change of the view or a few. */
+/** Changes are gathered this long while a zone is silent, so that its loss is one change of the view or a few. Not measured; chosen as ten times the usual `viewBatchMs`. */
 export const ZONE_VIEW_BATCH_MS = 1_000;
 
-/** A member enters the quorum base after it was active, and nobody suspected, for this long; above the time to notice a cut. */
+/** A member enters the quorum base after it was active, without any suspicion, for this long, in ms. Not measured; chosen above the time to notice a cut. */
 export const ADMISSION_WAIT_MS = 5_000;
--- a/src/gue-edge/membership/gossip-queue.ts
+++ b/src/gue-edge/membership/gossip-queue.ts
@@ -1,9 +1,13 @@
-/** News waiting to be spread: each piece is sent a limited number of times, the least sent first. */
+/**
+ * Updates waiting to be gossiped: each is sent a limited number of times, the least sent first.
+ *
+ * Owns the encoded updates and how often each was sent. Relies on the number of live members for the limit.
+ */
 import { RETRANSMIT_FACTOR } from './constants.js';
 import type { MemberRecord } from './member-record.js';
 import { encodeEntry } from './wire.js';
 
-interface QueuedNews {
+interface QueuedUpdate {
   readonly bytes: Uint8Array;
   /** The entry carries id, zone and endpoints. */
   readonly introduce: boolean;
@@ -12,15 +16,15 @@
 /** Bytes that a repeated protobuf field adds to an entry of less than 128 bytes. */
 const ENTRY_HEADER_BYTES = 2;
 
-/** Times each piece of news is sent by each member, in a region of `members`. */
+/** Times that each member sends each update, in a region of `members`. */
 export function retransmitLimit(members: number): number {
   return RETRANSMIT_FACTOR * Math.max(1, Math.ceil(Math.log10(members + 1)));
 }
 
-/** At most one piece of news for each member; later news takes the place of earlier. */
+/** At most one update for each member; a later one replaces an earlier one. */
 export class GossipQueue {
-  /** Level k holds the news sent k times, oldest first, by id hash. */
-  private readonly levels: Map<number, QueuedNews>[] = [new Map()];
+  /** Level k holds the updates sent k times, oldest first, by id hash. */
+  private readonly levels: Map<number, QueuedUpdate>[] = [new Map()];
   private count = 0;
 
   /** `memberCount` is asked at each selection. */
@@ -43,37 +47,37 @@
   take(maxBytes: number): Uint8Array[] {
     if (this.count === 0) return [];
     const limit = retransmitLimit(this.memberCount());
-    const taken: { readonly idHash: number; readonly news: QueuedNews; readonly level: number }[] = [];
+    const taken: { readonly idHash: number; readonly update: QueuedUpdate; readonly level: number }[] = [];
     let bytes = 0;
     for (let level = 0; level < this.levels.length; level += 1) {
-      for (const [idHash, news] of this.levels[level]!) {
-        const size = news.bytes.length + ENTRY_HEADER_BYTES;
+      for (const [idHash, update] of this.levels[level]!) {
+        const size = update.bytes.length + ENTRY_HEADER_BYTES;
         if (bytes + size > maxBytes) break;
         bytes += size;
-        taken.push({ idHash, news, level });
+        taken.push({ idHash, update, level });
       }
     }
-    for (const { idHash, news, level } of taken) this.promote(idHash, news, level, limit);
-    return taken.map(({ news }) => news.bytes);
+    for (const { idHash, update, level } of taken) this.promote(idHash, update, level, limit);
+    return taken.map(({ update }) => update.bytes);
   }
 
-  private promote(idHash: number, news: QueuedNews, level: number, limit: number): void {
+  private promote(idHash: number, update: QueuedUpdate, level: number, limit: number): void {
     this.levels[level]!.delete(idHash);
     if (level + 1 >= limit) {
       this.count -= 1;
       return;
     }
     this.levels[level + 1] ??= new Map();
-    this.levels[level + 1]!.set(idHash, news);
+    this.levels[level + 1]!.set(idHash, update);
   }
 
-  private remove(idHash: number): QueuedNews | undefined {
+  private remove(idHash: number): QueuedUpdate | undefined {
     for (const level of this.levels) {
-      const news = level.get(idHash);
-      if (!news) continue;
+      const update = level.get(idHash);
+      if (!update) continue;
       level.delete(idHash);
       this.count -= 1;
-      return news;
+      return update;
     }
     return undefined;
   }
--- a/src/gue-edge/membership/gossiper.ts
+++ b/src/gue-edge/membership/gossiper.ts
@@ -1,9 +1,13 @@
-/** Gossip rounds: while there is news, a few random members get some of it in each round. */
+/**
+ * Gossip rounds: while updates are queued, each round sends some of them to a few random members.
+ *
+ * Owns the timer of the next round. Relies on the queue for what is sent, and on the byte budget for how many members get it.
+ */
 import type { RandomSource } from '../../common/random.js';
 import type { TimerHandle } from '../../common/clock.js';
 import {
   GOSSIP_BYTES,
-  GOSSIP_FANOUT,
+  MEMBERSHIP_FANOUT,
   GOSSIP_RESERVE_BYTES_PER_SECOND,
   type MembershipTiming,
 } from './constants.js';
@@ -32,7 +36,7 @@
 
   constructor(private readonly context: GossiperContext) {}
 
-  /** Makes sure that a round is coming; call it after queueing news. */
+  /** Schedules a round unless one is due; call it after queueing an update. */
   wake(): void {
     if (this.timer || this.stopped) return;
     const { timers, timing } = this.context;
@@ -43,7 +47,7 @@
     });
   }
 
-  /** Sends news to `fanout` members now. */
+  /** Sends queued updates to `fanout` members now. */
   spread(fanout: number): void {
     const { table, queue, random, messenger } = this.context;
     const isWell = (member: { suspected: boolean }): boolean => !member.suspected;
@@ -55,7 +59,7 @@
 
   /** One member instead of several while the byte budget is nearly used up. */
   private affordableFanout(): number {
-    return this.context.availableBytesPerSecond() < GOSSIP_RESERVE_BYTES_PER_SECOND ? 1 : GOSSIP_FANOUT;
+    return this.context.availableBytesPerSecond() < GOSSIP_RESERVE_BYTES_PER_SECOND ? 1 : MEMBERSHIP_FANOUT;
   }
 
   stop(): void {
--- a/src/gue-edge/membership/joiner.ts
+++ b/src/gue-edge/membership/joiner.ts
@@ -19,15 +19,16 @@
   readonly seeds: readonly Endpoint[];
   readonly platform: Pick<StoreClient, 'listMachines'> | undefined;
   readonly events: EventLog;
-  /** Asks whoever is at an address for its state. */
+  /** Requests the state of the member at an address. */
   readonly contact: (endpoint: Endpoint) => void;
   /** True on the one member that reads the machine list for the region. */
   readonly isListReader: () => boolean;
 }
 
+/** Share of a retry interval that is random, either way, so that members that start together do not ask together. Not measured. */
 const RETRY_JITTER = 0.3;
 
-/** Tries until somebody answers; later, whenever nobody is left, or unknown machines are listed, tries again. */
+/** Retries until a member answers; starts again when no live peer is left, or when the machine list names machines not known. */
 export class Joiner {
   private timer: TimerHandle | undefined;
   private retryMs = JOIN_RETRY_MIN_MS;
@@ -38,7 +39,7 @@
 
   constructor(private readonly context: JoinerContext) {}
 
-  /** Resolves at the first contact, or at once when there is nobody to ask. */
+  /** Resolves at the first contact, or at once when there are neither seeds nor a platform to ask. */
   async join(): Promise<void> {
     const hasHints = this.context.seeds.length > 0 || this.context.platform !== undefined;
     const joined = new Promise<void>((resolve) => {
--- a/src/gue-edge/membership/member-merge.test.ts
+++ b/src/gue-edge/membership/member-merge.test.ts
@@ -3,7 +3,7 @@
 import { hashString } from '../../common/hash.js';
 import { decideMerge, type MergeOutcome } from './member-merge.js';
 import { newRecord, type Lifecycle, type MemberIdentity, type MemberRecord } from './member-record.js';
-import type { MemberNews } from './wire.js';
+import type { MemberUpdate } from './wire.js';
 
 const ENDPOINT = { host: '10.0.0.1', port: 1 };
 const NOW_MS = 7;
@@ -15,7 +15,7 @@
 }
 
 /** `version` is `incarnation.refutation`. */
-function report(version: string, lifecycle: Lifecycle, more: Partial<MemberNews> = {}): MemberNews {
+function report(version: string, lifecycle: Lifecycle, more: Partial<MemberUpdate> = {}): MemberUpdate {
   const [incarnation = 0, refutation = 0] = version.split('.').map(Number);
   const base = { idHash: hashString('b'), identity: identity('b'), incarnation, refutation, lifecycle };
   return { ...base, suspected: false, accuserHash: 0, ...more };
@@ -32,7 +32,7 @@
   return `${incarnation}.${refutation} ${lifecycle}${suspected ? '?' : ''}`;
 }
 
-type Case = readonly [string, MemberRecord | undefined, MemberNews, MergeOutcome, string];
+type Case = readonly [string, MemberRecord | undefined, MemberUpdate, MergeOutcome, string];
 
 const ABOUT_OTHERS: readonly Case[] = [
   ['first report', undefined, report('5.0', 'active', SUSPECTED), 'changed', '5.0 active?'],
@@ -104,7 +104,7 @@
   });
 }
 
-const ABOUT_SELF: readonly (readonly [string, MemberRecord, MemberNews, MergeOutcome])[] = [
+const ABOUT_SELF: readonly (readonly [string, MemberRecord, MemberUpdate, MergeOutcome])[] = [
   ['nothing new', known('5.1', 'active'), report('5.1', 'active'), 'known'],
   ['suspicion', known('5.1', 'active'), report('5.1', 'active', SUSPECTED), 'accused'],
   ['failure', known('5.1', 'active'), report('5.1', 'failed'), 'accused'],
--- a/src/gue-edge/membership/member-merge.ts
+++ b/src/gue-edge/membership/member-merge.ts
@@ -14,7 +14,7 @@
   type Lifecycle,
   type MemberRecord,
 } from './member-record.js';
-import type { MemberNews } from './wire.js';
+import type { MemberUpdate } from './wire.js';
 
 /**
  * What becomes of a report. `changed`: it is stored. `known`: it says nothing new, or is out of date. `unknown`: it names a member
@@ -47,7 +47,7 @@
 const UNKNOWN: MergeDecision = { outcome: 'unknown' };
 
 /**
- * Decides what becomes of the report `news` about the member whose record is `known`.
+ * Decides what becomes of the report `update` about the member whose record is `known`.
  *
  * Order: a collision makes the report one about somebody else. A report about this member is never stored, only refuted. A later
  * incarnation overrules everything about the earlier one. A failure of a live member is only suspected. Else the version decides
@@ -55,44 +55,44 @@
  */
 export function decideMerge(
   known: MemberRecord | undefined,
-  news: MemberNews,
+  update: MemberUpdate,
   { isSelf, nowMs }: MergeContext,
 ): MergeDecision {
-  if (known && news.identity && news.identity.id !== known.identity.id) return { outcome: 'collision' };
-  if (!known) return admit(news, nowMs);
-  if (isSelf) return judgeAccusation(known, news);
-  if (news.incarnation > known.incarnation) return replace(known, news, nowMs);
-  const reportedFailed = news.lifecycle === 'failed' && !isRemoved(known);
-  if (!reportedFailed || compareVersions(news, known) < 0) return mergeSameProcess(known, news, nowMs);
-  const suspicion = { ...news, lifecycle: known.lifecycle, suspected: true };
+  if (known && update.identity && update.identity.id !== known.identity.id) return { outcome: 'collision' };
+  if (!known) return admit(update, nowMs);
+  if (isSelf) return judgeAccusation(known, update);
+  if (update.incarnation > known.incarnation) return replace(known, update, nowMs);
+  const reportedFailed = update.lifecycle === 'failed' && !isRemoved(known);
+  if (!reportedFailed || compareVersions(update, known) < 0) return mergeSameProcess(known, update, nowMs);
+  const suspicion = { ...update, lifecycle: known.lifecycle, suspected: true };
   return { ...mergeSameProcess(known, suspicion, nowMs), outcome: 'reported-failed' };
 }
 
 /** First report of a member. One that is removed already gets no record. */
-function admit(news: MemberNews, nowMs: number): MergeDecision {
-  if (isRemovedLifecycle(news.lifecycle)) return KNOWN;
-  if (!news.identity) return UNKNOWN;
-  const record = newRecord(news.identity, news, news.lifecycle, nowMs);
-  return { outcome: 'changed', record: { ...record, suspected: news.suspected } };
+function admit(update: MemberUpdate, nowMs: number): MergeDecision {
+  if (isRemovedLifecycle(update.lifecycle)) return KNOWN;
+  if (!update.identity) return UNKNOWN;
+  const record = newRecord(update.identity, update, update.lifecycle, nowMs);
+  return { outcome: 'changed', record: { ...record, suspected: update.suspected } };
 }
 
 /** A later incarnation: the process was restarted, perhaps elsewhere, and holds nothing. */
-function replace(known: MemberRecord, news: MemberNews, nowMs: number): MergeDecision {
-  if (!news.identity && !isRemovedLifecycle(news.lifecycle)) return UNKNOWN;
-  const record = newRecord(news.identity ?? known.identity, news, news.lifecycle, nowMs);
-  return { outcome: 'changed', record: { ...record, suspected: news.suspected }, isNewProcess: true };
+function replace(known: MemberRecord, update: MemberUpdate, nowMs: number): MergeDecision {
+  if (!update.identity && !isRemovedLifecycle(update.lifecycle)) return UNKNOWN;
+  const record = newRecord(update.identity ?? known.identity, update, update.lifecycle, nowMs);
+  return { outcome: 'changed', record: { ...record, suspected: update.suspected }, isNewProcess: true };
 }
 
-function mergeSameProcess(known: MemberRecord, news: MemberNews, nowMs: number): MergeDecision {
-  const order = compareVersions(news, known);
+function mergeSameProcess(known: MemberRecord, update: MemberUpdate, nowMs: number): MergeDecision {
+  const order = compareVersions(update, known);
   if (order < 0) return KNOWN;
   const removed = order === 0 && isRemoved(known);
-  if (removed && !isRemovedLifecycle(news.lifecycle)) return KNOWN;
-  const lifecycle = order > 0 ? news.lifecycle : laterLifecycle(known.lifecycle, news.lifecycle);
+  if (removed && !isRemovedLifecycle(update.lifecycle)) return KNOWN;
+  const lifecycle = order > 0 ? update.lifecycle : laterLifecycle(known.lifecycle, update.lifecycle);
   const isLive = !isRemovedLifecycle(lifecycle);
-  const suspected = isLive && (news.suspected || (order === 0 && known.suspected));
+  const suspected = isLive && (update.suspected || (order === 0 && known.suspected));
   if (order === 0 && lifecycle === known.lifecycle && suspected === known.suspected) return KNOWN;
-  const { incarnation, refutation } = news;
+  const { incarnation, refutation } = update;
   return {
     outcome: 'changed',
     record: { ...known, incarnation, refutation, lifecycle, suspected, changedAtMs: nowMs },
@@ -100,11 +100,11 @@
 }
 
 /** A report about this member. A newer version than its own can only be an accusation; a member that left refutes nothing. */
-function judgeAccusation(self: MemberRecord, news: MemberNews): MergeDecision {
+function judgeAccusation(self: MemberRecord, update: MemberUpdate): MergeDecision {
   if (self.lifecycle === 'left') return KNOWN;
-  const order = compareVersions(news, self);
-  if (news.incarnation > self.incarnation && !news.identity) return UNKNOWN;
-  const accused = order > 0 || news.suspected || isRemovedLifecycle(news.lifecycle);
+  const order = compareVersions(update, self);
+  if (update.incarnation > self.incarnation && !update.identity) return UNKNOWN;
+  const accused = order > 0 || update.suspected || isRemovedLifecycle(update.lifecycle);
   if (!accused) return KNOWN;
   return { outcome: order < 0 ? 'outdated-accusation' : 'accused' };
 }
--- a/src/gue-edge/membership/member-record.ts
+++ b/src/gue-edge/membership/member-record.ts
@@ -1,4 +1,8 @@
-/** What a member knows of a member, and the order of that knowledge. */
+/**
+ * What a member knows of a member, and the order of that knowledge.
+ *
+ * Owns no state; records are immutable and kept by the member table.
+ */
 import { hashString, combine32, mix32 } from '../../common/hash.js';
 import type { Endpoint } from '../../common/types.js';
 import type { Member, MemberState } from './types.js';
@@ -16,7 +20,7 @@
   readonly data: Endpoint;
 }
 
-/** Position of a piece of news: later ones overrule earlier ones. */
+/** Version of the knowledge of one member: a later one overrules an earlier one. */
 export interface MemberVersion {
   /** Milliseconds since the epoch at process start. */
   readonly incarnation: number;
@@ -35,7 +39,7 @@
   readonly changedAtMs: number;
 }
 
-/** Negative when `left` is older news than `right`, zero when equal. */
+/** Negative when `left` is older than `right`, zero when equal. */
 export function compareVersions(left: MemberVersion, right: MemberVersion): number {
   return left.incarnation - right.incarnation || left.refutation - right.refutation;
 }
--- a/src/gue-edge/membership/member-table.test.ts
+++ b/src/gue-edge/membership/member-table.test.ts
@@ -8,7 +8,7 @@
 import { MemberTable } from './member-table.js';
 import { suspicionTimeoutMs } from './suspicion-timeout.js';
 import { DEFAULT_MEMBERSHIP_TIMING } from './constants.js';
-import type { MemberNews } from './wire.js';
+import type { MemberUpdate } from './wire.js';
 
 const ENDPOINT = { host: '10.0.0.1', port: 1 };
 
@@ -22,8 +22,8 @@
   id: string,
   version: Version,
   lifecycle: Lifecycle,
-  more: Partial<MemberNews> = {},
-): MemberNews {
+  more: Partial<MemberUpdate> = {},
+): MemberUpdate {
   const [incarnation, refutation] = version;
   const base = { idHash: hashString(id), identity: identity(id), incarnation, refutation, lifecycle };
   return { ...base, suspected: false, accuserHash: 0, ...more };
@@ -32,57 +32,44 @@
 test('which news overrules which', (t) => {
   const suspected = { suspected: true, accuserHash: 9 };
   const short = { identity: undefined };
-  const cases: [name: string, known: MemberNews, heard: MemberNews, outcome: MergeOutcome, state: string][] =
+  const cases: [
+    name: string,
+    known: MemberUpdate,
+    heard: MemberUpdate,
+    outcome: MergeOutcome,
+    state: string,
+  ][] = [
+    ['later lifecycle', news('b', [5, 0], 'joining'), news('b', [5, 0], 'active'), 'changed', 'active'],
+    ['earlier lifecycle', news('b', [5, 0], 'leaving'), news('b', [5, 0], 'active'), 'known', 'leaving'],
+    ['suspicion', news('b', [5, 0], 'active'), news('b', [5, 0], 'active', suspected), 'changed', 'active?'],
     [
-      ['later lifecycle', news('b', [5, 0], 'joining'), news('b', [5, 0], 'active'), 'changed', 'active'],
-      ['earlier lifecycle', news('b', [5, 0], 'leaving'), news('b', [5, 0], 'active'), 'known', 'leaving'],
-      [
-        'suspicion',
-        news('b', [5, 0], 'active'),
-        news('b', [5, 0], 'active', suspected),
-        'changed',
-        'active?',
-      ],
-      [
-        'no refutation',
-        news('b', [5, 0], 'active', suspected),
-        news('b', [5, 0], 'active'),
-        'known',
-        'active?',
-      ],
-      [
-        'refutation',
-        news('b', [5, 0], 'active', suspected),
-        news('b', [5, 1], 'active'),
-        'changed',
-        'active',
-      ],
-      [
-        'old suspicion',
-        news('b', [5, 1], 'active'),
-        news('b', [5, 0], 'active', suspected),
-        'known',
-        'active',
-      ],
-      ['restart', news('b', [5, 7], 'active'), news('b', [6, 0], 'joining'), 'changed', 'joining'],
-      [
-        'unknown restart',
-        news('b', [5, 0], 'active'),
-        news('b', [6, 0], 'joining', short),
-        'unknown',
-        'active',
-      ],
-      ['old process', news('b', [6, 0], 'active'), news('b', [5, 9], 'failed'), 'known', 'active'],
-      [
-        'reported failure',
-        news('b', [5, 0], 'active'),
-        news('b', [5, 0], 'failed'),
-        'reported-failed',
-        'active?',
-      ],
-      ['planned leave', news('b', [5, 0], 'active'), news('b', [5, 0], 'left', short), 'changed', 'left'],
-      ['never from the dead', news('b', [5, 0], 'left'), news('b', [5, 0], 'active'), 'changed', 'active'],
-    ];
+      'no refutation',
+      news('b', [5, 0], 'active', suspected),
+      news('b', [5, 0], 'active'),
+      'known',
+      'active?',
+    ],
+    ['refutation', news('b', [5, 0], 'active', suspected), news('b', [5, 1], 'active'), 'changed', 'active'],
+    ['old suspicion', news('b', [5, 1], 'active'), news('b', [5, 0], 'active', suspected), 'known', 'active'],
+    ['restart', news('b', [5, 7], 'active'), news('b', [6, 0], 'joining'), 'changed', 'joining'],
+    [
+      'unknown restart',
+      news('b', [5, 0], 'active'),
+      news('b', [6, 0], 'joining', short),
+      'unknown',
+      'active',
+    ],
+    ['old process', news('b', [6, 0], 'active'), news('b', [5, 9], 'failed'), 'known', 'active'],
+    [
+      'reported failure',
+      news('b', [5, 0], 'active'),
+      news('b', [5, 0], 'failed'),
+      'reported-failed',
+      'active?',
+    ],
+    ['planned leave', news('b', [5, 0], 'active'), news('b', [5, 0], 'left', short), 'changed', 'left'],
+    ['never from the dead', news('b', [5, 0], 'left'), news('b', [5, 0], 'active'), 'changed', 'active'],
+  ];
   for (const [name, known, heard, outcome, state] of cases) {
     const table = new MemberTable(new VirtualClock(), identity('a'), 1);
     table.merge(known);
--- a/src/gue-edge/membership/member-table.ts
+++ b/src/gue-edge/membership/member-table.ts
@@ -7,7 +7,7 @@
 import type { Clock } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
 import { hashString } from '../../common/hash.js';
-import { DIGEST_BUCKETS, FAILED_RETENTION_MS, LEFT_RETENTION_MS } from './constants.js';
+import { MEMBER_DIGEST_BUCKETS, FAILED_RETENTION_MS, LEFT_RETENTION_MS } from './constants.js';
 import {
   isRemoved,
   newRecord,
@@ -18,7 +18,7 @@
   type MemberVersion,
 } from './member-record.js';
 import { decideMerge, type MergeOutcome } from './member-merge.js';
-import type { MemberNews } from './wire.js';
+import type { MemberUpdate } from './wire.js';
 
 /** One change of the table; `previous` is undefined for a new member. */
 export interface RecordChange {
@@ -36,7 +36,7 @@
   readonly changes = new Subject<RecordChange>();
   private readonly records = new Map<number, MemberRecord>();
   private readonly versions = new Map<number, number>();
-  private readonly digests = new Uint32Array(DIGEST_BUCKETS);
+  private readonly digests = new Uint32Array(MEMBER_DIGEST_BUCKETS);
   private readonly liveByHash = new Map<number, MemberRecord>();
   private liveRecords: readonly MemberRecord[] | undefined;
   private livePeers: readonly MemberRecord[] | undefined;
@@ -114,14 +114,14 @@
   }
 
   /** Merges what another member reported, and returns what became of it. */
-  merge(news: MemberNews): MergeOutcome {
-    const known = this.records.get(news.idHash);
-    const { outcome, record, isNewProcess } = decideMerge(known, news, {
+  merge(update: MemberUpdate): MergeOutcome {
+    const known = this.records.get(update.idHash);
+    const { outcome, record, isNewProcess } = decideMerge(known, update, {
       isSelf: known === this.selfRecord,
       nowMs: this.clock.now(),
     });
-    if (isNewProcess) this.versions.delete(news.idHash);
-    if (record) this.store(record, true, news.accuserHash);
+    if (isNewProcess) this.versions.delete(update.idHash);
+    if (record) this.store(record, true, update.accuserHash);
     return outcome;
   }
 
@@ -204,5 +204,5 @@
 
 /** Bucket of the state digest that a member belongs to: the top bits of its id hash. */
 export function bucketOf(idHash: number): number {
-  return idHash >>> (32 - Math.log2(DIGEST_BUCKETS));
+  return idHash >>> (32 - Math.log2(MEMBER_DIGEST_BUCKETS));
 }
--- a/src/gue-edge/membership/message-receiver.ts
+++ b/src/gue-edge/membership/message-receiver.ts
@@ -1,5 +1,5 @@
 /**
- * Handles the messages of other members: merges the news that they carry, learns about their senders, and hands each to the
+ * Handles the messages of other members: merges the updates that they carry, learns about their senders, and hands each to the
  * part that it is for.
  */
 import { hashString } from '../../common/hash.js';
@@ -16,7 +16,7 @@
   decodeMessage,
   encodeEntry,
   MessageType,
-  type MemberNews,
+  type MemberUpdate,
   type WireMessage,
 } from './wire.js';
 
@@ -41,7 +41,7 @@
     return this.refutationCount;
   }
 
-  /** Messages that waited in the socket during a pause prove nothing: from now on only answers to later probes do. */
+  /** Messages that waited in the socket during a pause do not show that their sender is alive: from now on only responses to later probes do. */
   notePause(): void {
     this.sequenceAtPause = this.context.parts.prober.lastSequence;
   }
@@ -58,8 +58,8 @@
     const senderHash = hashString(inbound.senderId);
     const refutationsBefore = this.refutationCount;
     for (const bytes of message.entries) {
-      const news = decodeEntry(bytes, hashString);
-      if (news) this.receiveNews(news, inbound.from);
+      const update = decodeEntry(bytes, hashString);
+      if (update) this.receiveUpdate(update, inbound.from);
       else events.emit(MEMBERSHIP_EVENTS.badMessage, { member: inbound.senderId });
     }
     this.noteSender(senderHash, inbound, message);
@@ -113,52 +113,52 @@
     return entries;
   }
 
-  private receiveNews(news: MemberNews, from: Endpoint): void {
+  private receiveUpdate(update: MemberUpdate, from: Endpoint): void {
     const { table, sync, messenger, events } = this.context.parts;
-    const outcome = table.merge(news);
+    const outcome = table.merge(update);
     switch (outcome) {
       case 'unknown':
         return sync.requestSoon(from);
       case 'accused':
-        return this.onAccused(news);
+        return this.onAccused(update);
       case 'outdated-accusation':
         messenger.send(from, { type: MessageType.GOSSIP, entries: [encodeEntry(table.self, true)] });
         return undefined;
       case 'reported-failed':
-        return this.onReportedFailed(news);
+        return this.onReportedFailed(update);
       case 'collision':
-        return events.emit(MEMBERSHIP_EVENTS.collision, { member: news.identity?.id });
+        return events.emit(MEMBERSHIP_EVENTS.collision, { member: update.identity?.id });
       case 'known':
-        return news.suspected ? this.context.accusations.confirm(news) : undefined;
+        return update.suspected ? this.context.accusations.confirm(update) : undefined;
       case 'changed':
         return undefined;
     }
   }
 
   /** The member itself is asked at once: the report may be left over from a partition. */
-  private onReportedFailed(news: MemberNews): void {
+  private onReportedFailed(update: MemberUpdate): void {
     const { suspicions, table, prober } = this.context.parts;
-    suspicions.confirmFully(news.idHash);
-    const record = table.get(news.idHash);
+    suspicions.confirmFully(update.idHash);
+    const record = table.get(update.idHash);
     const affordable = this.context.availableBytesPerSecond() >= GOSSIP_RESERVE_BYTES_PER_SECOND;
     if (record && affordable) prober.greet(record);
   }
 
-  private onAccused(news: MemberNews): void {
+  private onAccused(update: MemberUpdate): void {
     const { table, health, events } = this.context.parts;
-    if (news.incarnation > table.self.incarnation && !this.isPredecessor(news)) return this.withdraw();
+    if (update.incarnation > table.self.incarnation && !this.isPredecessor(update)) return this.withdraw();
     this.refutationCount += 1;
     health.worsen();
-    table.refute(news);
+    table.refute(update);
     events.emit(MEMBERSHIP_EVENTS.refuted, { refutation: table.self.refutation });
   }
 
-  /** News of an earlier process at this address whose clock was ahead, not of a later process elsewhere. */
-  private isPredecessor(news: MemberNews): boolean {
+  /** True for an update about an earlier process at this address whose clock was ahead; false for a later process elsewhere. */
+  private isPredecessor(update: MemberUpdate): boolean {
     const own = this.context.parts.table.self.identity.control;
     return (
-      news.identity === undefined ||
-      (news.identity.control.host === own.host && news.identity.control.port === own.port)
+      update.identity === undefined ||
+      (update.identity.control.host === own.host && update.identity.control.port === own.port)
     );
   }
 
--- a/src/gue-edge/membership/probe-order.ts
+++ b/src/gue-edge/membership/probe-order.ts
@@ -5,6 +5,7 @@
  * member probes all others. Clocks that disagree only make the order less even.
  */
 
+/** Fractional part of the golden ratio: its multiples modulo 1 lie evenly, so that successive shifts are far apart. */
 const GOLDEN_RATIO = 0.618034;
 
 /** Places from the prober to its target in `round`, 1 to members - 1; takes every value once in members - 1 rounds. */
--- a/src/gue-edge/membership/quorum-base.ts
+++ b/src/gue-edge/membership/quorum-base.ts
@@ -1,8 +1,8 @@
 /**
  * The members last known together in a settled view, against which reachability is measured (dynamic voting).
  *
- * Only a quorate member changes its base: it adds members that have been active for ADMISSION_WAIT_MS in which nobody was
- * suspected (so that a member cut off a moment ago does not add others before it notices), takes out planned leavers, and
+ * Only a quorate member changes its base: it adds members that have been active for ADMISSION_WAIT_MS without any
+ * suspicion (so that a member cut off a moment ago does not add others before it notices), takes out planned leavers, and
  * drops failed ones when the view has gone settleMs without a failure. Dropping raises the epoch; a member that meets a
  * higher epoch adopts that base before it can become quorate, so two sides of successive partitions never rest on different bases.
  */
@@ -34,7 +34,7 @@
     this.lastFailureMs = nowMs;
   }
 
-  /** A member is suspected; nobody is admitted for a while. */
+  /** Records a suspicion; no member is admitted for `ADMISSION_WAIT_MS`. */
   noteSuspicion(nowMs: number): void {
     this.lastSuspicionMs = nowMs;
   }
--- a/src/gue-edge/membership/quorum-exchange.ts
+++ b/src/gue-edge/membership/quorum-exchange.ts
@@ -1,4 +1,8 @@
-/** Spreads the quorum base: a member that meets a higher epoch fetches that base from whoever has it. */
+/**
+ * Spreads the quorum base: a member that meets a higher epoch fetches that base from the sender that showed it.
+ *
+ * Owns the highest epoch seen and the parts of a base on their way. Relies on the epoch that every message names.
+ */
 import type { Endpoint } from '../../common/types.js';
 import type { GuardedTimers } from './guarded-timers.js';
 import type { Messenger } from './messenger.js';
@@ -15,12 +19,15 @@
   readonly onAdopted: () => void;
 }
 
-/** Id hashes in one message. */
+/** Id hashes in one message: 4 bytes each, which leaves room for the header in a control payload of 1,200 bytes. */
 const HASHES_PER_PART = 250;
+/** Most parts of one base: a bound against faulty senders, 16,000 members. Not measured. */
 const MAX_PARTS = 64;
+
+/** Least time between two requests, in ms. Not measured; chosen above the time that a response takes. */
 const REQUEST_INTERVAL_MS = 500;
 
-/** A quorate member waits this long before it fetches: usually it reaches the same epoch by itself. */
+/** A quorate member waits this long, in ms, before it fetches: usually it reaches the same epoch by itself. Not measured. */
 const QUORATE_PATIENCE_MS = 3_000;
 
 /** One exchange for each process. */
--- a/src/gue-edge/membership/quorum-lease.ts
+++ b/src/gue-edge/membership/quorum-lease.ts
@@ -3,6 +3,9 @@
  *
  * In a quorate region of several members the lowest-id one holds it, so that a member cut off from the others cannot get it. A sole
  * survivor tries only after witnessWaitMs, which is longer than the lease: a majority elsewhere comes first.
+ *
+ * Owns the lease and what is known of it. Relies on `quorum-decision.ts` for whether it is wanted, and on the store's client for how
+ * long it is trusted.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { Lease, StoreClient } from '../../store/types.js';
@@ -13,7 +16,7 @@
 /** `unknown`: not asked yet or trust has run out. `unavailable`: the platform did not answer. */
 export type LeaseStanding = 'unknown' | 'held' | 'held-by-other' | 'unavailable';
 
-/** Renewals in the duration of a lease. */
+/** Renewals in the duration of a lease. Not measured; chosen so that one renewal may be lost. */
 const RENEWALS_PER_LEASE = 3;
 
 /** What the lease is kept with. */
--- a/src/gue-edge/membership/state-sync.ts
+++ b/src/gue-edge/membership/state-sync.ts
@@ -3,7 +3,7 @@
 import { jitter, type RandomSource } from '../../common/random.js';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import {
-  DIGEST_BUCKETS,
+  MEMBER_DIGEST_BUCKETS,
   GOSSIP_BYTES,
   SYNC_CHUNK_INTERVAL_MS,
   SYNC_REPEAT_MS,
@@ -30,6 +30,7 @@
   readonly messages: WireMessageFields[];
 }
 
+/** State transfers under way at once; further requests are dropped. Not measured; chosen to bound what one member sends. */
 const MAX_TRANSFERS = 16;
 const ALL_BUCKETS = 0xffff_ffff;
 
@@ -70,7 +71,7 @@
     const nowMs = this.context.timers.now();
     const lastMs = this.askedAtMs.get(key);
     if (lastMs !== undefined && nowMs - lastMs < SYNC_REPEAT_MS) return;
-    if (this.askedAtMs.size > DIGEST_BUCKETS) this.askedAtMs.clear();
+    if (this.askedAtMs.size > MEMBER_DIGEST_BUCKETS) this.askedAtMs.clear();
     this.askedAtMs.set(key, nowMs);
     this.request(to);
   }
@@ -86,7 +87,7 @@
   }
 
   private differingBuckets(theirs: readonly number[]): number {
-    if (theirs.length !== DIGEST_BUCKETS) return ALL_BUCKETS;
+    if (theirs.length !== MEMBER_DIGEST_BUCKETS) return ALL_BUCKETS;
     let mask = 0;
     this.context.table.bucketDigests().forEach((digest, bucket) => {
       if (digest !== theirs[bucket]) mask = (mask | (1 << bucket)) >>> 0;
--- a/src/gue-edge/membership/swim-membership.ts
+++ b/src/gue-edge/membership/swim-membership.ts
@@ -6,7 +6,7 @@
 import { hashString } from '../../common/hash.js';
 import { jitter, pick } from '../../common/random.js';
 import { Accusations } from './accusations.js';
-import { GOSSIP_FANOUT } from './constants.js';
+import { MEMBERSHIP_FANOUT } from './constants.js';
 import { MembershipError } from './errors.js';
 import { MEMBERSHIP_EVENTS } from './events.js';
 import { isRemoved } from './member-record.js';
@@ -18,7 +18,7 @@
 import { sampleMembers } from './sampling.js';
 import type { MembershipFeed, MembershipView } from './types.js';
 
-/** Part of the reconnect interval that is drawn at random, so that members do not contact a failed one together. */
+/** Part of the reconnect interval that is drawn at random, so that members do not contact a failed one together. Not measured. */
 const RECONNECT_JITTER = 0.5;
 
 /** Call `join`, then `activate` when ready; `leave` and `stop` to go. */
@@ -75,8 +75,8 @@
     for (const { identity, incarnation } of members) {
       if (identity.id === this.selfId) continue;
       const idHash = hashString(identity.id);
-      const news = { idHash, identity, incarnation, refutation: 0, suspected: false, accuserHash: 0 };
-      this.parts.table.merge({ ...news, lifecycle: 'active' });
+      const introduction = { idHash, identity, incarnation, refutation: 0, suspected: false, accuserHash: 0 };
+      this.parts.table.merge({ ...introduction, lifecycle: 'active' });
     }
   }
 
@@ -98,7 +98,7 @@
     await joiner.join();
   }
 
-  /** True when this member may activate although it has met nobody: see `Quorum.mayFoundRegion`. */
+  /** True when this member may become active with nobody else in sight: see `decideFounding`. */
   mayFoundRegion(): boolean {
     return this.parts.quorum.mayFoundRegion;
   }
@@ -118,7 +118,7 @@
     if (lifecycle !== 'active' && lifecycle !== 'joining')
       throw stateError('leave needs a member that is in');
     table.advanceSelf('leaving');
-    gossiper.spread(GOSSIP_FANOUT);
+    gossiper.spread(MEMBERSHIP_FANOUT);
     publisher.publishNow();
   }
 
@@ -130,7 +130,7 @@
     this.quorumUpdates.stop();
     if (this.running && !isRemoved(table.self)) {
       table.advanceSelf('left');
-      gossiper.spread(2 * GOSSIP_FANOUT);
+      gossiper.spread(2 * MEMBERSHIP_FANOUT);
     }
     prober.stop();
     sync.stop();
@@ -213,7 +213,8 @@
     health.worsen();
     quorum.notePause(table.liveCount > 1);
     this.quorumUpdates.update();
-    for (const peer of sampleMembers(table.peers(), GOSSIP_FANOUT, this.options.random)) prober.greet(peer);
+    for (const peer of sampleMembers(table.peers(), MEMBERSHIP_FANOUT, this.options.random))
+      prober.greet(peer);
   }
 }
 
--- a/src/gue-edge/membership/wire.ts
+++ b/src/gue-edge/membership/wire.ts
@@ -23,8 +23,8 @@
 const HOST_BYTES = 4;
 const SHARED_HOST_BYTES = 10;
 
-/** News about one member as it arrives; `identity` is absent in the short form. */
-export interface MemberNews extends MemberVersion {
+/** An update about one member as it arrives; `identity` is absent in the short form. */
+export interface MemberUpdate extends MemberVersion {
   readonly idHash: number;
   readonly identity: MemberIdentity | undefined;
   readonly lifecycle: Lifecycle;
@@ -74,7 +74,7 @@
 }
 
 /** Decodes an entry; undefined when it is malformed. `hashId` is `hashString`. */
-export function decodeEntry(bytes: Uint8Array, hashId: (id: string) => number): MemberNews | undefined {
+export function decodeEntry(bytes: Uint8Array, hashId: (id: string) => number): MemberUpdate | undefined {
   let entry: sailquay.membership.MemberEntry;
   try {
     entry = MemberEntry.decode(bytes) as sailquay.membership.MemberEntry;
--- a/src/observability/constants.ts
+++ b/src/observability/constants.ts
@@ -3,7 +3,7 @@
 /** One event is written at most this often in a window; the rest are counted. Not measured; chosen so that a flood costs two lines a second. */
 export const EVENT_BURST = 20;
 
-/** Length of the window that `EVENT_BURST` applies to, in ms. */
+/** Length of the window that `EVENT_BURST` applies to, in ms. Not measured; chosen with `EVENT_BURST`, so that a flood costs two lines a second. */
 export const EVENT_WINDOW_MS = 10_000;
 
 /** Prefix of every metric's name. */
--- a/src/observability/explain-flow.ts
+++ b/src/observability/explain-flow.ts
@@ -22,7 +22,7 @@
   readonly line: LogLine;
 }
 
-/** Lines about back ends and balancers count this long before the flow's first and after its last line. */
+/** Lines about back ends and balancers count this long before the flow's first and after its last line, in ms. Not measured; chosen above the time in which a crash is noticed. */
 const MARGIN_MS = 5_000;
 
 /** Events about a balancer as a whole that may explain what became of its flows. */
--- a/src/observability/latency-histogram.ts
+++ b/src/observability/latency-histogram.ts
@@ -1,9 +1,8 @@
 /** A histogram of milliseconds with fixed bounds, cheap enough for the packet path. */
 
-/** Upper bounds of the buckets in ms; one more bucket takes the rest. */
+/** Upper bounds of the buckets in ms; one more bucket takes the rest. Not measured; chosen as a 1-2-5 series. */
 const LATENCY_BOUNDS_MS: readonly number[] = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000];
 
-/** See the module. */
 export class LatencyHistogram {
   private readonly counts = new Array<number>(LATENCY_BOUNDS_MS.length + 1).fill(0);
   private sumMs = 0;
--- a/src/observability/line-writer.ts
+++ b/src/observability/line-writer.ts
@@ -5,7 +5,7 @@
 import type { Writable } from 'node:stream';
 import type { Clock } from '../common/clock.js';
 
-/** Lines gather this long before they are written. */
+/** Lines gather this long, in ms, before they are written. Not measured; chosen to save writes without a delay that an operator notices. */
 const GATHER_MS = 300;
 
 /**
@@ -15,13 +15,13 @@
  */
 const MAX_BLOCK = 4_096;
 
-/** Characters that may wait, gathered or in the stream; more are left out. */
+/** Characters that may wait, gathered or in the stream; more are left out. Not measured; chosen to bound memory. */
 const MAX_WAITING = 262_144;
 
 /** The part of a stream that is used. Node writes to pipes at once and keeps what they do not take. */
 type LineStream = Pick<Writable, 'write' | 'writableLength'>;
 
-/** See the module. */
+/** Writes to one stream. */
 export class LineWriter {
   private waiting: string[] = [];
   private waitingLength = 0;
--- a/src/store/constants.ts
+++ b/src/store/constants.ts
@@ -14,11 +14,11 @@
 export const CIRCUIT_FAILURE_THRESHOLD = 4;
 /** First time in ms for which an open circuit lets nothing through; doubles with each failed trial. Not measured. */
 export const CIRCUIT_OPEN_BASE_MS = 500;
-/** Longest time an open circuit lets nothing through; bounds how late a recovered store is noticed. */
+/** Longest time in ms for which an open circuit lets nothing through; bounds how late a recovered store is noticed. Not measured; chosen below `CALL_DEADLINE_MS`. */
 export const CIRCUIT_OPEN_MAX_MS = 2_000;
 /** The platform writes an empty line at least this often, in ms, on a watch that has nothing to say: a bound of the platform. */
 export const WATCH_HEARTBEAT_MS = 1_000;
-/** A watch that is silent for this long, in ms, is given up and opened again: three lines may be lost or late. */
+/** A watch that is silent for this long, in ms, is given up and opened again. Not measured; chosen so that three lines may be lost or late. */
 export const WATCH_SILENCE_MS = 4 * WATCH_HEARTBEAT_MS;
 /** Subtracted from a lease's duration, in ms, on top of the time its grant took, before the holder trusts it. Not measured; chosen above a pause of garbage collection. */
 export const LEASE_MARGIN_MS = 500;
