--- a/src/gue-edge/daemon/readiness.ts
+++ b/src/gue-edge/daemon/readiness.ts
@@ -37,7 +37,7 @@
   /** Another member was met, or there was none to look for. */
   readonly hasJoined: boolean;
   readonly isQuorate: boolean;
-  /** This member may found the region with nobody else in sight. */
+  /** This member may found the region without any other live member. */
   readonly mayFoundRegion: boolean;
 }
 
--- a/src/gue-edge/membership/change-reporter.ts
+++ b/src/gue-edge/membership/change-reporter.ts
@@ -1,8 +1,19 @@
-/** Writes the log events of changes in the member table and counts failures. */
-import type { EventLog } from '../../observability/event.js';
+/**
+ * Writes the log events of changes in the member table and counts failures.
+ *
+ * Owns the count of failures. Relies on `ZoneSilence` for when single suspicions and failures are not worth a line.
+ */
+import type { EventDefinition, EventLog } from '../../observability/event.js';
 import { MEMBERSHIP_EVENTS } from './events.js';
+import type { Lifecycle } from './member-record.js';
 import { isFailure, type RecordChange } from './member-table.js';
 
+/** Events of planned changes; a failure has its own, which can be kept quiet. */
+const LIFECYCLE_EVENTS: Partial<Record<Lifecycle, EventDefinition>> = {
+  active: MEMBERSHIP_EVENTS.memberActive,
+  left: MEMBERSHIP_EVENTS.memberLeft,
+};
+
 /** One reporter for each process. */
 export class ChangeReporter {
   private failureCount = 0;
@@ -22,11 +33,10 @@
       this.failureCount += 1;
       if (!quiet) this.events.emit(MEMBERSHIP_EVENTS.memberFailed, fields);
     }
-    if (record.suspected && !previous?.suspected && !quiet) {
-      this.events.emit(MEMBERSHIP_EVENTS.memberSuspect, fields);
-    }
+    const isNewlySuspected = record.suspected && !previous?.suspected;
+    if (isNewlySuspected && !quiet) this.events.emit(MEMBERSHIP_EVENTS.memberSuspect, fields);
     if (record.lifecycle === previous?.lifecycle) return;
-    if (record.lifecycle === 'left') this.events.emit(MEMBERSHIP_EVENTS.memberLeft, fields);
-    if (record.lifecycle === 'active') this.events.emit(MEMBERSHIP_EVENTS.memberActive, fields);
+    const event = LIFECYCLE_EVENTS[record.lifecycle];
+    if (event) this.events.emit(event, fields);
   }
 }
--- a/src/gue-edge/membership/member-merge.ts
+++ b/src/gue-edge/membership/member-merge.ts
@@ -27,7 +27,7 @@
   'changed' | 'known' | 'unknown' | 'accused' | 'outdated-accusation' | 'collision' | 'reported-failed';
 
 /** An outcome and what to store for it. */
-export interface MergeDecision {
+interface MergeDecision {
   readonly outcome: MergeOutcome;
   /** The record that holds from now on; undefined when nothing changes. */
   readonly record?: MemberRecord;
@@ -86,17 +86,19 @@
 function mergeSameProcess(known: MemberRecord, update: MemberUpdate, nowMs: number): MergeDecision {
   const order = compareVersions(update, known);
   if (order < 0) return KNOWN;
-  const removed = order === 0 && isRemoved(known);
-  if (removed && !isRemovedLifecycle(update.lifecycle)) return KNOWN;
-  const lifecycle = order > 0 ? update.lifecycle : laterLifecycle(known.lifecycle, update.lifecycle);
-  const isLive = !isRemovedLifecycle(lifecycle);
-  const suspected = isLive && (update.suspected || (order === 0 && known.suspected));
-  if (order === 0 && lifecycle === known.lifecycle && suspected === known.suspected) return KNOWN;
-  const { incarnation, refutation } = update;
-  return {
-    outcome: 'changed',
-    record: { ...known, incarnation, refutation, lifecycle, suspected, changedAtMs: nowMs },
-  };
+  if (order === 0) return mergeSameVersion(known, update, nowMs);
+  const { incarnation, refutation, lifecycle } = update;
+  const suspected = update.suspected && !isRemovedLifecycle(lifecycle);
+  const record = { ...known, incarnation, refutation, lifecycle, suspected, changedAtMs: nowMs };
+  return { outcome: 'changed', record };
+}
+
+function mergeSameVersion(known: MemberRecord, update: MemberUpdate, nowMs: number): MergeDecision {
+  if (isRemoved(known) && !isRemovedLifecycle(update.lifecycle)) return KNOWN;
+  const lifecycle = laterLifecycle(known.lifecycle, update.lifecycle);
+  const suspected = !isRemovedLifecycle(lifecycle) && (update.suspected || known.suspected);
+  if (lifecycle === known.lifecycle && suspected === known.suspected) return KNOWN;
+  return { outcome: 'changed', record: { ...known, lifecycle, suspected, changedAtMs: nowMs } };
 }
 
 /** A report about this member. A newer version than its own can only be an accusation; a member that left refutes nothing. */
--- a/src/gue-edge/membership/membership-parts.ts
+++ b/src/gue-edge/membership/membership-parts.ts
@@ -53,32 +53,15 @@
   const { clock, random, channel, region, platform } = options;
   const base = createBase(options);
   const { table, timers, timing, messenger, queue, events } = base;
+  const common = { table, timers, random, timing, messenger };
   const zones = new ZoneSilence();
-  const sync = new StateSync({ table, timers, random, timing, messenger });
-  const gossiper = new Gossiper({
-    table,
-    queue,
-    timers,
-    random,
-    timing,
-    messenger,
-    availableBytesPerSecond: () => channel.availableBytesPerSecond(),
-  });
-  const prober = new Prober({
-    table,
-    timers,
-    random,
-    timing,
-    messenger,
-    health: base.health,
-    wallMs: () => clock.wall(),
-  });
+  const sync = new StateSync(common);
+  const availableBytesPerSecond = (): number => channel.availableBytesPerSecond();
+  const gossiper = new Gossiper({ ...common, queue, availableBytesPerSecond });
+  const prober = new Prober({ ...common, health: base.health, wallMs: () => clock.wall() });
   const quorum = new Quorum({
+    ...common,
     clock,
-    timers,
-    messenger,
-    table,
-    timing,
     region,
     platform,
     base: base.quorumBase,
@@ -94,10 +77,7 @@
     batchMs: () => (zones.anySilent ? ZONE_VIEW_BATCH_MS : timing.viewBatchMs),
   });
   const joiner = new Joiner({
-    table,
-    timers,
-    random,
-    timing,
+    ...common,
     seeds: options.seeds,
     platform,
     events,
--- a/src/gue-edge/membership/quorum-decision.ts
+++ b/src/gue-edge/membership/quorum-decision.ts
@@ -43,7 +43,7 @@
 /**
  * Why this member may or may not open flows.
  * Quorate: `sole-site`; `majority` and `tie` of the base reached; `lease-held`, alone with the lease; `base-of-one`, alone without
- * an answer of the platform where the base asks for nobody else.
+ * an answer of the platform where the base requires no other member.
  * Not quorate: `withdrawn`; `unconfirmed` since a pause; `no-base`; `cut-off`; `behind` a higher epoch; `minority` of the base
  * reached; `lease-not-held`, alone without the lease.
  */
@@ -77,7 +77,7 @@
 /**
  * Decides whether this member may open flows.
  *
- * Order: a withdrawal is final. A sole site has nobody to disagree with. Next come the reasons for which the standing itself
+ * Order: a withdrawal is final. A sole site has no other side. Next come the reasons for which the standing itself
  * cannot be trusted: a pause, no base, no answers, a base that is out of date. The last one only keeps a member from becoming
  * quorate; a quorate member may reach the higher epoch by itself. Reachable members count before the lease, so a region with a
  * majority does not depend on the platform.
@@ -89,15 +89,21 @@
 export function decideQuorum(facts: QuorumFacts, evidence: QuorumEvidence): QuorumVerdict {
   if (facts.withdrawn) return 'withdrawn';
   if (facts.isSole) return 'sole-site';
-  if (!facts.isConfirmed) return 'unconfirmed';
-  if (!facts.hasBase) return 'no-base';
-  if (evidence.isCutOff) return 'cut-off';
-  if (evidence.isBehind && !facts.wasQuorate) return 'behind';
+  const doubt = doubtAboutStanding(facts, evidence);
+  if (doubt) return doubt;
   if (!facts.isAlone) return facts.standing;
   if (evidence.lease === 'held') return 'lease-held';
   return evidence.lease === 'unavailable' && facts.standing !== 'minority' ? 'base-of-one' : 'lease-not-held';
 }
 
+/** Why the standing against the base says nothing now; undefined when it can be trusted. */
+function doubtAboutStanding(facts: QuorumFacts, evidence: QuorumEvidence): QuorumVerdict | undefined {
+  if (!facts.isConfirmed) return 'unconfirmed';
+  if (!facts.hasBase) return 'no-base';
+  if (evidence.isCutOff) return 'cut-off';
+  return evidence.isBehind && !facts.wasQuorate ? 'behind' : undefined;
+}
+
 /** Why this member asks for the quorum lease: to go on `alone`, or as `representative` of a region; else why it does not. */
 export type LeaseDemand = 'alone' | 'representative' | 'not-entitled' | 'too-early' | 'not-needed';
 
@@ -110,17 +116,18 @@
  */
 export function decideLeaseDemand(facts: QuorumFacts, isLowestReachable: boolean): LeaseDemand {
   if (facts.isSole || facts.withdrawn || !facts.isConfirmed) return 'not-entitled';
-  if (facts.isAlone) {
-    const standingSuffices = facts.hasBase && facts.standing !== 'minority';
-    return standingSuffices || facts.wasAloneLong ? 'alone' : 'too-early';
-  }
+  if (facts.isAlone) return mayAskAlone(facts) ? 'alone' : 'too-early';
   const isNeeded = facts.wasQuorate || !facts.hasBase;
   return isNeeded && isLowestReachable ? 'representative' : 'not-needed';
 }
 
+function mayAskAlone({ hasBase, standing, wasAloneLong }: QuorumFacts): boolean {
+  return (hasBase && standing !== 'minority') || wasAloneLong;
+}
+
 /**
- * True when this member may become active with nobody else in sight, to make the region's first base. It must have met nobody
- * for `witnessWaitMs` and hold the region's lease, which a running region would hold itself. A base, or the sign of one, forbids it.
+ * True when this member may become active without any other live member, to make the region's first base. It must have been
+ * alone for `witnessWaitMs` and hold the region's lease, which a running region would hold itself. A base, or the sign of one, forbids it.
  */
 export function decideFounding(facts: QuorumFacts, lease: LeaseStanding, hasSeenBase: boolean): boolean {
   if (facts.withdrawn || facts.hasBase || hasSeenBase) return false;
--- a/src/gue-edge/membership/quorum.ts
+++ b/src/gue-edge/membership/quorum.ts
@@ -84,7 +84,7 @@
     return this.decision;
   }
 
-  /** True when this member may become active with nobody else in sight, to make the region's first base. */
+  /** True when this member may become active without any other live member, to make the region's first base. */
   get mayFoundRegion(): boolean {
     return decideFounding(this.facts(), this.lease.standing(), this.exchange.seenEpoch > 0);
   }
--- a/src/gue-edge/membership/suspicion-timeout.ts
+++ b/src/gue-edge/membership/suspicion-timeout.ts
@@ -22,7 +22,7 @@
 
 /**
  * Time in ms from the start of a suspicion to removal, with `accusers` accusers in a region of `members`. Infinite accusers stand
- * for a member that watched a suspicion to its end. Without a third member nobody can confirm, and the shortest time holds.
+ * for a member that watched a suspicion to its end. In a region of two no other member could confirm, and the shortest time holds.
  */
 export function suspicionTimeoutMs(accusers: number, members: number, timing: SuspicionTiming): number {
   const { minMs, maxMs } = suspicionBounds(members, timing);
--- a/src/gue-edge/membership/swim-membership.ts
+++ b/src/gue-edge/membership/swim-membership.ts
@@ -98,7 +98,7 @@
     await joiner.join();
   }
 
-  /** True when this member may become active with nobody else in sight: see `decideFounding`. */
+  /** True when this member may become active without any other live member: see `decideFounding`. */
   mayFoundRegion(): boolean {
     return this.parts.quorum.mayFoundRegion;
   }
--- a/src/observability/admin-server.ts
+++ b/src/observability/admin-server.ts
@@ -88,6 +88,14 @@
   const [path, query] = (request.url ?? '/').split('?', 2);
   if (path === '/faults' && source.setFaults) return setFaults(source.setFaults, request);
   if (request.method !== 'GET' && request.method !== 'HEAD') return json(405, { error: 'use GET or HEAD' });
+  return page(source, path, query);
+}
+
+async function page(
+  source: AdminSource,
+  path: string | undefined,
+  query: string | undefined,
+): Promise<Answer> {
   switch (path) {
     case '/livez':
       return json(200, { alive: true });
--- a/src/settings/resolved-tree.ts
+++ b/src/settings/resolved-tree.ts
@@ -11,6 +11,14 @@
   backend: 'endpoint',
 };
 
+/** True for a back end, or for a service that is there before and after; neither of another kind before nor with a parent of its own. */
+function isSimpleChange(node: TreeNode, { before, after }: NodeChange): boolean {
+  if (node.kind !== 'backend' && node.kind !== 'service') return false;
+  if (node.kind === 'service' && !(before && after)) return false;
+  if (before && before.kind !== node.kind) return false;
+  return before?.parent === undefined && after?.parent === undefined;
+}
+
 /** The indexes; see `ResolvedTree.of`. */
 export class ResolvedTree {
   readonly nodes = new Map<string, TreeNode>();
@@ -35,12 +43,9 @@
    * removed and services that are changed, none of them with an explicit parent or the explicit parent of another.
    */
   covers(changes: readonly NodeChange[]): boolean {
-    return changes.every(({ before, after }) => {
-      const node = after ?? before;
-      if (!node || (node.kind !== 'backend' && node.kind !== 'service')) return false;
-      if (node.kind === 'service' && !(before && after)) return false;
-      if (before && before.kind !== node.kind) return false;
-      if (before?.parent !== undefined || after?.parent !== undefined) return false;
+    return changes.every((change) => {
+      const node = change.after ?? change.before;
+      if (!node || !isSimpleChange(node, change)) return false;
       return !this.explicitParents.has(node.path) && this.nodes.has(pathAbove(node.path) ?? '');
     });
   }
--- a/src/settings/tree-changes.ts
+++ b/src/settings/tree-changes.ts
@@ -12,6 +12,12 @@
   return nodes.every((node, index) => index === 0 || comparePaths(nodes[index - 1]!.path, node.path) < 0);
 }
 
+/** Order of two nodes by path; an absent one comes after every other. */
+function compareNodes(left: TreeNode | undefined, right: TreeNode | undefined): number {
+  if (!left) return 1;
+  return right ? comparePaths(left.path, right.path) : -1;
+}
+
 /**
  * Changes from `before`, which is strictly sorted, to `after`; undefined when there are more than `limit` or `after` is
  * not strictly sorted. Costs one comparison of references for each unchanged node.
@@ -32,7 +38,7 @@
     }
     const previous = after[right - 1];
     if (now && previous && comparePaths(previous.path, now.path) >= 0) return undefined;
-    const order = !old ? 1 : !now ? -1 : comparePaths(old.path, now.path);
+    const order = compareNodes(old, now);
     changes.push({ before: order <= 0 ? old : undefined, after: order >= 0 ? now : undefined });
     if (changes.length > limit) return undefined;
     if (order <= 0) left += 1;
