--- a/src/gue-edge/control/key-ring.ts
+++ b/src/gue-edge/control/key-ring.ts
@@ -3,6 +3,8 @@
  *
  * File format (JSON): `{ "active": 2, "keys": [{ "id": 1, "secret": "<base64>" }, { "id": 2, "secret": "..." }] }`.
  * Rotation: add the new key everywhere, then make it active everywhere, then remove the old one everywhere.
+ *
+ * Owns nothing that changes: a reread of the key file makes a new ring. Relies on the file for which key signs.
  */
 import { createHmac, createSecretKey, timingSafeEqual, type KeyObject } from 'node:crypto';
 import { readFileSync } from 'node:fs';
--- a/src/gue-edge/daemon/components.ts
+++ b/src/gue-edge/daemon/components.ts
@@ -1,4 +1,8 @@
-/** Everything one daemon is made of, in one place. */
+/**
+ * Everything one daemon is made of, in one place.
+ *
+ * Owns nothing: types alone.
+ */
 import type { Clock } from '../../common/clock.js';
 import type { RandomSource } from '../../common/random.js';
 import type { UdpControlChannel } from '../control/index.js';
--- a/src/gue-edge/daemon/config.ts
+++ b/src/gue-edge/daemon/config.ts
@@ -1,4 +1,8 @@
-/** Configuration of a daemon: command-line flags over the YAML file over defaults, checked by one schema. */
+/**
+ * Configuration of a daemon: command-line flags over the YAML file over defaults, checked by one schema.
+ *
+ * Owns the schema and the defaults. Relies on `constants.ts` for the default limits.
+ */
 import { readFileSync } from 'node:fs';
 import { parse as parseYaml } from 'yaml';
 import { z } from 'zod';
--- a/src/gue-edge/daemon/run.ts
+++ b/src/gue-edge/daemon/run.ts
@@ -1,4 +1,9 @@
-/** Runs a daemon as the process: configuration, log, ready line, signals, uncaught errors and exit code. */
+/**
+ * Runs a daemon as the process: configuration, log, ready line, signals, uncaught errors and exit code.
+ *
+ * Owns the process: its signal handlers, its exit code and the ready line on standard output. Relies on `daemon.ts` for everything
+ * else.
+ */
 import { randomInt } from 'node:crypto';
 import { SystemClock } from '../../common/clock.js';
 import { seededRandom } from '../../common/random.js';
@@ -9,6 +14,7 @@
 import { DAEMON_EVENTS } from './events.js';
 import { FaultInjection } from './fault-injection.js';
 
+/** Largest seed drawn. Not measured; chosen because any 31-bit number is a valid seed. */
 const MAX_SEED = 0x7fff_ffff;
 const EXIT_DONE = 0;
 const EXIT_FAILED = 1;
--- a/src/gue-edge/daemon/status-source.ts
+++ b/src/gue-edge/daemon/status-source.ts
@@ -1,4 +1,8 @@
-/** Reads the state of a daemon's components into the status document and the metrics snapshot. */
+/**
+ * Reads the state of a daemon's components into the status document and the metrics snapshot.
+ *
+ * Owns no state. Relies on the counters and views of the components, which it copies at each request.
+ */
 import { formatEndpoint } from '../../common/types.js';
 import type { BackendHealth } from '../health/types.js';
 import type { MemberState } from '../membership/types.js';
--- a/src/gue-edge/daemon/wiring.ts
+++ b/src/gue-edge/daemon/wiring.ts
@@ -1,4 +1,8 @@
-/** Binds the sockets of a daemon and wires its components; the order of start stands here. */
+/**
+ * Binds the sockets of a daemon and wires its components; the order of start stands here.
+ *
+ * Owns the order in which sockets are bound and components made. Relies on every part of the GUE edge; decides nothing.
+ */
 import { UdpControlChannel } from '../control/index.js';
 import { AdminServer, type AdminSource } from '../../observability/index.js';
 import { createStoreClient, type ConnectedStoreClient } from '../../store/index.js';
--- a/src/gue-edge/dissemination/distributed-tree.ts
+++ b/src/gue-edge/dissemination/distributed-tree.ts
@@ -1,4 +1,8 @@
-/** A tree as it is spread: encoded nodes with their digest beside the document and the settings resolved from it. */
+/**
+ * A tree as it is spread: encoded nodes with their digest beside the document and the settings resolved from it.
+ *
+ * Owns no state: a tree is immutable, and a new one shares the untouched nodes of the one before.
+ */
 import Result from 'true-myth/result';
 import type { EffectiveSettings, TreeDocument, TreeNode } from '../../settings/index.js';
 import { digestMismatch, invalidTree, type DisseminationError } from './errors.js';
--- a/src/gue-edge/dissemination/node-set.ts
+++ b/src/gue-edge/dissemination/node-set.ts
@@ -1,4 +1,8 @@
-/** Changes between two trees as sets of encoded nodes, and their compressed wire form. */
+/**
+ * Changes between two trees as sets of encoded nodes, and their compressed wire form.
+ *
+ * Owns no state. Relies on `MAX_NODE_SET_BYTES` as the bound on what a peer can make this process decompress.
+ */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { MAX_NODE_SET_BYTES } from './constants.js';
 import { badMessage } from './errors.js';
--- a/src/gue-edge/dissemination/peers.ts
+++ b/src/gue-edge/dissemination/peers.ts
@@ -1,4 +1,8 @@
-/** Random choice of peers from the membership view. */
+/**
+ * Random choice of peers from the membership view.
+ *
+ * Owns no state. Relies on the membership view, which may still name members that have just failed.
+ */
 import type { RandomSource } from '../../common/random.js';
 import type { Member, MembershipFeed } from '../membership/types.js';
 
--- a/src/gue-edge/dissemination/tree-codec.ts
+++ b/src/gue-edge/dissemination/tree-codec.ts
@@ -1,4 +1,8 @@
-/** Connects this slice to the settings slice: node encoding and resolution of a tree. */
+/**
+ * Connects this slice to the settings slice: node encoding and resolution of a tree.
+ *
+ * Owns no state. Relies on `settings/` alone for what a node means and when a tree is valid.
+ */
 import {
   asTreeDocument,
   decodeNode,
--- a/src/gue-edge/dissemination/tree-digest.ts
+++ b/src/gue-edge/dissemination/tree-digest.ts
@@ -1,4 +1,8 @@
-/** Digest over a set of nodes that can be kept up to date node by node. */
+/**
+ * Digest over a set of nodes that can be kept up to date node by node.
+ *
+ * Owns one digest. Its value depends on the set of nodes only, not on their order.
+ */
 import { createHash } from 'node:crypto';
 
 /** Hash of one encoded node, two unsigned 32-bit halves. */
--- a/src/gue-edge/membership/change-reporter.ts
+++ b/src/gue-edge/membership/change-reporter.ts
@@ -3,17 +3,11 @@
  *
  * Owns the count of failures. Relies on `ZoneSilence` for when single suspicions and failures are not worth a line.
  */
-import type { EventDefinition, EventLog } from '../../observability/event.js';
+import type { EventFields, EventLog } from '../../observability/event.js';
 import { MEMBERSHIP_EVENTS } from './events.js';
 import type { Lifecycle } from './member-record.js';
 import { isFailure, type RecordChange } from './member-table.js';
 
-/** Events of planned changes; a failure has its own, which can be kept quiet. */
-const LIFECYCLE_EVENTS: Partial<Record<Lifecycle, EventDefinition>> = {
-  active: MEMBERSHIP_EVENTS.memberActive,
-  left: MEMBERSHIP_EVENTS.memberLeft,
-};
-
 /** One reporter for each process. */
 export class ChangeReporter {
   private failureCount = 0;
@@ -35,8 +29,12 @@
     }
     const isNewlySuspected = record.suspected && !previous?.suspected;
     if (isNewlySuspected && !quiet) this.events.emit(MEMBERSHIP_EVENTS.memberSuspect, fields);
-    if (record.lifecycle === previous?.lifecycle) return;
-    const event = LIFECYCLE_EVENTS[record.lifecycle];
-    if (event) this.events.emit(event, fields);
+    if (record.lifecycle !== previous?.lifecycle) this.reportLifecycle(record.lifecycle, fields);
+  }
+
+  /** Reports a planned change; a failure has an event of its own, which can be kept quiet. */
+  private reportLifecycle(lifecycle: Lifecycle, fields: EventFields): void {
+    if (lifecycle === 'left') this.events.emit(MEMBERSHIP_EVENTS.memberLeft, fields);
+    if (lifecycle === 'active') this.events.emit(MEMBERSHIP_EVENTS.memberActive, fields);
   }
 }
--- a/src/gue-edge/membership/joiner.ts
+++ b/src/gue-edge/membership/joiner.ts
@@ -1,4 +1,9 @@
-/** Finds a first member to talk to, from the configured seeds and the platform's machine list, which are hints only. */
+/**
+ * Finds a first member to talk to, from the configured seeds and the platform's machine list, which are hints only.
+ *
+ * Owns the retries and the machine list last read. Relies on seeds and on the platform's machine list as hints only: neither makes
+ * nor removes a member.
+ */
 import type { TimerHandle } from '../../common/clock.js';
 import { jitter, type RandomSource } from '../../common/random.js';
 import { formatEndpoint, sameEndpoint, type Endpoint } from '../../common/types.js';
--- a/src/gue-edge/membership/local-health.ts
+++ b/src/gue-edge/membership/local-health.ts
@@ -1,4 +1,8 @@
-/** Score of this process's own health: signs that it is slow stretch its probe times, so that it accuses less. */
+/**
+ * Score of this process's own health: signs that it is slow stretch its probe times, so that it accuses less.
+ *
+ * Owns the score. Relies on the prober for good and bad signs.
+ */
 import { MAX_BLIND_HEALTH_SCORE, MAX_HEALTH_SCORE } from './constants.js';
 
 /** 0 is well, MAX_HEALTH_SCORE the worst. Source: Lifeguard (Dadgar, Phillips, Currey 2018). */
--- a/src/gue-edge/membership/messenger.ts
+++ b/src/gue-edge/membership/messenger.ts
@@ -1,4 +1,8 @@
-/** Sends membership messages: adds the region and entries waiting to be spread, and cuts off what does not fit. */
+/**
+ * Sends membership messages: adds the region and entries waiting to be spread, and cuts off what does not fit.
+ *
+ * Owns no state. Relies on the gossip queue for the updates that fill up each message, and on the control channel.
+ */
 import type { ControlChannel } from '../control/types.js';
 import type { Endpoint } from '../../common/types.js';
 import type { GossipQueue } from './gossip-queue.js';
--- a/src/gue-edge/membership/prober.ts
+++ b/src/gue-edge/membership/prober.ts
@@ -1,4 +1,9 @@
-/** Failure detector: probes one member an interval, in turn, directly and then through other members. */
+/**
+ * Failure detector: probes one member an interval, in turn, directly and then through other members.
+ *
+ * Owns the probe under way, the probes for other members and the order of targets. Relies on `probe-order.ts` for whom to probe,
+ * and on the local health score for how long to wait.
+ */
 import type { TimerHandle } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
 import type { RandomSource } from '../../common/random.js';
--- a/src/gue-edge/membership/quorum-updates.ts
+++ b/src/gue-edge/membership/quorum-updates.ts
@@ -1,4 +1,8 @@
-/** Brings the quorum up to date, logs when it was lost or regained, and publishes that at once. */
+/**
+ * Brings the quorum up to date, logs when it was lost or regained, and publishes that at once.
+ *
+ * Owns whether decisions have ended. Relies on `quorum.ts` for each decision.
+ */
 import type { EventLog } from '../../observability/event.js';
 import { MEMBERSHIP_EVENTS } from './events.js';
 import type { MemberTable } from './member-table.js';
--- a/src/gue-edge/membership/sampling.ts
+++ b/src/gue-edge/membership/sampling.ts
@@ -1,4 +1,8 @@
-/** Random choice of members. */
+/**
+ * Random choice of members.
+ *
+ * Owns no state. Relies on seeded random numbers.
+ */
 import type { RandomSource } from '../../common/random.js';
 import type { MemberRecord } from './member-record.js';
 
--- a/src/gue-edge/membership/state-sync.ts
+++ b/src/gue-edge/membership/state-sync.ts
@@ -1,4 +1,8 @@
-/** Anti-entropy: compares digests with one random member and exchanges the buckets of members that differ. */
+/**
+ * Anti-entropy: compares digests with one random member and exchanges the buckets of members that differ.
+ *
+ * Owns the state transfers under way. Relies on the digests of the member table; what arrives is merged like gossip.
+ */
 import type { TimerHandle } from '../../common/clock.js';
 import { jitter, type RandomSource } from '../../common/random.js';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
--- a/src/gue-edge/membership/view-publisher.ts
+++ b/src/gue-edge/membership/view-publisher.ts
@@ -1,4 +1,8 @@
-/** Builds immutable views and gathers changes that come close together into one. */
+/**
+ * Builds immutable views and gathers changes that come close together into one.
+ *
+ * Owns the current view. Relies on the member table and on the quorum, which it reads when a view is built.
+ */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
 import { combine32 } from '../../common/hash.js';
--- a/src/observability/admin-server.ts
+++ b/src/observability/admin-server.ts
@@ -1,6 +1,8 @@
 /**
  * HTTP admin address of a daemon: `/metrics`, `/livez`, `/readyz` and `/status`, read with GET or HEAD. A daemon that
  * takes faults on demand has `PUT /faults` besides.
+ *
+ * Owns the HTTP server. Relies on its source for every value, and judges none.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
--- a/src/observability/event-catalogue.ts
+++ b/src/observability/event-catalogue.ts
@@ -1,4 +1,8 @@
-/** Collects the events that all slices declare, checks their numbers and writes the catalogue page. */
+/**
+ * Collects the events that all slices declare, checks their numbers and writes the catalogue page.
+ *
+ * Owns no state. Relies on each folder declaring its events in `events.ts`.
+ */
 import { readdirSync } from 'node:fs';
 import { dirname, join, sep } from 'node:path';
 import { pathToFileURL } from 'node:url';
--- a/src/observability/explain-flow.ts
+++ b/src/observability/explain-flow.ts
@@ -1,6 +1,8 @@
 /**
  * Finds in the log lines of all balancers what happened to one flow: its own lines, those about the back ends that it was
  * given to, and what the balancers that handled it went through meanwhile.
+ *
+ * Owns no state. Relies on the fields of log lines alone, so it works on the logs of daemons that are gone.
  */
 
 /** One line of a balancer's log. */
--- a/src/observability/line-writer.ts
+++ b/src/observability/line-writer.ts
@@ -1,6 +1,8 @@
 /**
  * Writes log lines without ever blocking the caller: lines gather for a moment, and what its reader does not take waits in the
  * stream up to a bound. What goes beyond is left out and counted.
+ *
+ * Owns the lines that wait. Relies on the stream to keep what its reader has not taken yet.
  */
 import type { Writable } from 'node:stream';
 import type { Clock } from '../common/clock.js';
--- a/src/observability/metrics-page.ts
+++ b/src/observability/metrics-page.ts
@@ -1,6 +1,8 @@
 /**
  * A Prometheus page of values that the slices count themselves: a snapshot is copied into the registry at each scrape, so
  * that nothing on the packet path touches a metrics library.
+ *
+ * Owns the registry of one page. Relies on snapshots that cost little, since each scrape takes one.
  */
 import { Counter, Gauge, Registry } from 'prom-client';
 import { METRIC_PREFIX } from './constants.js';
--- a/src/settings/diff.ts
+++ b/src/settings/diff.ts
@@ -1,4 +1,8 @@
-/** Differences between two trees by node and field, and their application. */
+/**
+ * Differences between two trees by node and field, and their application.
+ *
+ * Owns no state. Relies on documents and nodes being immutable.
+ */
 import {
   comparePaths,
   indexNodes,
--- a/src/settings/edits.ts
+++ b/src/settings/edits.ts
@@ -1,4 +1,8 @@
-/** Edits of a tree as pure functions from a document to a document. Values are judged by validation afterwards. */
+/**
+ * Edits of a tree as pure functions from a document to a document. Values are judged by validation afterwards.
+ *
+ * Owns no state. Relies on `tree-editor.ts` for reading, validation and writing.
+ */
 import Result from 'true-myth/result';
 import { TreeError } from './errors.js';
 import {
--- a/src/settings/node-checks.ts
+++ b/src/settings/node-checks.ts
@@ -1,4 +1,8 @@
-/** Checks of single nodes: shape, path, field names, places and ranges. */
+/**
+ * Checks of single nodes: shape, path, field names, places and ranges.
+ *
+ * Owns the verdicts on nodes already checked. Relies on nodes being immutable.
+ */
 import type { FieldDefinition } from './field-types.js';
 import { allowsField, fieldNamed, FIELD_DEFINITIONS } from './fields.js';
 import type { SettingsFault, SettingsFaultKind } from './errors.js';
--- a/src/settings/resolve.ts
+++ b/src/settings/resolve.ts
@@ -1,4 +1,9 @@
-/** From a settings tree to the effective settings that the other slices read. */
+/**
+ * From a settings tree to the effective settings that the other slices read.
+ *
+ * Owns the indexes of the newest tree, by which a small change is checked without the whole tree. Relies on `validate.ts`: a tree
+ * with any fault is not resolved.
+ */
 import Result from 'true-myth/result';
 import type { Endpoint } from '../common/types.js';
 import type { SettingsFault } from './errors.js';
--- a/src/settings/stored-tree.ts
+++ b/src/settings/stored-tree.ts
@@ -1,4 +1,8 @@
-/** Reading of the stored form of the tree. */
+/**
+ * Reading of the stored form of the tree.
+ *
+ * Owns no state. Relies on the store for the version.
+ */
 import Result from 'true-myth/result';
 import type { StoredObject } from '../store/types.js';
 import { TreeError } from './errors.js';
--- a/src/settings/validate.ts
+++ b/src/settings/validate.ts
@@ -1,4 +1,8 @@
-/** Validation of a whole tree: every fault at once. */
+/**
+ * Validation of a whole tree: every fault at once.
+ *
+ * Owns no state. Relies on `node-checks.ts` for single nodes, and on `inherit.ts` for the values in force.
+ */
 import type { SettingsFault } from './errors.js';
 import { Inheritance } from './inherit.js';
 import { checkNode, checkNodeShape, fault, isRecord } from './node-checks.js';
