--- a/src/common/decaying-rate.ts
+++ b/src/common/decaying-rate.ts
@@ -1,4 +1,8 @@
-/** A rate of events that forgets old ones exponentially. */
+/**
+ * A rate of events that forgets old ones exponentially.
+ *
+ * Owns one weight and when it was last brought up to date. Relies on its caller for monotonic times.
+ */
 export class DecayingRate {
   private recent = 0;
   private countedAtMs = 0;
--- a/src/common/drain.ts
+++ b/src/common/drain.ts
@@ -1,4 +1,8 @@
-/** Waits until no data packet arrives any more, within a longest time. */
+/**
+ * Waits until no data packet arrives any more, within a longest time.
+ *
+ * Owns nothing. Relies on a count of packets that only rises.
+ */
 import type { Clock } from './clock.js';
 
 /** How often a stopping daemon looks whether packets still arrive, in ms. Not measured; chosen small against the seconds of a drain. */
--- a/src/common/endpoint-text.ts
+++ b/src/common/endpoint-text.ts
@@ -1,4 +1,8 @@
-/** Addresses as text. */
+/**
+ * Addresses as text.
+ *
+ * Owns no state. Relies on addresses being numeric IPv4.
+ */
 import { isIPv4 } from 'node:net';
 import type { Endpoint } from './types.js';
 
--- a/src/common/numeric-lookup.ts
+++ b/src/common/numeric-lookup.ts
@@ -1,4 +1,8 @@
-/** The `lookup` of sockets whose addresses are always numeric. */
+/**
+ * The `lookup` of sockets whose addresses are always numeric.
+ *
+ * Owns no state. Relies on hosts being numeric IPv4: nothing is looked up.
+ */
 
 /** What a socket expects to be called back with. */
 type LookupCallback = (error: Error | null, address: string, family: number) => void;
--- a/src/common/pause.ts
+++ b/src/common/pause.ts
@@ -1,4 +1,8 @@
-/** A wait that ends early when its caller is ended. */
+/**
+ * A wait that ends early when its caller is ended.
+ *
+ * Owns the timer of one wait. Relies on the clock that it is given.
+ */
 import type { Clock } from './clock.js';
 
 /** Resolves after `waitMs` on `clock`, or when `signal` aborts; at once when it has aborted before. */
--- a/src/common/random.ts
+++ b/src/common/random.ts
@@ -1,4 +1,8 @@
-/** Seeded pseudo-random numbers; every random decision of the project takes one of these. */
+/**
+ * Seeded pseudo-random numbers; every random decision of the project takes one of these.
+ *
+ * Owns the state of each generator. Relies on its seed alone, so that simulations can be repeated.
+ */
 import { mix32 } from './hash.js';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
--- a/src/common/timer-queue.ts
+++ b/src/common/timer-queue.ts
@@ -1,4 +1,8 @@
-/** Priority queue of timers: the earliest due time first, ties in insertion order. A binary heap. */
+/**
+ * Priority queue of timers: the earliest due time first, ties in insertion order. A binary heap.
+ *
+ * Owns the timers. Relies on its caller for the time.
+ */
 
 /** A timer in a queue. */
 export interface QueuedTimer {
--- a/src/gue-edge/control/pausable-clock.ts
+++ b/src/gue-edge/control/pausable-clock.ts
@@ -1,4 +1,8 @@
-/** A clock for one simulated process that can be paused while time goes on for the others. */
+/**
+ * A clock for one simulated process that can be paused while time goes on for the others.
+ *
+ * Owns the timers held while it is paused. Relies on the clock of the simulation.
+ */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 
 interface HeldTimer {
--- a/src/gue-edge/control/version.ts
+++ b/src/gue-edge/control/version.ts
@@ -1,4 +1,8 @@
-/** Agreement on a protocol version without a handshake: every datagram carries the range its sender speaks. */
+/**
+ * Agreement on a protocol version without a handshake: every datagram carries the range its sender speaks.
+ *
+ * Owns no state. Relies on the range in each envelope.
+ */
 
 /** Lowest and highest protocol version spoken, both inclusive. */
 export interface VersionRange {
--- a/src/gue-edge/daemon/metrics.ts
+++ b/src/gue-edge/daemon/metrics.ts
@@ -1,6 +1,8 @@
 /**
  * Prometheus metrics of one daemon. The other slices keep their own counters; a snapshot of them is copied into the
  * registry at each scrape, so that nothing on the packet path touches a metrics library.
+ *
+ * Owns the names and meanings of the metrics. Relies on the snapshot of `status-source.ts`.
  */
 import type { FlowStatistics } from '../flow/types.js';
 import {
--- a/src/gue-edge/dissemination/puller.ts
+++ b/src/gue-edge/dissemination/puller.ts
@@ -10,19 +10,11 @@
 import * as limits from './constants.js';
 import type { Messenger, Sender } from './messenger.js';
 import type { sailquay } from './pb/dissemination.js';
-import { decodeStamp, encodeStamp, NO_TREE, sameTree, supersedes, type TreeStamp } from './stamp.js';
+import { decodeStamp, encodeStamp, NO_TREE, supersedes, type TreeStamp } from './stamp.js';
 import type { DisseminationCounters } from './statistics.js';
+import { advance, transferPauseMs, type Chunk, type Progress } from './transfer-progress.js';
 import type { TreeHolder } from './tree-holder.js';
 
-/** A part of a transfer as it arrived. */
-interface Chunk {
-  readonly base: TreeStamp;
-  readonly target: TreeStamp;
-  readonly offset: number;
-  readonly totalBytes: number;
-  readonly data: Uint8Array;
-}
-
 /** A peer that has a tree that this member wants. */
 interface Source extends Sender {
   readonly stamp: TreeStamp;
@@ -37,14 +29,6 @@
   readonly from: Sender;
 }
 
-/** A transfer under way. */
-interface Progress {
-  readonly base: TreeStamp;
-  readonly target: TreeStamp;
-  readonly parts: Uint8Array[];
-  received: number;
-}
-
 /** What a puller works with. */
 interface PullerOptions {
   readonly holder: TreeHolder;
@@ -191,9 +175,8 @@
   }
 
   private pace(bytes: number): Promise<void> {
-    const share = this.options.messenger.availableBytesPerSecond() * limits.TRANSFER_BUDGET_SHARE;
-    const bytesPerSecond = Math.max(limits.TRANSFER_MIN_BYTES_PER_SECOND, share);
-    return new Promise((resolve) => this.options.clock.schedule((bytes / bytesPerSecond) * 1_000, resolve));
+    const pauseMs = transferPauseMs(bytes, this.options.messenger.availableBytesPerSecond());
+    return new Promise((resolve) => this.options.clock.schedule(pauseMs, resolve));
   }
 }
 
@@ -206,16 +189,3 @@
     data: wire.data ?? new Uint8Array(),
   };
 }
-
-/** Adds a chunk to a transfer, or starts one; undefined when the chunk cannot be used. */
-function advance(progress: Progress | undefined, chunk: Chunk, have: TreeStamp): Progress | undefined {
-  const { base, target, data } = chunk;
-  const usableBase = base.version === 0 || sameTree(base, have);
-  if (!usableBase || data.length === 0 || chunk.totalBytes > limits.MAX_TRANSFER_BYTES) return undefined;
-  const continues = progress && sameTree(progress.target, target) && sameTree(progress.base, base);
-  const current = continues ? progress : { base, target, parts: [], received: 0 };
-  if (chunk.offset !== current.received) return undefined;
-  current.parts.push(data);
-  current.received += data.length;
-  return current;
-}
--- a/src/gue-edge/dissemination/simulated-cluster.ts
+++ b/src/gue-edge/dissemination/simulated-cluster.ts
@@ -1,4 +1,8 @@
-/** A region of distributors on a simulated network, clock and platform; for tests and measurements only. */
+/**
+ * A region of distributors on a simulated network, clock and platform; for tests and measurements only.
+ *
+ * Owns the network, the clock and the platform of one simulation. Relies on the product code of this folder unchanged.
+ */
 import { VirtualClock } from '../../common/clock.js';
 import { seededRandom, type RandomSource } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
--- a/src/gue-edge/membership/membership-parts.ts
+++ b/src/gue-edge/membership/membership-parts.ts
@@ -1,6 +1,8 @@
 /**
  * Builds the parts of one member and connects what they ask of each other. The parts that report something (changes,
  * pauses, silence) do so through streams, to which `SwimMembership` subscribes; so every part exists before another uses it.
+ *
+ * Owns nothing afterwards: `SwimMembership` has the parts.
  */
 import { hashString } from '../../common/hash.js';
 import { SILENT_EVENT_LOG, type EventLog } from '../../observability/event.js';
--- a/src/gue-edge/membership/message-receiver.ts
+++ b/src/gue-edge/membership/message-receiver.ts
@@ -1,6 +1,9 @@
 /**
  * Handles the messages of other members: merges the updates that they carry, learns about their senders, and hands each to the
  * part that it is for.
+ *
+ * Owns the count of refutations and the last probe before a pause. Relies on `member-merge.ts` for what becomes of an update, and on the control
+ * channel for who sent it.
  */
 import { hashString } from '../../common/hash.js';
 import type { Endpoint } from '../../common/types.js';
--- a/src/gue-edge/membership/probe-order.ts
+++ b/src/gue-edge/membership/probe-order.ts
@@ -3,6 +3,8 @@
  * one that is shift(k) places on. Members whose clocks agree thus probe every member exactly once an interval, so that a
  * crash is noticed within an interval or two, which independent random orders do not give; and in n - 1 rounds a
  * member probes all others. Clocks that disagree only make the order less even.
+ *
+ * Owns no state. Relies on all members seeing the same ring most of the time.
  */
 
 /** Fractional part of the golden ratio: its multiples modulo 1 lie evenly, so that successive shifts are far apart. */
--- a/src/gue-edge/membership/simulated-cluster.ts
+++ b/src/gue-edge/membership/simulated-cluster.ts
@@ -1,4 +1,8 @@
-/** A region of members on a simulated network and a virtual clock, for tests and the cost model. */
+/**
+ * A region of members on a simulated network and a virtual clock, for tests and the cost model.
+ *
+ * Owns the network and the clock of one simulation. Relies on the product code of this folder unchanged.
+ */
 import { VirtualClock } from '../../common/clock.js';
 import { combine32 } from '../../common/hash.js';
 import { seededRandom } from '../../common/random.js';
--- a/src/observability/event.ts
+++ b/src/observability/event.ts
@@ -1,6 +1,8 @@
 /**
  * Numbered log events. Each slice declares its own in `events.ts` with `defineEvents`; docs/EVENTS.md lists all of
  * them and a test compares the page with the code.
+ *
+ * Owns the ranges of numbers by folder. Relies on each folder staying within its own, which a test checks.
  */
 
 /** Severity of an event. */
--- a/src/settings/field-types.ts
+++ b/src/settings/field-types.ts
@@ -1,4 +1,8 @@
-/** What defines a field of the tree, and builders of definitions by kind of value. */
+/**
+ * What defines a field of the tree, and builders of definitions by kind of value.
+ *
+ * Owns the kinds of values. Relies on no other module of this folder for their meaning.
+ */
 import { z } from 'zod';
 import type { Endpoint } from '../common/types.js';
 import type { FieldValue } from './tree.js';
--- a/src/settings/fields.ts
+++ b/src/settings/fields.ts
@@ -1,4 +1,8 @@
-/** The fields of the tree: where each may stand, its range, unit, built-in default and number on the wire. */
+/**
+ * The fields of the tree: where each may stand, its range, unit, built-in default and number on the wire.
+ *
+ * Owns every field and its wire number. Relies on `field-types.ts` for the kinds of values.
+ */
 import { z } from 'zod';
 import {
   durationField,
--- a/src/settings/file-schema.ts
+++ b/src/settings/file-schema.ts
@@ -1,4 +1,8 @@
-/** The zod schema of settings files, in the nested form, and the JSON Schema that editors use. */
+/**
+ * The zod schema of settings files, in the nested form, and the JSON Schema that editors use.
+ *
+ * Owns no state. Relies on `fields.ts` for the fields.
+ */
 import { z } from 'zod';
 import type { FieldDefinition } from './field-types.js';
 import { allowsField, FIELD_DEFINITIONS } from './fields.js';
--- a/src/settings/parse.ts
+++ b/src/settings/parse.ts
@@ -1,6 +1,8 @@
 /**
  * Reading of settings files: YAML or JSON, in the nested form that people write or the flat list of nodes.
  * Parsing judges only the shape; `validateDocument` judges the rest, so that all faults come at once.
+ *
+ * Owns the nested form of files. Relies on `validate.ts` for everything but the shape.
  */
 import Result from 'true-myth/result';
 import { LineCounter, parseDocument } from 'yaml';
--- a/src/settings/resolved-tree.ts
+++ b/src/settings/resolved-tree.ts
@@ -1,6 +1,8 @@
 /**
  * Indexes of a valid tree, kept between two versions, so that a change of a few nodes is checked against them instead of
  * against every node. An index belongs to one version at a time and moves on to the next.
+ *
+ * Owns the indexes. Relies on the tree being valid, and on nodes being immutable.
  */
 import { pathAbove, nodeId, type TreeNode } from './tree.js';
 import { isStrictlySorted, type NodeChange } from './tree-changes.js';
--- a/src/settings/tree-changes.ts
+++ b/src/settings/tree-changes.ts
@@ -1,4 +1,8 @@
-/** Changed nodes between two lists of nodes, found by walking both at once; nodes are compared by identity. */
+/**
+ * Changed nodes between two lists of nodes, found by walking both at once; nodes are compared by identity.
+ *
+ * Owns no state. Relies on untouched nodes being the same objects in both lists.
+ */
 import { comparePaths, type TreeNode } from './tree.js';
 
 /** What happened to one node; `before` is absent when it was added, `after` when it was removed. */
--- a/src/settings/tree.ts
+++ b/src/settings/tree.ts
@@ -1,6 +1,8 @@
 /**
  * The settings tree as it is stored: a flat list of nodes with only the fields that each sets itself, and the last
  * edits. Documents and nodes are immutable; an edit makes a new document that shares the untouched nodes.
+ *
+ * Owns the shape and the canonical order of nodes. Relies on `fields.ts` for what a field means.
  */
 
 import { hashString } from '../common/hash.js';
--- a/src/store/wire.ts
+++ b/src/store/wire.ts
@@ -1,4 +1,8 @@
-/** Shapes of the object API's JSON, checked on arrival (docs/PLATFORM.md is the reference). */
+/**
+ * Shapes of the object API's JSON, checked on arrival (docs/PLATFORM.md is the reference).
+ *
+ * Owns the schemas. Relies on the platform for nothing: every answer is checked.
+ */
 import { z } from 'zod';
 
 const version = z.number().int().nonnegative();
