--- a/src/gue-edge/membership/constants.ts
+++ b/src/gue-edge/membership/constants.ts
@@ -110,7 +110,7 @@
 /** Seeds asked in one attempt. Not measured; chosen so that two of them may be down. */
 export const JOIN_FANOUT = 3;
 
-/** Probes in a row without an answer from the target or from any helper, after which this member counts as cut off. Not measured; chosen so that one or two members that crash together do not look like a cut. */
+/** Probes in a row without an answer from the target or from any helper, after which this member counts as cut off. Not measured; chosen so that a single lost round is no cut. */
 export const BLIND_PROBES = 3;
 
 /** Changes are gathered this long while a zone is silent, so that its loss is one change of the view or a few. Not measured; chosen as ten times the usual `viewBatchMs`. */
--- a/src/gue-edge/membership/prober.ts
+++ b/src/gue-edge/membership/prober.ts
@@ -1,26 +1,21 @@
 /**
  * Failure detector: probes one member an interval, in turn, directly and then through other members.
  *
- * Owns the probe under way, the probes for other members and the order of targets. Relies on `probe-order.ts` for whom to probe,
- * and on the local health score for how long to wait.
+ * Owns the probe under way, the probes for other members and the order of targets. Relies on `probe-order.ts` for whom to probe, on
+ * `probe-verdict.ts` for what silence means, and on the local health score for how long to wait.
  */
 import type { TimerHandle } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
 import type { RandomSource } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
-import {
-  BLIND_PROBES,
-  INDIRECT_PROBES,
-  LATE_ROUND_MS,
-  PIGGYBACK_BYTES,
-  type MembershipTiming,
-} from './constants.js';
+import { INDIRECT_PROBES, LATE_ROUND_MS, PIGGYBACK_BYTES, type MembershipTiming } from './constants.js';
 import type { GuardedTimers } from './guarded-timers.js';
 import type { LocalHealth } from './local-health.js';
 import { isRemoved, type MemberRecord } from './member-record.js';
 import type { MemberTable } from './member-table.js';
 import type { Messenger } from './messenger.js';
 import { probeShift } from './probe-order.js';
+import { isAccusedBySilence, isCutOff, judgeUnansweredProbe } from './probe-verdict.js';
 import { sampleMembers, shuffle } from './sampling.js';
 import { encodeEntry, MessageType, type WireMessage } from './wire.js';
 
@@ -71,9 +66,9 @@
 
   constructor(private readonly context: ProberContext) {}
 
-  /** True while the last probes got no sign of life from anyone: this member is probably cut off. */
+  /** True while the last probes got neither an answer nor a response of a helper: this member is probably cut off. */
   get isCutOff(): boolean {
-    return this.blindProbes >= BLIND_PROBES;
+    return isCutOff(this.blindProbes);
   }
 
   /** Number of the last probe sent; answers to later ones were given later. */
@@ -189,14 +184,12 @@
     const { open, context } = this;
     if (!open) return;
     this.discard();
-    if (open.helpersAsked > 0 && open.negativeAnswers === 0) {
+    if (judgeUnansweredProbe(open.helpersAsked, open.negativeAnswers) === 'blind') {
       this.blindProbes += 1;
       context.health.worsenBlind();
     }
     const current = context.table.get(open.target.idHash);
-    if (current && !isRemoved(current) && current.incarnation === open.target.incarnation) {
-      this.unanswered.push(current);
-    }
+    if (isAccusedBySilence(current, open.target)) this.unanswered.push(current);
   }
 
   private probeNext(): void {
--- a/src/gue-edge/membership/quorum-lease.ts
+++ b/src/gue-edge/membership/quorum-lease.ts
@@ -37,18 +37,18 @@
 /** Keeps, or keeps trying for, the lease while `wanted` says so. */
 export class QuorumLease {
   private lease: Lease | undefined;
-  private lastAnswer: LeaseStanding = 'unknown';
+  private lastStanding: LeaseStanding = 'unknown';
   private timer: TimerHandle | undefined;
-  private asking = false;
+  private isRequesting = false;
   private stopped = false;
 
   constructor(private readonly options: QuorumLeaseOptions) {
-    if (!options.platform) this.lastAnswer = 'unavailable';
+    if (!options.platform) this.lastStanding = 'unavailable';
   }
 
   /** What is known about the lease now. */
   standing(): LeaseStanding {
-    if (this.lastAnswer !== 'held') return this.lastAnswer;
+    if (this.lastStanding !== 'held') return this.lastStanding;
     const trusted = this.lease !== undefined && this.options.clock.now() < this.lease.trustedUntilMs;
     return trusted ? 'held' : 'unknown';
   }
@@ -65,7 +65,7 @@
   drop(): void {
     const { lease } = this;
     this.lease = undefined;
-    this.lastAnswer = this.options.platform ? 'unknown' : 'unavailable';
+    this.lastStanding = this.options.platform ? 'unknown' : 'unavailable';
     // A lease that could not be released runs out by itself.
     if (lease) void this.options.platform?.releaseLease(lease).catch(() => undefined);
   }
@@ -78,21 +78,21 @@
 
   /** Acquires or renews when wanted, gives up when not. One request at a time. */
   async refresh(): Promise<void> {
-    if (!this.options.platform || this.asking || this.stopped) return;
+    if (!this.options.platform || this.isRequesting || this.stopped) return;
     if (!this.options.wanted()) {
-      if (this.lastAnswer !== 'unknown') this.drop();
+      if (this.lastStanding !== 'unknown') this.drop();
       return;
     }
-    this.asking = true;
-    const standing = await this.ask(this.options.platform);
-    this.asking = false;
-    const changed = standing !== this.lastAnswer;
-    this.lastAnswer = standing;
+    this.isRequesting = true;
+    const standing = await this.requestLease(this.options.platform);
+    this.isRequesting = false;
+    const changed = standing !== this.lastStanding;
+    this.lastStanding = standing;
     if (this.stopped || !this.options.wanted()) this.drop();
     if (changed) this.options.onChange();
   }
 
-  private async ask(platform: LeasePlatform): Promise<LeaseStanding> {
+  private async requestLease(platform: LeasePlatform): Promise<LeaseStanding> {
     const acquired = await platform.acquireLease(
       this.options.leaseName,
       this.options.holder,
--- a/src/gue-edge/membership/quorum.ts
+++ b/src/gue-edge/membership/quorum.ts
@@ -50,11 +50,11 @@
   readonly exchange: QuorumExchange;
   private readonly lease: QuorumLease;
   /** Another member was met. */
-  private met = false;
+  private hasMetMember = false;
   /** No seed is configured and no other member was met: a site of one. */
-  private sole = false;
+  private isSole = false;
   /** False from a pause until another member has answered. */
-  private validated = true;
+  private isConfirmed = true;
   private aloneSinceMs: number | undefined;
   private decision = false;
   private withdrawn = false;
@@ -90,7 +90,7 @@
   }
 
   start(hasSeeds: boolean): void {
-    this.sole = !hasSeeds;
+    this.isSole = !hasSeeds;
     this.lease.start();
   }
 
@@ -108,18 +108,18 @@
 
   /** Another member was heard. */
   noteContact(): void {
-    this.met = true;
-    this.sole = false;
+    this.hasMetMember = true;
+    this.isSole = false;
   }
 
   /** Another member has answered a probe sent after the last pause. */
   noteFreshAnswer(): void {
-    this.validated = true;
+    this.isConfirmed = true;
   }
 
   /** This process did not run for a while; `hasPeers` tells whether anyone can confirm that it is still a member. */
   notePause(hasPeers: boolean): void {
-    if (hasPeers) this.validated = false;
+    if (hasPeers) this.isConfirmed = false;
   }
 
   /** Gives the quorum up for good. */
@@ -152,8 +152,8 @@
    */
   private bootstrap(): void {
     if (this.isBootstrapped || this.exchange.seenEpoch > 0) return;
-    const mayCreate = this.context.platform ? this.lease.standing() === 'held' : this.met;
-    if (mayCreate || this.sole) this.context.base.create(this.context.table.live());
+    const mayCreate = this.context.platform ? this.lease.standing() === 'held' : this.hasMetMember;
+    if (mayCreate || this.isSole) this.context.base.create(this.context.table.live());
   }
 
   private get isBootstrapped(): boolean {
@@ -171,8 +171,8 @@
   private facts(): QuorumFacts {
     return {
       withdrawn: this.withdrawn,
-      isSole: this.sole,
-      isConfirmed: this.validated,
+      isSole: this.isSole,
+      isConfirmed: this.isConfirmed,
       hasBase: this.isBootstrapped,
       isAlone: this.isAlone(),
       wasAloneLong: this.waitedLongEnough(),
