--- a/src/gue-edge/membership/member-merge.test.ts
+++ b/src/gue-edge/membership/member-merge.test.ts
@@ -1,7 +1,12 @@
 /** Which report about a member overrules which record: every outcome, and what is stored. */
 import test from 'ava';
 import { hashString } from '../../common/hash.js';
-import { decideMerge, type MergeOutcome } from './member-merge.js';
+import {
+  decideMerge,
+  respondToAccusation,
+  type AccusationResponse,
+  type MergeOutcome,
+} from './member-merge.js';
 import { newRecord, type Lifecycle, type MemberIdentity, type MemberRecord } from './member-record.js';
 import type { MemberUpdate } from './wire.js';
 
@@ -121,3 +126,19 @@
     t.deepEqual(decideMerge(record, heard, { isSelf: true, nowMs: NOW_MS }), { outcome });
   });
 }
+
+const ELSEWHERE = { ...identity('b'), control: { host: '10.0.0.2', port: 1 } };
+const OTHER_PORT = { ...identity('b'), control: { host: '10.0.0.1', port: 2 } };
+
+const ACCUSATIONS: readonly (readonly [string, MemberUpdate, AccusationResponse])[] = [
+  ['of this process', report('5.1', 'active', SUSPECTED), 'refute'],
+  ['of this process elsewhere', report('5.1', 'active', { ...SUSPECTED, identity: ELSEWHERE }), 'refute'],
+  ['of a later process here', report('6.0', 'active'), 'refute'],
+  ['of a later process, without identity', report('6.0', 'left', SHORT), 'refute'],
+  ['of a later process elsewhere', report('6.0', 'active', { identity: ELSEWHERE }), 'give-way'],
+  ['of a later process at another port', report('6.0', 'active', { identity: OTHER_PORT }), 'give-way'],
+];
+
+for (const [name, accusation, response] of ACCUSATIONS) {
+  test(`accusation: ${name}`, (t) => t.is(respondToAccusation(known('5.1', 'active'), accusation), response));
+}
--- a/src/gue-edge/membership/member-merge.ts
+++ b/src/gue-edge/membership/member-merge.ts
@@ -6,6 +6,7 @@
  *
  * Owns nothing; returns the outcome and the record to store, and the member table carries it out.
  */
+import { sameEndpoint } from '../../common/types.js';
 import {
   compareVersions,
   isRemoved,
@@ -111,6 +112,20 @@
   return { outcome: order < 0 ? 'outdated-accusation' : 'accused' };
 }
 
+/**
+ * What an accused member does. `refute`: it makes its version newer than the accusation. `give-way`: a later process has taken over its
+ * id elsewhere, and this one must not act for it any more. An accusation of a later incarnation at its own address is about an earlier
+ * process whose clock was ahead; one without an address is taken for that as well, since giving way is final.
+ */
+export type AccusationResponse = 'refute' | 'give-way';
+
+/** Decides what this member does about an accusation of itself. */
+export function respondToAccusation(self: MemberRecord, accusation: MemberUpdate): AccusationResponse {
+  if (accusation.incarnation <= self.incarnation || !accusation.identity) return 'refute';
+  const isSameAddress = sameEndpoint(accusation.identity.control, self.identity.control);
+  return isSameAddress ? 'refute' : 'give-way';
+}
+
 function isRemovedLifecycle(lifecycle: Lifecycle): boolean {
   return lifecycle === 'failed' || lifecycle === 'left';
 }
--- a/src/gue-edge/membership/message-receiver.ts
+++ b/src/gue-edge/membership/message-receiver.ts
@@ -11,6 +11,7 @@
 import type { Accusations } from './accusations.js';
 import { GOSSIP_RESERVE_BYTES_PER_SECOND } from './constants.js';
 import { MEMBERSHIP_EVENTS } from './events.js';
+import { respondToAccusation } from './member-merge.js';
 import { isRemoved } from './member-record.js';
 import type { MembershipParts } from './membership-parts.js';
 import type { QuorumUpdates } from './quorum-updates.js';
@@ -149,22 +150,13 @@
 
   private onAccused(update: MemberUpdate): void {
     const { table, health, events } = this.context.parts;
-    if (update.incarnation > table.self.incarnation && !this.isPredecessor(update)) return this.withdraw();
+    if (respondToAccusation(table.self, update) === 'give-way') return this.withdraw();
     this.refutationCount += 1;
     health.worsen();
     table.refute(update);
     events.emit(MEMBERSHIP_EVENTS.refuted, { refutation: table.self.refutation });
   }
 
-  /** True for an update about an earlier process at this address whose clock was ahead; false for a later process elsewhere. */
-  private isPredecessor(update: MemberUpdate): boolean {
-    const own = this.context.parts.table.self.identity.control;
-    return (
-      update.identity === undefined ||
-      (update.identity.control.host === own.host && update.identity.control.port === own.port)
-    );
-  }
-
   /** A later process took over the id: this one must not act for it any more. */
   private withdraw(): void {
     const { events, table, quorum } = this.context.parts;
--- a/src/gue-edge/membership/quorum-decision.test.ts
+++ b/src/gue-edge/membership/quorum-decision.test.ts
@@ -6,6 +6,8 @@
   decideQuorum,
   isQuorateVerdict,
   isReachableForQuorum,
+  mayCreateFirstBase,
+  type FirstBaseFacts,
   type LeaseDemand,
   type QuorumEvidence,
   type QuorumFacts,
@@ -93,6 +95,29 @@
   }
 });
 
+const STARTING: FirstBaseFacts = {
+  hasSeenBase: false,
+  isSole: false,
+  hasPlatform: true,
+  lease: 'unknown',
+  hasMetMember: true,
+};
+
+const FIRST_BASES: readonly (readonly [string, Partial<FirstBaseFacts>, boolean])[] = [
+  ['with the lease', { lease: 'held' }, true],
+  ['the lease not asked for', {}, false],
+  ['the lease held by another', { lease: 'held-by-other' }, false],
+  ['no answer of the platform', { lease: 'unavailable' }, false],
+  ['no platform, another member met', { hasPlatform: false, lease: 'unavailable' }, true],
+  ['no platform, no member met', { hasPlatform: false, lease: 'unavailable', hasMetMember: false }, false],
+  ['sole', { isSole: true, hasMetMember: false }, true],
+  ['a base was seen', { hasSeenBase: true, isSole: true, lease: 'held' }, false],
+];
+
+for (const [name, facts, expected] of FIRST_BASES) {
+  test(`first base: ${name}`, (t) => t.is(mayCreateFirstBase({ ...STARTING, ...facts }), expected));
+}
+
 const GRACE = { quorumGraceMs: 1_000 };
 const NOW_MS = 10_000;
 const SUSPECT: SilenceFacts = { suspected: true, isZoneSilent: false, suspectedSinceMs: NOW_MS - 999 };
--- a/src/gue-edge/membership/quorum-decision.ts
+++ b/src/gue-edge/membership/quorum-decision.ts
@@ -13,7 +13,7 @@
 
 /** What this member knows of its place in the region. */
 export interface QuorumFacts {
-  /** This member gave its quorum up for good, because it leaves. */
+  /** This member gave its quorum up for good, because a later process has taken over its id. */
   readonly withdrawn: boolean;
   /** No seed is configured and no other member was ever met: a site of one. */
   readonly isSole: boolean;
@@ -134,6 +134,28 @@
   return facts.isAlone && facts.wasAloneLong && lease === 'held';
 }
 
+/** What the making of a region's first base depends on. */
+export interface FirstBaseFacts {
+  /** There is a base, or another member has shown one. */
+  readonly hasSeenBase: boolean;
+  readonly isSole: boolean;
+  readonly hasPlatform: boolean;
+  readonly lease: LeaseStanding;
+  /** Another member was met at some time. */
+  readonly hasMetMember: boolean;
+}
+
+/**
+ * True when this member may make the first base of its region from the active members that it knows. With a platform it takes the
+ * lease, so that two groups that start while cut off from each other cannot both become quorate. Without one, nothing can prevent
+ * that, and any other member met is enough. A site of one needs neither.
+ */
+export function mayCreateFirstBase(facts: FirstBaseFacts): boolean {
+  if (facts.hasSeenBase) return false;
+  if (facts.isSole) return true;
+  return facts.hasPlatform ? facts.lease === 'held' : facts.hasMetMember;
+}
+
 /** What is known of the silence of a member; times in monotonic ms. */
 export interface SilenceFacts {
   readonly suspected: boolean;
--- a/src/gue-edge/membership/quorum.ts
+++ b/src/gue-edge/membership/quorum.ts
@@ -14,6 +14,7 @@
   decideQuorum,
   isQuorateVerdict,
   isReachableForQuorum,
+  mayCreateFirstBase,
   type QuorumEvidence,
   type QuorumFacts,
 } from './quorum-decision.js';
@@ -146,14 +147,16 @@
     return before !== this.decision;
   }
 
-  /**
-   * Makes the first base of a region. It takes the lease, so that two groups that start while cut off from each other
-   * cannot both become quorate; without a platform, or in a site of one, it takes an active member.
-   */
+  /** Makes the first base of a region where that is due; nothing happens while no member is active. */
   private bootstrap(): void {
-    if (this.isBootstrapped || this.exchange.seenEpoch > 0) return;
-    const mayCreate = this.context.platform ? this.lease.standing() === 'held' : this.hasMetMember;
-    if (mayCreate || this.isSole) this.context.base.create(this.context.table.live());
+    const mayCreate = mayCreateFirstBase({
+      hasSeenBase: this.isBootstrapped || this.exchange.seenEpoch > 0,
+      isSole: this.isSole,
+      hasPlatform: this.context.platform !== undefined,
+      lease: this.lease.standing(),
+      hasMetMember: this.hasMetMember,
+    });
+    if (mayCreate) this.context.base.create(this.context.table.live());
   }
 
   private get isBootstrapped(): boolean {
