--- a/src/common/pause-detector.ts
+++ b/src/common/pause-detector.ts
@@ -1,31 +1,39 @@
 /**
- * Detects that the process was paused. What was queued in a socket meanwhile is old: a later retransmission of a SYN may have
- * opened its flow through another daemon, and a message between daemons seems newer than it is.
+ * Rule: whether a datagram that is read now may have waited through a pause of the process.
  *
- * Owns the time of the last tick and whether datagrams from before it are still being read. Relies on its caller for ticks and reads.
+ * Prevents that a queued SYN is placed whose retransmission has opened the flow through another balancer, and that a queued message
+ * between daemons counts as newer than it is. Does no input or output; owns the time of the last tick and the reads of the current
+ * turn of the event loop.
+ *
+ * Inputs: monotonic ms of the housekeeping's ticks, and the reads of each socket. Order: a pause is recognized by a late tick, also
+ * before that tick has run; from then on everything may be old until one turn has read both sockets empty. That end does not depend
+ * on time, because a backlog may take any time to read.
  */
 
-/** A tick this late, in ms, means that the process was paused. Not measured; chosen longer than the 100 ms between two ticks. */
+/**
+ * Delay of a tick, in ms, from which the process counts as paused. Not measured; chosen to be below the 200 ms after which callers
+ * retransmit a SYN for the first time.
+ */
 const PAUSE_MS = 150;
 
 /**
- * Datagrams that node reads from one socket in one turn of its event loop, at most; a turn that reads fewer has read the
- * socket empty. Source: `uv__udp_recvmsg` of libuv, which stops after 32 or at the first read without a datagram.
+ * Datagrams that Node.js reads from one socket in one turn of its event loop, at most; a turn that reads fewer has read the socket
+ * empty. Source: a bound of the platform, `uv__udp_recvmsg` of libuv, which stops after 32 or at the first read without a datagram.
  */
 export const READS_A_TURN = 32;
 
-/** Sockets whose datagrams wait through a pause. */
+/** Sockets in which datagrams wait through a pause. */
 type PausedSocket = 'edge' | 'peers';
 
-/** Calls back at the end of the turn of the event loop, after what could be read was read. */
+/** Calls back at the end of the turn of the event loop, after its reads. */
 type AfterReads = (callback: () => void) => void;
 
-/** One for each process with a data path. Times are monotonic ms. */
+/** Detects pauses and their end. Times are monotonic ms. */
 export class PauseDetector {
   private lastTickMs: number;
-  /** True from the end of a pause until all that waited through it has been read. */
+  /** True from the end of a pause until everything that waited through it has been read. */
   private isCatchingUp = false;
-  /** Datagrams read in this turn, by socket. */
+  /** Datagrams read in this turn while catching up, by socket. */
   private readonly reads: Record<PausedSocket, number> = { edge: 0, peers: 0 };
 
   /** @param tickMs time between two calls of `noteTick` */
@@ -55,7 +63,7 @@
     return this.isCatchingUp || this.pausedFor(nowMs) > 0;
   }
 
-  /** Goes on from turn to turn until one has read both sockets empty. */
+  /** Continues from turn to turn until one has read both sockets empty. */
   private catchUp(): void {
     this.isCatchingUp = true;
     this.reads.edge = 0;
