--- a/src/gue-edge/membership/change-reporter.ts
+++ b/src/gue-edge/membership/change-reporter.ts
@@ -1,6 +1,11 @@
-/** Writes the log events of changes in the member table and counts failures. */
-import type { EventLog } from '../../observability/event.js';
+/**
+ * Writes the log events of changes in the member table and counts failures.
+ *
+ * Owns the count of failures. Relies on `ZoneSilence` for when single suspicions and failures are not worth a line.
+ */
+import type { EventFields, EventLog } from '../../observability/event.js';
 import { MEMBERSHIP_EVENTS } from './events.js';
+import type { Lifecycle } from './member-record.js';
 import { isFailure, type RecordChange } from './member-table.js';
 
 /** One reporter for each process. */
@@ -22,11 +27,14 @@
       this.failureCount += 1;
       if (!quiet) this.events.emit(MEMBERSHIP_EVENTS.memberFailed, fields);
     }
-    if (record.suspected && !previous?.suspected && !quiet) {
-      this.events.emit(MEMBERSHIP_EVENTS.memberSuspect, fields);
-    }
-    if (record.lifecycle === previous?.lifecycle) return;
-    if (record.lifecycle === 'left') this.events.emit(MEMBERSHIP_EVENTS.memberLeft, fields);
-    if (record.lifecycle === 'active') this.events.emit(MEMBERSHIP_EVENTS.memberActive, fields);
+    const isNewlySuspected = record.suspected && !previous?.suspected;
+    if (isNewlySuspected && !quiet) this.events.emit(MEMBERSHIP_EVENTS.memberSuspect, fields);
+    if (record.lifecycle !== previous?.lifecycle) this.reportLifecycle(record.lifecycle, fields);
+  }
+
+  /** Reports a planned change; a failure has an event of its own, which can be kept quiet. */
+  private reportLifecycle(lifecycle: Lifecycle, fields: EventFields): void {
+    if (lifecycle === 'left') this.events.emit(MEMBERSHIP_EVENTS.memberLeft, fields);
+    if (lifecycle === 'active') this.events.emit(MEMBERSHIP_EVENTS.memberActive, fields);
   }
 }
--- a/src/gue-edge/membership/membership-parts.ts
+++ b/src/gue-edge/membership/membership-parts.ts
@@ -1,6 +1,8 @@
 /**
  * Builds the parts of one member and connects what they ask of each other. The parts that report something (changes,
  * pauses, silence) do so through streams, to which `SwimMembership` subscribes; so every part exists before another uses it.
+ *
+ * Owns nothing afterwards: `SwimMembership` has the parts.
  */
 import { hashString } from '../../common/hash.js';
 import { SILENT_EVENT_LOG, type EventLog } from '../../observability/event.js';
@@ -53,32 +55,15 @@
   const { clock, random, channel, region, platform } = options;
   const base = createBase(options);
   const { table, timers, timing, messenger, queue, events } = base;
+  const common = { table, timers, random, timing, messenger };
   const zones = new ZoneSilence();
-  const sync = new StateSync({ table, timers, random, timing, messenger });
-  const gossiper = new Gossiper({
-    table,
-    queue,
-    timers,
-    random,
-    timing,
-    messenger,
-    availableBytesPerSecond: () => channel.availableBytesPerSecond(),
-  });
-  const prober = new Prober({
-    table,
-    timers,
-    random,
-    timing,
-    messenger,
-    health: base.health,
-    wallMs: () => clock.wall(),
-  });
+  const sync = new StateSync(common);
+  const availableBytesPerSecond = (): number => channel.availableBytesPerSecond();
+  const gossiper = new Gossiper({ ...common, queue, availableBytesPerSecond });
+  const prober = new Prober({ ...common, health: base.health, wallMs: () => clock.wall() });
   const quorum = new Quorum({
+    ...common,
     clock,
-    timers,
-    messenger,
-    table,
-    timing,
     region,
     platform,
     base: base.quorumBase,
@@ -94,10 +79,7 @@
     batchMs: () => (zones.anySilent ? ZONE_VIEW_BATCH_MS : timing.viewBatchMs),
   });
   const joiner = new Joiner({
-    table,
-    timers,
-    random,
-    timing,
+    ...common,
     seeds: options.seeds,
     platform,
     events,
--- a/src/gue-edge/membership/quorum-lease.ts
+++ b/src/gue-edge/membership/quorum-lease.ts
@@ -3,6 +3,9 @@
  *
  * In a quorate region of several members the lowest-id one holds it, so that a member cut off from the others cannot get it. A sole
  * survivor tries only after witnessWaitMs, which is longer than the lease: a majority elsewhere comes first.
+ *
+ * Owns the lease and what is known of it. Relies on `quorum-decision.ts` for whether it is wanted, and on the store's client for how
+ * long it is trusted.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { Lease, StoreClient } from '../../store/types.js';
@@ -11,9 +14,9 @@
 export type LeasePlatform = Pick<StoreClient, 'acquireLease' | 'releaseLease'>;
 
 /** `unknown`: not asked yet or trust has run out. `unavailable`: the platform did not answer. */
-type LeaseStanding = 'unknown' | 'held' | 'held-by-other' | 'unavailable';
+export type LeaseStanding = 'unknown' | 'held' | 'held-by-other' | 'unavailable';
 
-/** Renewals in the duration of a lease. */
+/** Renewals in the duration of a lease. Not measured; chosen so that one renewal may be lost. */
 const RENEWALS_PER_LEASE = 3;
 
 /** What the lease is kept with. */
@@ -34,18 +37,18 @@
 /** Keeps, or keeps trying for, the lease while `wanted` says so. */
 export class QuorumLease {
   private lease: Lease | undefined;
-  private lastAnswer: LeaseStanding = 'unknown';
+  private lastStanding: LeaseStanding = 'unknown';
   private timer: TimerHandle | undefined;
-  private asking = false;
+  private isRequesting = false;
   private stopped = false;
 
   constructor(private readonly options: QuorumLeaseOptions) {
-    if (!options.platform) this.lastAnswer = 'unavailable';
+    if (!options.platform) this.lastStanding = 'unavailable';
   }
 
   /** What is known about the lease now. */
   standing(): LeaseStanding {
-    if (this.lastAnswer !== 'held') return this.lastAnswer;
+    if (this.lastStanding !== 'held') return this.lastStanding;
     const trusted = this.lease !== undefined && this.options.clock.now() < this.lease.trustedUntilMs;
     return trusted ? 'held' : 'unknown';
   }
@@ -62,7 +65,7 @@
   drop(): void {
     const { lease } = this;
     this.lease = undefined;
-    this.lastAnswer = this.options.platform ? 'unknown' : 'unavailable';
+    this.lastStanding = this.options.platform ? 'unknown' : 'unavailable';
     // A lease that could not be released runs out by itself.
     if (lease) void this.options.platform?.releaseLease(lease).catch(() => undefined);
   }
@@ -75,21 +78,21 @@
 
   /** Acquires or renews when wanted, gives up when not. One request at a time. */
   async refresh(): Promise<void> {
-    if (!this.options.platform || this.asking || this.stopped) return;
+    if (!this.options.platform || this.isRequesting || this.stopped) return;
     if (!this.options.wanted()) {
-      if (this.lastAnswer !== 'unknown') this.drop();
+      if (this.lastStanding !== 'unknown') this.drop();
       return;
     }
-    this.asking = true;
-    const standing = await this.ask(this.options.platform);
-    this.asking = false;
-    const changed = standing !== this.lastAnswer;
-    this.lastAnswer = standing;
+    this.isRequesting = true;
+    const standing = await this.requestLease(this.options.platform);
+    this.isRequesting = false;
+    const changed = standing !== this.lastStanding;
+    this.lastStanding = standing;
     if (this.stopped || !this.options.wanted()) this.drop();
     if (changed) this.options.onChange();
   }
 
-  private async ask(platform: LeasePlatform): Promise<LeaseStanding> {
+  private async requestLease(platform: LeasePlatform): Promise<LeaseStanding> {
     const acquired = await platform.acquireLease(
       this.options.leaseName,
       this.options.holder,
--- a/src/gue-edge/membership/wire.ts
+++ b/src/gue-edge/membership/wire.ts
@@ -1,4 +1,8 @@
-/** Conversion between membership messages and their protobuf form (pb/membership.proto). */
+/**
+ * Conversion between membership messages and their protobuf form (pb/membership.proto).
+ *
+ * Owns the layout of entries. Relies on the generated protobuf code, and on the sender for nothing: malformed entries are refused.
+ */
 import type { Endpoint } from '../../common/types.js';
 import { sailquay } from './pb/membership.js';
 import {
@@ -23,8 +27,8 @@
 const HOST_BYTES = 4;
 const SHARED_HOST_BYTES = 10;
 
-/** News about one member as it arrives; `identity` is absent in the short form. */
-export interface MemberNews extends MemberVersion {
+/** An update about one member as it arrives; `identity` is absent in the short form. */
+export interface MemberUpdate extends MemberVersion {
   readonly idHash: number;
   readonly identity: MemberIdentity | undefined;
   readonly lifecycle: Lifecycle;
@@ -74,7 +78,7 @@
 }
 
 /** Decodes an entry; undefined when it is malformed. `hashId` is `hashString`. */
-export function decodeEntry(bytes: Uint8Array, hashId: (id: string) => number): MemberNews | undefined {
+export function decodeEntry(bytes: Uint8Array, hashId: (id: string) => number): MemberUpdate | undefined {
   let entry: sailquay.membership.MemberEntry;
   try {
     entry = MemberEntry.decode(bytes) as sailquay.membership.MemberEntry;
--- a/src/observability/admin-server.ts
+++ b/src/observability/admin-server.ts
@@ -1,6 +1,8 @@
 /**
  * HTTP admin address of a daemon: `/metrics`, `/livez`, `/readyz` and `/status`, read with GET or HEAD. A daemon that
  * takes faults on demand has `PUT /faults` besides.
+ *
+ * Owns the HTTP server. Relies on its source for every value, and judges none.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -88,6 +90,14 @@
   const [path, query] = (request.url ?? '/').split('?', 2);
   if (path === '/faults' && source.setFaults) return setFaults(source.setFaults, request);
   if (request.method !== 'GET' && request.method !== 'HEAD') return json(405, { error: 'use GET or HEAD' });
+  return page(source, path, query);
+}
+
+async function page(
+  source: AdminSource,
+  path: string | undefined,
+  query: string | undefined,
+): Promise<Answer> {
   switch (path) {
     case '/livez':
       return json(200, { alive: true });
--- a/src/settings/resolve.ts
+++ b/src/settings/resolve.ts
@@ -1,4 +1,9 @@
-/** From a settings tree to the effective settings that the other slices read. */
+/**
+ * From a settings tree to the effective settings that the other slices read.
+ *
+ * Owns the indexes of the newest tree, by which a small change is checked without the whole tree. Relies on `validate.ts`: a tree
+ * with any fault is not resolved.
+ */
 import Result from 'true-myth/result';
 import type { Endpoint } from '../common/types.js';
 import type { SettingsFault } from './errors.js';
@@ -174,7 +179,7 @@
   return service;
 }
 
-/** Changed nodes up to which a tree is checked by its changes alone. */
+/** Changed nodes up to which a tree is checked by its changes alone. Not measured; chosen above the nodes of usual edits. */
 const MAX_INCREMENTAL_CHANGES = 64;
 
 /** The indexes of the tree that settings were resolved from; those of the newest version only. */
