--- a/contract/surfaces/operator-metrics.ts
+++ b/contract/surfaces/operator-metrics.ts
@@ -73,7 +73,7 @@
       topics: ['routes', 'backends', 'cordons'],
       ageOf: () => 1,
     },
-    circuit: { isLost: false },
+    availability: { isLost: false },
     reading: { calls: 1 },
     problems: { count: 1 },
     spreader: { isReading: true, peerCount: 1, statistics: { bytesSent: 1, bytesReceived: 1, fetches: 1 } },
--- a/contract/surfaces/wire-hashes.ts
+++ b/contract/surfaces/wire-hashes.ts
@@ -192,8 +192,8 @@
     capacity: 4,
     calls: 0,
   }));
-  rates.note(counts, 0);
-  rates.note(
+  rates.record(counts, 0);
+  rates.record(
     counts.map((count, index) => ({ ...count, calls: index < 2 ? 1_000 * (index + 2) : 10 })),
     1_000,
   );
--- a/src/common/pause-detector.test.ts
+++ b/src/common/pause-detector.test.ts
@@ -9,7 +9,7 @@
   const detector = new PauseDetector(0, TICK_MS, (callback) => void waiting.push(callback));
   /** One turn: `reads` datagrams are read, then what waited for its end runs. */
   const turn = (reads: number): void => {
-    for (let index = 0; index < reads; index += 1) detector.noteRead('edge');
+    for (let index = 0; index < reads; index += 1) detector.recordRead('edge');
     for (const callback of waiting.splice(0)) callback();
   };
   return { detector, turn };
@@ -17,35 +17,35 @@
 
 test('ticks in time are no pause', (t) => {
   const { detector } = createDetector();
-  t.is(detector.noteTick(TICK_MS), 0);
-  t.false(detector.mayBeOld(2 * TICK_MS));
+  t.is(detector.recordTick(TICK_MS), 0);
+  t.false(detector.mayHaveWaited(2 * TICK_MS));
 });
 
 test('what is read before the late tick may be old', (t) => {
   const { detector } = createDetector();
-  t.true(detector.mayBeOld(4_000));
+  t.true(detector.mayHaveWaited(4_000));
 });
 
 test('what waited is old until a turn has read all of it, however long that takes', (t) => {
   const { detector, turn } = createDetector();
-  t.is(detector.noteTick(4_000), 4_000 - TICK_MS);
+  t.is(detector.recordTick(4_000), 4_000 - TICK_MS);
   for (let read = 0; read < 200; read += 1) {
     const nowMs = 4_000 + read;
-    t.true(detector.mayBeOld(nowMs), `${read} turns`);
-    if (read % 100 === 99) detector.noteTick(nowMs);
+    t.true(detector.mayHaveWaited(nowMs), `${read} turns`);
+    if (read % 100 === 99) detector.recordTick(nowMs);
     turn(READS_A_TURN);
   }
-  t.true(detector.mayBeOld(4_200));
+  t.true(detector.mayHaveWaited(4_200));
   turn(READS_A_TURN - 1);
-  t.false(detector.mayBeOld(4_200));
+  t.false(detector.mayHaveWaited(4_200));
 });
 
 test('each socket must have been read empty', (t) => {
   const { detector, turn } = createDetector();
-  detector.noteTick(4_000);
-  for (let index = 0; index < READS_A_TURN; index += 1) detector.noteRead('peers');
+  detector.recordTick(4_000);
+  for (let index = 0; index < READS_A_TURN; index += 1) detector.recordRead('peers');
   turn(1);
-  t.true(detector.mayBeOld(4_001));
+  t.true(detector.mayHaveWaited(4_001));
   turn(1);
-  t.false(detector.mayBeOld(4_002));
+  t.false(detector.mayHaveWaited(4_002));
 });
--- a/src/common/pause-detector.ts
+++ b/src/common/pause-detector.ts
@@ -36,7 +36,7 @@
   /** Datagrams read in this turn while catching up, by socket. */
   private readonly reads: Record<PausedSocket, number> = { edge: 0, peers: 0 };
 
-  /** @param tickMs time between two calls of `noteTick` */
+  /** @param tickMs time between two calls of `recordTick` */
   constructor(
     nowMs: number,
     private readonly tickMs: number,
@@ -46,7 +46,7 @@
   }
 
   /** Notes a tick of the housekeeping timer; returns the length of the pause before it, or 0. */
-  noteTick(nowMs: number): number {
+  recordTick(nowMs: number): number {
     const pausedMs = this.pausedFor(nowMs);
     this.lastTickMs = nowMs;
     if (pausedMs > 0 && !this.isCatchingUp) this.catchUp();
@@ -54,12 +54,12 @@
   }
 
   /** Notes that a datagram was read. */
-  noteRead(socket: PausedSocket): void {
+  recordRead(socket: PausedSocket): void {
     if (this.isCatchingUp) this.reads[socket] += 1;
   }
 
   /** True when a datagram that is read now may have waited through a pause. */
-  mayBeOld(nowMs: number): boolean {
+  mayHaveWaited(nowMs: number): boolean {
     return this.isCatchingUp || this.pausedFor(nowMs) > 0;
   }
 
--- a/src/cookie-edge/backend-health/backend-prober.ts
+++ b/src/cookie-edge/backend-health/backend-prober.ts
@@ -3,8 +3,8 @@
  * Relies on the pause detector to tell whether this process may have slept through an answer.
  */
 import type { Clock } from '../../common/clock.js';
-import { pause } from '../../common/pause.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
+import { pause } from '../../common/pause.js';
 import type { Endpoint } from '../../common/types.js';
 import { PROBE_SPACING_MS, PROBE_TIMEOUT_MS } from './constants.js';
 import { findingOf, findingOfPair } from './dead-verdict.js';
@@ -56,6 +56,6 @@
     this.probeCount += 1;
     const outcome = await probe(endpoint, PROBE_TIMEOUT_MS);
     const nowMs = clock.now();
-    return findingOf(outcome, nowMs - startedMs, pauses.mayBeOld(nowMs));
+    return findingOf(outcome, nowMs - startedMs, pauses.mayHaveWaited(nowMs));
   }
 }
--- a/src/cookie-edge/backend-health/dead-backends.test.ts
+++ b/src/cookie-edge/backend-health/dead-backends.test.ts
@@ -3,9 +3,9 @@
 import { VirtualClock } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
 import type { Endpoint } from '../../common/types.js';
-import { backendAt, updateAt } from '../routing/routing-test-support.js';
 import { TICK_MS } from '../forwarding/constants.js';
 import { backends, ForwarderHarness, type HarnessSurroundings } from '../forwarding/cookie-test-support.js';
+import { backendAt, updateAt } from '../routing/routing-test-support.js';
 import type { ProbeOutcome } from './backend-prober.js';
 import { PROBE_SPACING_MS, PROBE_TIMEOUT_MS } from './constants.js';
 
@@ -161,11 +161,11 @@
   const { harness, flows } = setUpSilent();
   await repeatRequest(harness, flows.get('a')!, [flows.get('b')!]);
   await pass(harness.clock, PROBE_SPACING_MS - 50);
-  t.deepEqual(harness.told, []);
+  t.deepEqual(harness.gossipedEjections, []);
   await pass(harness.clock, 50);
-  t.deepEqual(harness.told, ['a']);
+  t.deepEqual(harness.gossipedEjections, ['a']);
   await pass(harness.clock, PROBE_TIMEOUT_MS);
-  t.deepEqual(harness.told, ['a']);
+  t.deepEqual(harness.gossipedEjections, ['a']);
   t.is(harness.resets.length, 6);
 });
 
@@ -174,7 +174,7 @@
   harness.clock.advance(1_000);
   await repeatRequest(harness, flows.get('a')!, []);
   await pass(harness.clock, PROBE_SPACING_MS + 50);
-  t.deepEqual(harness.told, []);
+  t.deepEqual(harness.gossipedEjections, []);
 });
 
 test('a doubt that another balancer told of is not told again', async (t) => {
@@ -182,7 +182,7 @@
   harness.forwarder.applyEjectionReport('a', harness.clock.now());
   harness.goOn(flows.get('b')!.port, flows.get('b')!.cookie, { acknowledgement: 9_000 });
   await pass(harness.clock, PROBE_SPACING_MS + 100);
-  t.deepEqual(harness.told, []);
+  t.deepEqual(harness.gossipedEjections, []);
 });
 
 test('the second probe does not wait for the time-out of the first', async (t) => {
@@ -263,7 +263,7 @@
     await repeatRequest(harness, flows.get('a')!, alive);
     await openMeanwhile(harness, alive, PROBE_SPACING_MS + PROBE_TIMEOUT_MS, 42_000);
     t.false((await openMeanwhile(harness, alive, 7_000, 43_000)).has('a'));
-    t.true(harness.told.filter((id) => id === 'a').length >= 5);
+    t.true(harness.gossipedEjections.filter((id) => id === 'a').length >= 5);
   });
 }
 
--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -1,6 +1,6 @@
 /**
  * Probes back ends in doubt, carries out the dead verdicts that `dead-verdict.ts` decides, and resets the flows that are open there.
- * Owns the probes under way, the verdicts that are renewed, and the newest back end at each address. Relies on `BackendStates` for signs
+ * Owns the probes under way, the verdicts that are renewed, and the newest back end at each address. Relies on `LocalBackendStates` for signs
  * of life, and on the flow cache to find a back end's flows.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
@@ -8,10 +8,12 @@
 import { formatEndpoint } from '../../common/types.js';
 import type { CookieEdgePort } from '../../fabric/cookie-edge.js';
 import type { EventLog } from '../../observability/event.js';
+import { COOKIE_FLOW_EVENTS } from '../forwarding/events.js';
+import { formatFlowId } from '../forwarding/flow-id.js';
+import type { CookieStatistics, FlowCache } from '../forwarding/index.js';
+import { resetTargetOf } from '../forwarding/reset-target.js';
 import type { KnownBackend } from '../routing/index.js';
 import { BackendProber, type BackendProberOptions, type ProbeFinding } from './backend-prober.js';
-import type { BackendState } from './backend-state.js';
-import type { BackendStates } from './backend-states.js';
 import { DEAD_RECHECK_MS, DEAD_VERDICT_MS, MAX_PROBE_PAIRS } from './constants.js';
 import {
   decideProbe,
@@ -23,24 +25,17 @@
   type DeathProof,
   type ZoneDeath,
 } from './dead-verdict.js';
-import { COOKIE_FLOW_EVENTS } from '../forwarding/events.js';
-import { formatFlowId } from '../forwarding/flow-id.js';
-import type { CookieStatistics } from '../forwarding/cookie-statistics.js';
-import type { FlowCache } from '../forwarding/flow-cache.js';
-import { resetTargetOf } from '../forwarding/reset-target.js';
+import type { LocalBackendState } from './local-backend-state.js';
+import type { LocalBackendStates } from './local-backend-states.js';
 
-/** The parts of forwarding that a dead verdict reads and changes. */
-interface DeadBackendsParts {
+/** What probing and verdicts act on. */
+interface DeadBackendsOptions extends BackendProberOptions {
   readonly isOn: MechanismCheck;
-  readonly states: BackendStates;
+  readonly states: LocalBackendStates;
   readonly cache: FlowCache;
   readonly edge: CookieEdgePort;
   readonly statistics: CookieStatistics;
   readonly events: EventLog;
-}
-
-/** What it needs beside those parts. */
-interface DeadBackendsOptions extends BackendProberOptions {
   /** Called with each back end that is or may be dead, to gossip it: other daemons with flows there probe it too. */
   readonly onDoubt: (backendId: string, nowMs: number) => void;
 }
@@ -48,21 +43,18 @@
 /** The dead back ends of one daemon. Times are monotonic ms. */
 export class DeadBackends {
   /** Back ends that are being probed. */
-  private readonly probing = new Set<BackendState>();
+  private readonly probing = new Set<LocalBackendState>();
   /** When a back end last answered a probe. */
-  private readonly answeredAtMs = new Map<BackendState, number>();
+  private readonly answeredAtMs = new Map<LocalBackendState, number>();
   /** The last back end of each zone that was found dead by probes, and when. */
-  private readonly deaths = new Map<string, ZoneDeath<BackendState>>();
+  private readonly deaths = new Map<string, ZoneDeath<LocalBackendState>>();
   /** The back end that was recorded last at each address. */
   private readonly newestAt = new Map<string, KnownBackend>();
   /** Back ends whose verdict is being renewed. */
-  private readonly renewing = new Set<BackendState>();
+  private readonly renewing = new Set<LocalBackendState>();
   private readonly prober: BackendProber;
 
-  constructor(
-    private readonly parts: DeadBackendsParts,
-    private readonly options: DeadBackendsOptions,
-  ) {
+  constructor(private readonly options: DeadBackendsOptions) {
     this.prober = new BackendProber(options);
   }
 
@@ -72,8 +64,8 @@
   }
 
   /** Probes a back end that may be dead, where `decideProbe` says so. */
-  probeIfInDoubt(state: BackendState): void {
-    if (!this.parts.isOn('dead-back-ends')) return;
+  probeIfInDoubt(state: LocalBackendState): void {
+    if (!this.options.isOn('dead-back-ends')) return;
     const nowMs = this.options.clock.now();
     const decision = decideProbe({
       nowMs,
@@ -89,25 +81,25 @@
   }
 
   /** Records a back end that became known: of two starts at one address the earlier one has ended. */
-  noteRecorded(backend: KnownBackend): void {
-    if (!this.parts.isOn('dead-back-ends')) return;
+  registerBackend(backend: KnownBackend): void {
+    if (!this.options.isOn('dead-back-ends')) return;
     const address = formatEndpoint(backend.record.endpoint);
     const known = this.newestAt.get(address);
     const isLater = isLaterStart(backend, known);
     if (isLater) this.newestAt.set(address, backend);
     const ended = isLater ? known : backend;
-    if (ended) this.declare(this.parts.states.of(ended), 'superseded', Number.POSITIVE_INFINITY);
+    if (ended) this.declare(this.options.states.of(ended), 'superseded', Number.POSITIVE_INFINITY);
   }
 
   /** Forgets a back end. */
   forget(backend: KnownBackend): void {
-    this.answeredAtMs.delete(this.parts.states.of(backend));
+    this.answeredAtMs.delete(this.options.states.of(backend));
     const address = formatEndpoint(backend.record.endpoint);
     if (this.newestAt.get(address) === backend) this.newestAt.delete(address);
   }
 
   /** Probes until the back end answers, gives another sign of life, or is proved dead. */
-  private async check(state: BackendState): Promise<void> {
+  private async check(state: LocalBackendState): Promise<void> {
     const { clock } = this.options;
     const sinceMs = clock.now();
     for (let count = 0; count < MAX_PROBE_PAIRS; count += 1) {
@@ -115,7 +107,7 @@
       const judgement = judgeProbes(finding, {
         sinceMs,
         lastSignOfLifeMs: state.lastSignOfLifeMs,
-        othersAliveMs: this.parts.states.othersAliveMs(state),
+        othersAliveMs: this.options.states.othersAliveMs(state),
       });
       if (judgement === 'answered') this.answeredAtMs.set(state, clock.now());
       else if (judgement === 'refused' || judgement === 'silent') this.declareWithZone(state, judgement);
@@ -123,7 +115,7 @@
     }
   }
 
-  private probeTwice(state: BackendState): Promise<ProbeFinding> {
+  private probeTwice(state: LocalBackendState): Promise<ProbeFinding> {
     const sinceMs = this.options.clock.now();
     return this.prober.probeTwice(state.backend.record.endpoint, () => this.gossipDoubt(state, sinceMs));
   }
@@ -132,23 +124,23 @@
    * Gossips a back end that has not answered a probe so far, unless this daemon has not heard from any other back end either. Others with flows there then
    * need not wait for failures of their own, nor for this daemon's proof.
    */
-  private gossipDoubt(state: BackendState, sinceMs: number): void {
+  private gossipDoubt(state: LocalBackendState, sinceMs: number): void {
     const nowMs = this.options.clock.now();
-    const othersAliveMs = this.parts.states.othersAliveMs(state);
-    if (!othersAnswerSince(sinceMs, othersAliveMs) || this.options.pauses.mayBeOld(nowMs)) return;
+    const othersAliveMs = this.options.states.othersAliveMs(state);
+    if (!othersAnswerSince(sinceMs, othersAliveMs) || this.options.pauses.mayHaveWaited(nowMs)) return;
     this.gossip(state, nowMs);
   }
 
   /** Gossips that a back end is or may be dead, unless any daemon's report says so already. */
-  private gossip(state: BackendState, nowMs: number): void {
-    if (state.noteEjectionReport(nowMs)) this.options.onDoubt(state.backend.id, nowMs);
+  private gossip(state: LocalBackendState, nowMs: number): void {
+    if (state.applyEjectionReport(nowMs)) this.options.onDoubt(state.backend.id, nowMs);
   }
 
   /**
    * Renews a verdict as long as further probes prove it again, so that no caller's flow has to try the back end, and gossips it
    * again. Ends with an answered probe, or when the verdict lapses.
    */
-  private async renewVerdict(state: BackendState): Promise<void> {
+  private async renewVerdict(state: LocalBackendState): Promise<void> {
     const { clock } = this.options;
     for (;;) {
       await pause(clock, DEAD_RECHECK_MS);
@@ -156,28 +148,28 @@
       const sinceMs = clock.now();
       const finding = await this.probeTwice(state);
       if (!this.mayRenew(state)) return;
-      const decision = judgeRecheck(finding, sinceMs, this.parts.states.othersAliveMs(state));
+      const decision = judgeRecheck(finding, sinceMs, this.options.states.othersAliveMs(state));
       if (decision === 'revive') return this.endVerdict(state);
       if (decision === 'lapse') return;
-      state.noteDead(clock.now() + DEAD_VERDICT_MS);
+      state.recordDeadVerdict(clock.now() + DEAD_VERDICT_MS);
       this.gossip(state, clock.now());
     }
   }
 
   /** False for a back end that gets no flows anyway, or at whose address another one listens. */
-  private mayRenew(state: BackendState): boolean {
+  private mayRenew(state: LocalBackendState): boolean {
     const { backend } = state;
     const isNewest = this.newestAt.get(formatEndpoint(backend.record.endpoint)) === backend;
     return isNewest && !backend.departed && state.isDead(this.options.clock.now());
   }
 
-  private endVerdict(state: BackendState): void {
-    state.noteDead(this.options.clock.now());
-    this.parts.events.emit(COOKIE_FLOW_EVENTS.backendRevived, { backend: state.backend.id });
+  private endVerdict(state: LocalBackendState): void {
+    state.recordDeadVerdict(this.options.clock.now());
+    this.options.events.emit(COOKIE_FLOW_EVENTS.backendRevived, { backend: state.backend.id });
   }
 
   /** Declares a back end dead by probes, and probes the rest of its zone where `putsZoneInDoubt` says so. */
-  private declareWithZone(state: BackendState, proof: DeathProof): void {
+  private declareWithZone(state: LocalBackendState, proof: DeathProof): void {
     const nowMs = this.options.clock.now();
     this.declare(state, proof, nowMs + DEAD_VERDICT_MS);
     this.gossip(state, nowMs);
@@ -190,17 +182,17 @@
     const death = { state, atMs: nowMs };
     this.deaths.set(zone, death);
     if (!putsZoneInDoubt(before, death)) return;
-    for (const neighbour of this.parts.states.all()) {
+    for (const neighbour of this.options.states.all()) {
       if (neighbour.backend.record.zone === zone) this.probeIfInDoubt(neighbour);
     }
   }
 
-  private declare(state: BackendState, proof: DeathProof, untilMs: number): void {
+  private declare(state: LocalBackendState, proof: DeathProof, untilMs: number): void {
     const nowMs = this.options.clock.now();
-    const flows = this.parts.cache.flowsAt(state);
-    state.noteDead(untilMs);
+    const flows = this.options.cache.flowsAt(state);
+    state.recordDeadVerdict(untilMs);
     const { backend, lastSignOfLifeMs } = state;
-    this.parts.events.emit(COOKIE_FLOW_EVENTS.backendDead, {
+    this.options.events.emit(COOKIE_FLOW_EVENTS.backendDead, {
       backend: backend.id,
       service: backend.record.service,
       zone: backend.record.zone,
@@ -210,10 +202,10 @@
     });
     for (const flow of flows) {
       const target = resetTargetOf(flow);
-      this.parts.edge.sendResetTo(target);
-      this.parts.cache.remove(flow);
-      this.parts.statistics.resets += 1;
-      this.parts.events.emit(COOKIE_FLOW_EVENTS.flowReset, {
+      this.options.edge.sendResetTo(target);
+      this.options.cache.remove(flow);
+      this.options.statistics.resets += 1;
+      this.options.events.emit(COOKIE_FLOW_EVENTS.flowReset, {
         flow: formatFlowId(target),
         backend: backend.id,
         proof,
--- a/src/cookie-edge/backend-health/ejection-report.test.ts
+++ b/src/cookie-edge/backend-health/ejection-report.test.ts
@@ -20,8 +20,8 @@
 for (const [name, atMs, lastSignOfLifeMs, expected] of REPORTS) {
   test(`report: ${name}`, (t) => {
     const report = new EjectionReport();
-    t.is(report.note(FIRST_MS, NEVER), 'new');
-    t.is(report.note(atMs, lastSignOfLifeMs), expected);
+    t.is(report.apply(FIRST_MS, NEVER), 'new');
+    t.is(report.apply(atMs, lastSignOfLifeMs), expected);
   });
 }
 
@@ -36,7 +36,7 @@
   test(`effect: ${name}`, (t) => {
     const report = new EjectionReport();
     t.false(report.makesSuspect(nowMs, lastSignOfLifeMs), 'without a report');
-    report.note(FIRST_MS, NEVER);
+    report.apply(FIRST_MS, NEVER);
     t.is(report.makesSuspect(nowMs, lastSignOfLifeMs), expected);
   });
 }
--- a/src/cookie-edge/backend-health/ejection-report.ts
+++ b/src/cookie-edge/backend-health/ejection-report.ts
@@ -16,7 +16,7 @@
    * Records an ejection at `atMs`. A sign of life at that time or later disproves it, which is tested first because it is what this
    * daemon saw itself. A report less than `SUSPECT_MS` after the last one is a duplicate, and so is an older one.
    */
-  note(atMs: number, lastSignOfLifeMs: number): ReportOutcome {
+  apply(atMs: number, lastSignOfLifeMs: number): ReportOutcome {
     if (lastSignOfLifeMs >= atMs) return 'disproved';
     if (atMs - this.reportedAtMs < SUSPECT_MS) return 'known';
     this.reportedAtMs = atMs;
--- a/src/cookie-edge/backend-health/index.ts
+++ b/src/cookie-edge/backend-health/index.ts
@@ -3,11 +3,11 @@
  * end and the probes. Relies on forwarding to report answers, failures and placements, on gossip for other daemons' ejections,
  * and on routing for the records.
  *
- * One module a rule: `passive-ejection.ts`, `ejection-report.ts`, `slow-handshake.ts` and `dead-verdict.ts` decide; `backend-state.ts`
- * orders them for one back end; `backend-states.ts` and `dead-backends.ts` carry the outcomes out and log them.
+ * One module a rule: `passive-ejection.ts`, `ejection-report.ts`, `slow-handshake.ts` and `dead-verdict.ts` decide; `local-backend-state.ts`
+ * orders them for one back end; `local-backend-states.ts` and `dead-backends.ts` carry the outcomes out and log them.
  */
 export type { ConnectProbe, ProbeOutcome } from './backend-prober.js';
-export type { BackendState, Liveness } from './backend-state.js';
-export { BackendStates } from './backend-states.js';
+export type { LocalBackendState, Liveness } from './local-backend-state.js';
+export { LocalBackendStates } from './local-backend-states.js';
 export { DeadBackends } from './dead-backends.js';
 export { PendingOpenings } from './pending-openings.js';
--- a/src/cookie-edge/backend-health/backend-state.ts
+++ b/src/cookie-edge/backend-health/local-backend-state.ts
@@ -15,7 +15,7 @@
 export type Liveness = 'alive' | 'suspect' | 'trial' | 'ejected';
 
 /** Passive health and load of one back end. Times are monotonic ms. */
-export class BackendState {
+export class LocalBackendState {
   /** Pending openings, and when the one was placed that began the present unbroken series of them. */
   pendingOpenings = 0;
   pendingSinceMs = 0;
@@ -42,8 +42,8 @@
   }
 
   /** Counts a flow that its caller closed. */
-  noteClosed(nowMs: number): void {
-    this.flows.noteClosed(nowMs);
+  recordClosed(nowMs: number): void {
+    this.flows.recordClosed(nowMs);
   }
 
   /** Flows that are or were recently open there, as a whole number. */
@@ -57,15 +57,15 @@
   }
 
   /** Records a sign of life; returns true when that ends failures, and so perhaps an ejection. */
-  noteSignOfLife(nowMs: number): boolean {
+  recordSignOfLife(nowMs: number): boolean {
     this.lastSignOfLifeMs = nowMs;
     this.verdict.end();
-    return this.ejection.noteSignOfLife();
+    return this.ejection.recordSignOfLife();
   }
 
   /** Records a failure that began at `sinceMs`, unless a sign of life came after that. */
-  noteFailure(nowMs: number, sinceMs: number): void {
-    if (this.lastSignOfLifeMs < sinceMs) this.ejection.noteFailure(nowMs, sinceMs);
+  recordFailure(nowMs: number, sinceMs: number): void {
+    if (this.lastSignOfLifeMs < sinceMs) this.ejection.recordFailure(nowMs, sinceMs);
   }
 
   /** Ejects the back end where `PassiveEjection.judge` says so; returns true when that begins an ejection. */
@@ -74,7 +74,7 @@
   }
 
   /** Records a dead verdict and its end. */
-  noteDead(untilMs: number): void {
+  recordDeadVerdict(untilMs: number): void {
     this.verdict.hold(untilMs);
   }
 
@@ -84,8 +84,8 @@
   }
 
   /** Records an ejection by another daemon at `atMs`; returns false for a report that must not be gossiped further. */
-  noteEjectionReport(atMs: number): boolean {
-    return this.report.note(atMs, this.lastSignOfLifeMs) === 'new';
+  applyEjectionReport(atMs: number): boolean {
+    return this.report.apply(atMs, this.lastSignOfLifeMs) === 'new';
   }
 
   /** A dead verdict comes first because it is proved; a report counts only where this daemon has seen no failure itself. */
@@ -97,13 +97,13 @@
     return this.report.makesSuspect(nowMs, this.lastSignOfLifeMs) ? 'suspect' : 'alive';
   }
 
-  /** True while a handshake there takes longer than `slowAfterMs`. */
-  hasSlowHandshake(nowMs: number, slowAfterMs: number): boolean {
-    return hasSlowHandshake(this.pendingOpenings, this.pendingSinceMs, nowMs, slowAfterMs);
+  /** True while a handshake there takes longer than `slowHandshakeMs`. */
+  hasSlowHandshake(nowMs: number, slowHandshakeMs: number): boolean {
+    return hasSlowHandshake(this.pendingOpenings, this.pendingSinceMs, nowMs, slowHandshakeMs);
   }
 
   /** Records that a trial opening is placed there. */
-  noteTrial(nowMs: number): void {
-    this.ejection.noteTrial(nowMs);
+  recordTrial(nowMs: number): void {
+    this.ejection.recordTrial(nowMs);
   }
 }
--- a/src/cookie-edge/backend-health/backend-states.ts
+++ b/src/cookie-edge/backend-health/local-backend-states.ts
@@ -1,26 +1,26 @@
 /**
- * Carries out and logs passive ejections. Owns the `BackendState` of each back end that was met, and the last signs of life of any two,
+ * Carries out and logs passive ejections. Owns the `LocalBackendState` of each back end that was met, and the last signs of life of any two,
  * because a back end is judged by whether others answer. Relies on forwarding to report signs of life and failures.
  */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { EventLog } from '../../observability/event.js';
-import type { KnownBackend } from '../routing/index.js';
-import { BackendState } from './backend-state.js';
 import { COOKIE_FLOW_EVENTS } from '../forwarding/events.js';
+import type { KnownBackend } from '../routing/index.js';
+import { LocalBackendState } from './local-backend-state.js';
 
 /** A back end's last sign of life. */
-interface SignOfLife {
-  readonly state: BackendState | undefined;
+interface NewestSignOfLife {
+  readonly state: LocalBackendState | undefined;
   readonly atMs: number;
 }
 
-const NO_SIGN_OF_LIFE: SignOfLife = { state: undefined, atMs: Number.NEGATIVE_INFINITY };
+const NO_SIGN_OF_LIFE: NewestSignOfLife = { state: undefined, atMs: Number.NEGATIVE_INFINITY };
 
 /** The states of all back ends of one daemon. Times are monotonic ms. */
-export class BackendStates {
-  private readonly states = new Map<KnownBackend, BackendState>();
+export class LocalBackendStates {
+  private readonly states = new Map<KnownBackend, LocalBackendState>();
   /** Back ends without a sign of life since a failure. */
-  private readonly failing = new Set<BackendState>();
+  private readonly failing = new Set<LocalBackendState>();
   /** The newest sign of life, and the newest one of another back end than that. */
   private newest = NO_SIGN_OF_LIFE;
   private newestOfOthersMs = Number.NEGATIVE_INFINITY;
@@ -29,7 +29,7 @@
   /** @param onEject called with each back end that is ejected */
   constructor(
     private readonly events: EventLog,
-    private readonly onEject: (state: BackendState, nowMs: number) => void,
+    private readonly onEject: (state: LocalBackendState, nowMs: number) => void,
     private readonly isOn: MechanismCheck = ALL_MECHANISMS_ON,
   ) {}
 
@@ -38,22 +38,22 @@
     return this.ejectionCount;
   }
 
-  of(backend: KnownBackend): BackendState {
+  of(backend: KnownBackend): LocalBackendState {
     let state = this.states.get(backend);
     if (!state) {
-      state = new BackendState(backend);
+      state = new LocalBackendState(backend);
       this.states.set(backend, state);
     }
     return state;
   }
 
   /** Every back end that was met. */
-  all(): IterableIterator<BackendState> {
+  all(): IterableIterator<LocalBackendState> {
     return this.states.values();
   }
 
   /** Monotonic ms of the last sign of life of any other back end. */
-  othersAliveMs(state: BackendState): number {
+  othersAliveMs(state: LocalBackendState): number {
     return this.newest.state === state ? this.newestOfOthersMs : this.newest.atMs;
   }
 
@@ -64,18 +64,18 @@
   }
 
   /** Records a sign of life; logs when that ends failures. */
-  noteSignOfLife(state: BackendState, nowMs: number): void {
+  recordSignOfLife(state: LocalBackendState, nowMs: number): void {
     if (this.newest.state !== state) this.newestOfOthersMs = this.newest.atMs;
     this.newest = { state, atMs: nowMs };
-    if (!state.noteSignOfLife(nowMs)) return;
+    if (!state.recordSignOfLife(nowMs)) return;
     this.failing.delete(state);
     this.events.emit(COOKIE_FLOW_EVENTS.backendRevived, { backend: state.backend.id });
   }
 
   /** Records a failure that began at `sinceMs`, and judges the back end. Does nothing while `passive-health` is switched off. */
-  noteFailure(state: BackendState, sinceMs: number, nowMs: number): void {
+  recordFailure(state: LocalBackendState, sinceMs: number, nowMs: number): void {
     if (!this.isOn('passive-health')) return;
-    state.noteFailure(nowMs, sinceMs);
+    state.recordFailure(nowMs, sinceMs);
     this.failing.add(state);
     this.judge(state, nowMs);
   }
@@ -86,7 +86,7 @@
   }
 
   /** Ejects, gossips and logs, in this order, where `PassiveEjection.judge` says so. */
-  private judge(state: BackendState, nowMs: number): void {
+  private judge(state: LocalBackendState, nowMs: number): void {
     if (!state.tryEject(nowMs, this.othersAliveMs(state))) return;
     this.ejectionCount += 1;
     this.onEject(state, nowMs);
--- a/src/cookie-edge/backend-health/own-flows.ts
+++ b/src/cookie-edge/backend-health/own-flows.ts
@@ -9,7 +9,7 @@
   private readonly closed = new DecayingRate(CLOSED_FLOW_COUNTS_MS);
 
   /** Counts a flow that its caller closed. */
-  noteClosed(nowMs: number): void {
+  recordClosed(nowMs: number): void {
     this.open -= 1;
     this.closed.count(nowMs);
   }
--- a/src/cookie-edge/backend-health/passive-ejection.test.ts
+++ b/src/cookie-edge/backend-health/passive-ejection.test.ts
@@ -42,15 +42,15 @@
 for (const { name, failures, atMs, othersAliveMs, expected } of JUDGEMENTS) {
   test(`judgement: ${name}`, (t) => {
     const ejection = new PassiveEjection();
-    for (const [nowMs, sinceMs] of failures) ejection.noteFailure(nowMs, sinceMs);
+    for (const [nowMs, sinceMs] of failures) ejection.recordFailure(nowMs, sinceMs);
     t.is(ejection.judge(atMs, othersAliveMs), expected);
   });
 }
 
 function ejectedAt(nowMs: number): PassiveEjection {
   const ejection = new PassiveEjection();
-  ejection.noteFailure(nowMs, nowMs - 200);
-  ejection.noteFailure(nowMs, nowMs - 150);
+  ejection.recordFailure(nowMs, nowMs - 200);
+  ejection.recordFailure(nowMs, nowMs - 150);
   ejection.judge(nowMs, nowMs);
   return ejection;
 }
@@ -58,10 +58,10 @@
 test('judgement: a failure leads to one ejection only, and one during an ejection to none', (t) => {
   const ejection = ejectedAt(1_000);
   t.is(ejection.judge(1_100, 1_100), 'already-judged');
-  ejection.noteFailure(1_200, 1_050);
+  ejection.recordFailure(1_200, 1_050);
   t.is(ejection.judge(1_200, 1_200), 'already-ejected');
   t.is(ejection.judge(1_000 + EJECT_MIN_MS, 1_200), 'already-judged');
-  ejection.noteFailure(1_000 + EJECT_MIN_MS, 1_900);
+  ejection.recordFailure(1_000 + EJECT_MIN_MS, 1_900);
   t.is(ejection.judge(1_000 + EJECT_MIN_MS, 1_900), 'eject');
 });
 
@@ -69,29 +69,29 @@
   const ejection = ejectedAt(0);
   let endMs = EJECT_MIN_MS;
   for (const expectedMs of [2 * EJECT_MIN_MS, 4 * EJECT_MIN_MS, EJECT_MAX_MS, EJECT_MAX_MS]) {
-    ejection.noteFailure(endMs, endMs - 150);
+    ejection.recordFailure(endMs, endMs - 150);
     t.is(ejection.judge(endMs, endMs), 'eject');
     t.is(ejection.phaseAt(endMs + expectedMs - 1), 'ejected');
     t.is(ejection.phaseAt(endMs + expectedMs), 'trial');
     endMs += expectedMs;
   }
-  t.true(ejection.noteSignOfLife());
+  t.true(ejection.recordSignOfLife());
   t.is(ejection.failures, 0);
-  t.false(ejection.noteSignOfLife());
-  ejection.noteFailure(endMs + 1, endMs);
-  ejection.noteFailure(endMs + 2, endMs);
+  t.false(ejection.recordSignOfLife());
+  ejection.recordFailure(endMs + 1, endMs);
+  ejection.recordFailure(endMs + 2, endMs);
   t.is(ejection.judge(endMs + 2, endMs + 1), 'eject');
   t.is(ejection.phaseAt(endMs + 2 + EJECT_MIN_MS), 'trial');
 });
 
 function failedOnceAt(nowMs: number): PassiveEjection {
   const ejection = new PassiveEjection();
-  ejection.noteFailure(nowMs, nowMs - 150);
+  ejection.recordFailure(nowMs, nowMs - 150);
   return ejection;
 }
 
 function triedAt(ejection: PassiveEjection, nowMs: number): PassiveEjection {
-  ejection.noteTrial(nowMs);
+  ejection.recordTrial(nowMs);
   return ejection;
 }
 
--- a/src/cookie-edge/backend-health/passive-ejection.ts
+++ b/src/cookie-edge/backend-health/passive-ejection.ts
@@ -38,14 +38,14 @@
   }
 
   /** Records a failure that was noticed at `nowMs` and began at `sinceMs`. */
-  noteFailure(nowMs: number, sinceMs: number): void {
+  recordFailure(nowMs: number, sinceMs: number): void {
     if (this.failureCount === 0) this.firstFailureMs = sinceMs;
     this.failureCount += 1;
     this.lastFailureMs = nowMs;
   }
 
   /** Ends an ejection and its backoff; returns false when there was no failure. */
-  noteSignOfLife(): boolean {
+  recordSignOfLife(): boolean {
     if (this.failureCount === 0) return false;
     this.failureCount = 0;
     this.ejectedUntilMs = 0;
@@ -54,7 +54,7 @@
   }
 
   /** Records that a trial opening is placed, so that no other one is for `EJECT_MIN_MS`. */
-  noteTrial(nowMs: number): void {
+  recordTrial(nowMs: number): void {
     this.trialMs = nowMs;
   }
 
--- a/src/cookie-edge/backend-health/pending-openings.ts
+++ b/src/cookie-edge/backend-health/pending-openings.ts
@@ -1,8 +1,8 @@
 /**
  * Openings whose callers have not continued them yet: finds those that are unanswered, and measures how long handshakes take. Owns the
- * pending counts of `BackendState`. Relies on the forwarder to report each placement and answer and to look once a tick.
+ * pending counts of `LocalBackendState`. Relies on the forwarder to report each placement and answer and to look once a tick.
  */
-import type { Flow } from '../forwarding/flow-cache.js';
+import type { Flow } from '../forwarding/index.js';
 import { OPENING_ANSWER_MS } from './constants.js';
 import { HandshakeTimes } from './slow-handshake.js';
 
@@ -12,13 +12,13 @@
   private readonly times = new HandshakeTimes();
 
   /** A handshake that waits longer than this, in ms, is slow. */
-  get slowAfterMs(): number {
-    return this.times.slowAfterMs;
+  get slowHandshakeMs(): number {
+    return this.times.slowHandshakeMs;
   }
 
   /** Records how long an answered opening took, in ms. */
-  noteAnswer(tookMs: number): void {
-    this.times.note(tookMs);
+  recordAnswer(tookMs: number): void {
+    this.times.record(tookMs);
   }
 
   /** Records that a flow's SYN was just sent to its back end. */
--- a/src/cookie-edge/backend-health/slow-handshake.test.ts
+++ b/src/cookie-edge/backend-health/slow-handshake.test.ts
@@ -5,9 +5,9 @@
 
 test('the limit follows the moving average', (t) => {
   const times = new HandshakeTimes();
-  t.is(times.slowAfterMs, HANDSHAKE_AVERAGE_START_MS * SLOW_HANDSHAKE_FACTOR + SLOW_HANDSHAKE_MARGIN_MS);
-  for (let count = 0; count < 500; count += 1) times.note(3);
-  t.true(Math.abs(times.slowAfterMs - (3 * SLOW_HANDSHAKE_FACTOR + SLOW_HANDSHAKE_MARGIN_MS)) < 0.01);
+  t.is(times.slowHandshakeMs, HANDSHAKE_AVERAGE_START_MS * SLOW_HANDSHAKE_FACTOR + SLOW_HANDSHAKE_MARGIN_MS);
+  for (let count = 0; count < 500; count += 1) times.record(3);
+  t.true(Math.abs(times.slowHandshakeMs - (3 * SLOW_HANDSHAKE_FACTOR + SLOW_HANDSHAKE_MARGIN_MS)) < 0.01);
 });
 
 /** Pending openings, when the first was placed, now, and the result for a limit of 45 ms. */
--- a/src/cookie-edge/backend-health/slow-handshake.ts
+++ b/src/cookie-edge/backend-health/slow-handshake.ts
@@ -15,22 +15,22 @@
   private averageMs = HANDSHAKE_AVERAGE_START_MS;
 
   /** A handshake that waits longer than this is slow. */
-  get slowAfterMs(): number {
+  get slowHandshakeMs(): number {
     return SLOW_HANDSHAKE_MARGIN_MS + this.averageMs * SLOW_HANDSHAKE_FACTOR;
   }
 
   /** Records how long an answered opening took. */
-  note(tookMs: number): void {
+  record(tookMs: number): void {
     this.averageMs += (tookMs - this.averageMs) * HANDSHAKE_AVERAGE_WEIGHT;
   }
 }
 
-/** True while openings have been pending at a back end without a break for more than `slowAfterMs`. */
+/** True while openings have been pending at a back end without a break for more than `slowHandshakeMs`. */
 export function hasSlowHandshake(
   pendingOpenings: number,
   pendingSinceMs: number,
   nowMs: number,
-  slowAfterMs: number,
+  slowHandshakeMs: number,
 ): boolean {
-  return pendingOpenings > 0 && nowMs - pendingSinceMs > slowAfterMs;
+  return pendingOpenings > 0 && nowMs - pendingSinceMs > slowHandshakeMs;
 }
--- a/src/cookie-edge/daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -10,10 +10,10 @@
 import { PauseDetector } from '../../common/pause-detector.js';
 import type { RandomSource } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
-import { createCookieForwarder, TICK_MS, type CookieForwarder } from '../forwarding/index.js';
 import type { EventLog } from '../../observability/event.js';
+import { createCookieForwarder, TICK_MS, type CookieForwarder } from '../forwarding/index.js';
 import { LOAD_MIN_DAEMONS, LoadReader, LoadView } from '../load/index.js';
-import { freshnessTimings, ProblemLog, RoutingKnowledge, SourceCircuit } from '../routing/index.js';
+import { freshnessTimings, ProblemLog, RoutingKnowledge, SourceAvailability } from '../routing/index.js';
 import { NetworkTransport, Spreader } from '../spreading/index.js';
 import type { BoundCookieEdge, DeploymentAdapters } from './adapters.js';
 import type { CookieDaemonConfig } from './config.js';
@@ -33,7 +33,7 @@
 export interface CookieDaemonComponents extends CookieDaemonEnvironment {
   readonly edge: BoundCookieEdge;
   readonly knowledge: RoutingKnowledge;
-  readonly circuit: SourceCircuit;
+  readonly availability: SourceAvailability;
   readonly problems: ProblemLog;
   readonly reading: SourceReading;
   readonly transport: NetworkTransport;
@@ -79,14 +79,14 @@
     forwarder: () => forwarder,
   };
   const sourceParts = createSourceParts(wiring);
-  const { knowledge, circuit, problems, reading } = sourceParts;
+  const { knowledge, availability, problems, reading } = sourceParts;
   reading.readFirst();
   const transport = await NetworkTransport.open(config().control, events);
   const spreader = createSpreader(wiring, sourceParts, transport);
-  circuit.retryNoSoonerThan(() => spreader.minimumRetryDelayMs());
+  availability.setMinimumRetryDelay(() => spreader.minimumRetryDelayMs());
   const forwarder = createForwarder(wiring, sourceParts, edge);
   openWhenComplete(buffer, knowledge, forwarder);
-  return { ...environment, edge, transport, knowledge, circuit, problems, reading, spreader, forwarder };
+  return { ...environment, edge, transport, knowledge, availability, problems, reading, spreader, forwarder };
 }
 
 function createSourceParts(wiring: Wiring) {
@@ -96,13 +96,13 @@
   const followsCordons = cordonBoundMs !== undefined;
   const knowledge = new RoutingKnowledge({ clock, events, retentionMs, followsCordons });
   const timings = freshnessTimings(Math.min(...changeBoundsMs, cordonBoundMs ?? Infinity));
-  const circuit = new SourceCircuit(clock, random, events);
+  const availability = new SourceAvailability(clock, random, events);
   const source = adapters.createSource(address, clock);
   const loadReader = new LoadReader({
     clock,
     events,
     source,
-    isWanted: () => isOn('reported-load') && !circuit.isLost && spreader().fleetSize >= LOAD_MIN_DAEMONS,
+    isWanted: () => isOn('reported-load') && !availability.isLost && spreader().fleetSize >= LOAD_MIN_DAEMONS,
     onReport: (report) => spreader().gossipLoad(report),
   });
   const problems = new ProblemLog(events);
@@ -110,18 +110,18 @@
     clock,
     source,
     knowledge,
-    circuit,
+    availability,
     timings,
     problems,
     usesLongWatches: isOn('long-watches'),
-    onConfirmation: () => spreader().noteOwnConfirmation(),
+    onConfirmation: () => spreader().recordOwnConfirmation(),
   };
-  return { knowledge, timings, circuit, problems, reading: new SourceReading(following, loadReader) };
+  return { knowledge, timings, availability, problems, reading: new SourceReading(following, loadReader) };
 }
 
 function createSpreader(wiring: Wiring, parts: SourceParts, transport: NetworkTransport): Spreader {
   const { clock, random, events, config, isOn, pauses, loads, forwarder } = wiring;
-  const { knowledge, timings, circuit, reading } = parts;
+  const { knowledge, timings, availability, reading } = parts;
   const { id, zone } = config();
   return new Spreader({
     selfId: id,
@@ -135,10 +135,10 @@
     timings,
     isOn,
     setReading: (isReading) => reading.set(isReading),
-    noteArrival: () => pauses.noteRead('peers'),
-    mayBeOld: () => pauses.mayBeOld(clock.now()),
-    recordsMayLapse: () => circuit.recordsMayLapse(),
-    applyLoadReport: (report) => isOn('reported-load') && loads.accept(report),
+    recordArrival: () => pauses.recordRead('peers'),
+    mayHaveWaited: () => pauses.mayHaveWaited(clock.now()),
+    recordsMayLapse: () => availability.recordsMayLapse(),
+    applyLoadReport: (report) => isOn('reported-load') && loads.applyReport(report),
     applyBadAnswerReport: (report) => forwarder().applyBadAnswerReport(report),
     applyEjectionReport: ({ backendId, atMs }) => forwarder().applyEjectionReport(backendId, atMs),
   });
--- a/src/cookie-edge/daemon/config.ts
+++ b/src/cookie-edge/daemon/config.ts
@@ -5,8 +5,8 @@
 import { readFileSync } from 'node:fs';
 import * as z from 'zod/mini';
 import { parseEndpoint } from '../../common/endpoint-text.js';
-import type { Endpoint } from '../../common/types.js';
 import { MECHANISMS } from '../../common/mechanisms.js';
+import type { Endpoint } from '../../common/types.js';
 import { DEFAULT_OUTLIER_OPTIONS } from '../outliers/constants.js';
 import { DEFAULT_FRESHNESS_BOUND_MS } from '../routing/freshness.js';
 import * as defaults from './constants.js';
--- a/src/cookie-edge/daemon/metrics.ts
+++ b/src/cookie-edge/daemon/metrics.ts
@@ -117,7 +117,12 @@
     'topic',
   ],
   ['gauge', 'cordoned_zones', 'Zones that get no new flows', (parts) => parts.knowledge.cordons.all().length],
-  ['gauge', 'source_lost', '1 while the source is out of reach', (parts) => Number(parts.circuit.isLost)],
+  [
+    'gauge',
+    'source_lost',
+    '1 while the source is out of reach',
+    (parts) => Number(parts.availability.isLost),
+  ],
   ['counter', 'source_calls_total', 'Calls to the source', (parts) => parts.reading.calls],
   ['counter', 'source_record_problems_total', 'Malformed records', (parts) => parts.problems.count],
   [
--- a/src/cookie-edge/daemon/shutdown.ts
+++ b/src/cookie-edge/daemon/shutdown.ts
@@ -7,8 +7,8 @@
  * gossip; then it announces its leave, cancels its timers, ends the calls to the source, and closes the sockets
  * together.
  */
-import { delay, waitUntilQuiet } from '../../common/drain.js';
 import type { Clock } from '../../common/clock.js';
+import { delay, waitUntilQuiet } from '../../common/drain.js';
 
 /** Times of a stop in ms; see the fields of the configuration. */
 interface DrainTimes {
--- a/src/cookie-edge/daemon/source-reading.ts
+++ b/src/cookie-edge/daemon/source-reading.ts
@@ -3,8 +3,7 @@
  * while this daemon is a reader. Relies on `SourceFollower` and `LoadReader` for the calls themselves.
  */
 import type { LoadReader } from '../load/index.js';
-import { SourceFollower } from '../routing/index.js';
-import type { SourceFollowerOptions } from '../routing/source-follower.js';
+import { SourceFollower, type SourceFollowerOptions } from '../routing/index.js';
 
 /** First reading and following of all topics. */
 export class SourceReading {
@@ -28,7 +27,7 @@
   readFirst(): void {
     const readings = this.followers.map((follower) => follower.readFirst(this.life.signal));
     void Promise.all(readings).then(() => {
-      if (!this.running) this.options.circuit.end();
+      if (!this.running) this.options.availability.endReading();
     });
   }
 
@@ -38,7 +37,7 @@
     if (!isReading) return this.stopFollowing();
     const running = new AbortController();
     this.running = running;
-    this.options.circuit.begin();
+    this.options.availability.beginReading();
     for (const follower of this.followers) void follower.run(running.signal);
     void this.loads.run(running.signal);
   }
@@ -50,7 +49,7 @@
   }
 
   private stopFollowing(): void {
-    this.options.circuit.end();
+    this.options.availability.endReading();
     this.running?.abort();
     this.running = undefined;
   }
--- a/src/cookie-edge/daemon/status.ts
+++ b/src/cookie-edge/daemon/status.ts
@@ -28,7 +28,7 @@
 
 /** Reads the status page from the parts. */
 export function describeStatus(components: CookieDaemonComponents, readiness: Readiness): CookieDaemonStatus {
-  const { knowledge, forwarder, circuit, spreader } = components;
+  const { knowledge, forwarder, availability, spreader } = components;
   return {
     readiness,
     routesVersion: knowledge.routes()?.table.version,
@@ -38,7 +38,7 @@
     avoidedBackends: forwarder.outliers.avoidedAt(components.clock.now()),
     cordonedZones: knowledge.cordons.all().map(({ zone }) => zone),
     knowledgeAgeMs: agesOf(components, (ageMs) => Math.round(ageMs)),
-    sourceLost: circuit.isLost,
+    sourceLost: availability.isLost,
     sourceReader: spreader.isReading,
     peers: spreader.peerCount,
   };
--- a/src/cookie-edge/forwarding/cookie-forwarder.test.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import { backendAt, SERVICE_PORT } from '../routing/routing-test-support.js';
 import { READS_A_TURN } from '../../common/pause-detector.js';
 import { LAPSED_RECORD_MS } from '../placement/constants.js';
+import { backendAt, SERVICE_PORT } from '../routing/routing-test-support.js';
 import { TICK_MS } from './constants.js';
 import { backends, failOpenings, ForwarderHarness } from './cookie-test-support.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -8,7 +8,7 @@
 import type { PauseDetector } from '../../common/pause-detector.js';
 import type { CookieEdgeHandler, CookiePacket } from '../../fabric/cookie-edge.js';
 import type { EdgeDropReason } from '../../fabric/types.js';
-import type { BackendStates, DeadBackends } from '../backend-health/index.js';
+import type { LocalBackendStates, DeadBackends } from '../backend-health/index.js';
 import type { AnswerTracker, BadAnswerReport, OutlierDetector } from '../outliers/index.js';
 import type { ColdAdmission } from '../placement/index.js';
 import type { KnownBackend, RoutingKnowledge } from '../routing/index.js';
@@ -28,7 +28,7 @@
   readonly statistics: CookieStatistics;
   readonly cookies: CookieRegistry;
   readonly cache: FlowCache;
-  readonly states: BackendStates;
+  readonly states: LocalBackendStates;
   readonly dead: DeadBackends;
   readonly coldAdmission: ColdAdmission;
   readonly answers: AnswerTracker;
@@ -50,9 +50,9 @@
     this.statistics = statistics;
     this.outliers = outliers;
     this.answers = answers;
-    for (const backend of knowledge.backends.all()) this.noteRecorded(backend);
-    knowledge.backends.onAdd((backend) => this.noteRecorded(backend));
-    knowledge.backends.onForget((backend) => this.forget(backend));
+    for (const backend of knowledge.backends.all()) this.registerBackend(backend);
+    knowledge.backends.onAdd((backend) => this.registerBackend(backend));
+    knowledge.backends.onForget((backend) => this.forgetBackend(backend));
   }
 
   /** Back ends ejected since start. */
@@ -77,7 +77,7 @@
     const backend = knowledge.backends.get(backendId);
     if (!backend) return false;
     const state = states.of(backend);
-    const isNew = state.noteEjectionReport(atMs);
+    const isNew = state.applyEjectionReport(atMs);
     if (isNew) dead.probeIfInDoubt(state);
     return isNew;
   }
@@ -86,7 +86,7 @@
   applyBadAnswerReport(report: BadAnswerReport): boolean {
     const { isOn, clock } = this.options;
     if (!isOn('outlier-detection')) return false;
-    return this.outliers.noteReport(report, clock.now());
+    return this.outliers.applyReport(report, clock.now());
   }
 
   /** Runs the housekeeping until `signal` aborts. */
@@ -95,26 +95,26 @@
   }
 
   onDrop(reason: EdgeDropReason): void {
-    this.options.pauses.noteRead('edge');
+    this.options.pauses.recordRead('edge');
     this.statistics.countDrop(reason);
   }
 
   onPacket(packet: CookiePacket): void {
     const { clock, pauses, cache, openings, midFlow } = this.options;
     const nowMs = clock.now();
-    pauses.noteRead('edge');
+    pauses.recordRead('edge');
     this.statistics.packets += 1;
     const flow = cache.find(packet);
     if (packet.syn && !packet.ack) openings.onSyn(packet, flow, nowMs);
     else midFlow.onMidFlow(packet, flow, nowMs);
   }
 
-  private noteRecorded(backend: KnownBackend): void {
+  private registerBackend(backend: KnownBackend): void {
     this.options.cookies.add(backend);
-    this.options.dead.noteRecorded(backend);
+    this.options.dead.registerBackend(backend);
   }
 
-  private forget(backend: KnownBackend): void {
+  private forgetBackend(backend: KnownBackend): void {
     const { dead, cookies, states, coldAdmission } = this.options;
     dead.forget(backend);
     cookies.remove(backend);
--- a/src/cookie-edge/forwarding/cookie-parts.test.ts
+++ b/src/cookie-edge/forwarding/cookie-parts.test.ts
@@ -3,14 +3,14 @@
 import { hashString } from '../../common/hash.js';
 import { seededRandom } from '../../common/random.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
+import { LocalBackendState } from '../backend-health/local-backend-state.js';
+import { DEFAULT_ZONE_LOAD_FACTOR, DEFAULT_ZONE_MARGIN } from '../daemon/constants.js';
+import { OpeningPlacement } from '../placement/opening-placement.js';
+import { TrafficSplitter } from '../placement/traffic-splitter.js';
 import { BackendRegistry, type KnownBackend, type Route } from '../routing/index.js';
 import { backendAt, SERVICE_ADDRESS } from '../routing/routing-test-support.js';
-import { DEFAULT_ZONE_LOAD_FACTOR, DEFAULT_ZONE_MARGIN } from '../daemon/constants.js';
-import { BackendState } from '../backend-health/backend-state.js';
 import { CookieRegistry } from './cookie-registry.js';
 import { placementRequest } from './cookie-test-support.js';
-import { OpeningPlacement } from '../placement/opening-placement.js';
-import { TrafficSplitter } from '../placement/traffic-splitter.js';
 
 /** Known back ends with these ids, recorded in this order. */
 function known(...ids: string[]): KnownBackend[] {
@@ -106,7 +106,7 @@
   const all = known('a', 'b', 'c');
   all[1]!.record = backendAt('b', 9, { capacity: 4 });
   all[2]!.coldUntilMs = 1_000;
-  const states = new Map(all.map((backend) => [backend, new BackendState(backend)]));
+  const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
   const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 0, zoneLoadFactor: 1 });
   for (let flow = 0; flow < 140; flow += 1) {
     const choice = placement.choose(placementRequest(states, flow));
@@ -120,8 +120,8 @@
 
 test('among equals a busy back end is passed over, while own flows are few', (t) => {
   const all = known('a', 'b', 'c', 'd', 'e', 'f', 'g', 'h', 'i');
-  const states = new Map(all.map((backend) => [backend, new BackendState(backend)]));
-  const stateOf = (index: number): BackendState => states.get(all[index]!)!;
+  const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
+  const stateOf = (index: number): LocalBackendState => states.get(all[index]!)!;
   const idle = stateOf(2).idHash;
   const loads = { isKnown: () => true, levelOf: (idHash: number) => (idHash === idle ? 1 : 1.5) };
   const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 0, zoneLoadFactor: 1, loads });
@@ -145,7 +145,7 @@
   const busy = new Set(ids.slice(0, 16).map((id) => hashString(id)));
   const loads = { isKnown: () => true, levelOf: (idHash: number) => (busy.has(idHash) ? 1.3 : 1) };
   const chooser = (): ((flow: number) => string) => {
-    const states = new Map(all.map((backend) => [backend, new BackendState(backend)]));
+    const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
     const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 0.5, zoneLoadFactor: 1, loads });
     return (flow) => placement.choose(placementRequest(states, flow))!.state.backend.id;
   };
@@ -156,7 +156,7 @@
 test('the own zone goes first within the margin only', (t) => {
   const all = known('near', 'far');
   all[1]!.record = backendAt('far', 9, { zone: 'south' });
-  const states = new Map(all.map((backend) => [backend, new BackendState(backend)]));
+  const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
   const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 1, zoneLoadFactor: 1 });
   for (let flow = 0; flow < 20; flow += 1) {
     const choice = placement.choose(placementRequest(states, flow));
@@ -170,7 +170,7 @@
 function flowsByZone(flows: number): { readonly own: number; readonly other: number } {
   const all = known('a', 'b', 'c', 'd', 'e', 'f', 'g', 'h');
   all.slice(4).forEach((backend) => (backend.record = { ...backend.record, zone: 'south' }));
-  const states = new Map(all.map((backend) => [backend, new BackendState(backend)]));
+  const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
   const placement = new OpeningPlacement({
     zone: 'north',
     zoneMargin: DEFAULT_ZONE_MARGIN,
@@ -193,24 +193,24 @@
 
 test('repeated trials that fail keep a back end out longer each time', (t) => {
   const [backend] = known('a') as [KnownBackend];
-  const state = new BackendState(backend);
-  state.noteFailure(100, 0);
+  const state = new LocalBackendState(backend);
+  state.recordFailure(100, 0);
   t.false(state.tryEject(100, 50));
   t.is(state.liveness(120), 'suspect');
-  state.noteFailure(200, 100);
+  state.recordFailure(200, 100);
   t.false(state.tryEject(200, 0), 'nobody else gave a sign of life either');
   t.true(state.tryEject(200, 150));
   t.is(state.liveness(1_199), 'ejected');
   t.is(state.liveness(1_300), 'trial');
-  state.noteTrial(1_300);
+  state.recordTrial(1_300);
   t.is(state.liveness(1_301), 'ejected', 'one trial at a time');
-  state.noteFailure(1_500, 1_300);
+  state.recordFailure(1_500, 1_300);
   t.true(state.tryEject(1_500, 1_400));
   t.false(state.tryEject(3_600, 3_500), 'only a later failure leads to another ejection');
   t.is(state.liveness(3_400), 'ejected');
   t.is(state.liveness(3_600), 'trial');
-  t.true(state.noteSignOfLife(3_700));
+  t.true(state.recordSignOfLife(3_700));
   t.is(state.liveness(3_701), 'alive');
-  state.noteFailure(3_800, 3_600);
+  state.recordFailure(3_800, 3_600);
   t.is(state.failuresSinceSignOfLife, 0, 'a failure that began before the last sign of life');
 });
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -1,13 +1,16 @@
 /** A cookie forwarder on a virtual clock, with an edge that records what is sent. */
-import { allBut, type Mechanism } from '../../common/mechanisms.js';
 import { VirtualClock } from '../../common/clock.js';
 import { combine32 } from '../../common/hash.js';
+import { allBut, type Mechanism } from '../../common/mechanisms.js';
 import { PauseDetector } from '../../common/pause-detector.js';
 import { seededRandom } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
 import type { CookieEdgePort, CookiePacket, ResetTarget } from '../../fabric/cookie-edge.js';
 import type { EventDefinition, EventFields } from '../../observability/event.js';
+import type { ConnectProbe } from '../backend-health/backend-prober.js';
+import type { LocalBackendState } from '../backend-health/local-backend-state.js';
 import type { BadAnswerReport } from '../outliers/index.js';
+import type { PlacementRequest } from '../placement/index.js';
 import {
   RoutingKnowledge,
   type KnownBackend,
@@ -21,12 +24,9 @@
   tableAt,
   updateAt,
 } from '../routing/routing-test-support.js';
-import type { BackendState } from '../backend-health/backend-state.js';
 import { TICK_MS } from './constants.js';
 import type { CookieForwarder } from './cookie-forwarder.js';
 import { createCookieForwarder } from './create-cookie-forwarder.js';
-import type { ConnectProbe } from '../backend-health/backend-prober.js';
-import type { PlacementRequest } from '../placement/index.js';
 
 /** What the edge was asked to send. */
 export interface SentPacket {
@@ -56,7 +56,7 @@
   /** Resets of flows other than that of the packet being handled. */
   readonly resets: ResetTarget[] = [];
   /** Back ends that it reported as ejected, dead or in doubt. */
-  readonly told: string[] = [];
+  readonly gossipedEjections: string[] = [];
   readonly logged: { readonly event: EventDefinition; readonly fields: EventFields }[] = [];
   readonly knowledge: RoutingKnowledge;
   readonly forwarder: CookieForwarder;
@@ -99,7 +99,7 @@
       maxFlows: () => 1_000,
       observer: surroundings.observer,
       onBadAnswer: surroundings.onBadAnswer,
-      onEject: (backendId) => this.told.push(backendId),
+      onEject: (backendId) => this.gossipedEjections.push(backendId),
     });
     this.forwarder.start(this.abort.signal);
   }
@@ -195,7 +195,7 @@
 
 /** A request in which nothing but load decides, at time 0, for a flow that is told from others by `flow`. */
 export function placementRequest(
-  states: ReadonlyMap<KnownBackend, BackendState>,
+  states: ReadonlyMap<KnownBackend, LocalBackendState>,
   flow: number,
 ): PlacementRequest {
   return {
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -5,7 +5,12 @@
 import type { RandomSource } from '../../common/random.js';
 import type { CookieEdgePort } from '../../fabric/cookie-edge.js';
 import type { EventLog } from '../../observability/event.js';
-import { BackendStates, DeadBackends, PendingOpenings, type ConnectProbe } from '../backend-health/index.js';
+import {
+  LocalBackendStates,
+  DeadBackends,
+  PendingOpenings,
+  type ConnectProbe,
+} from '../backend-health/index.js';
 import type { LoadLevels } from '../load/index.js';
 import {
   AnswerTracker,
@@ -78,7 +83,7 @@
   readonly statistics: CookieStatistics;
   readonly cookies: CookieRegistry;
   readonly cache: FlowCache;
-  readonly states: BackendStates;
+  readonly states: LocalBackendStates;
   readonly dead: DeadBackends;
   readonly pending: PendingOpenings;
   readonly answers: AnswerTracker;
@@ -122,11 +127,23 @@
   const statistics = new CookieStatistics();
   const cookies = new CookieRegistry();
   const cache = new FlowCache(environment.maxFlows);
-  const states = new BackendStates(events, ({ backend }, nowMs) => gossipEjection(backend.id, nowMs), isOn);
-  const dead = new DeadBackends(
-    { isOn, states, cache, edge, statistics, events },
-    { clock, pauses, probe, onDoubt: gossipEjection },
+  const states = new LocalBackendStates(
+    events,
+    ({ backend }, nowMs) => gossipEjection(backend.id, nowMs),
+    isOn,
   );
+  const dead = new DeadBackends({
+    isOn,
+    states,
+    cache,
+    edge,
+    statistics,
+    events,
+    clock,
+    pauses,
+    probe,
+    onDoubt: gossipEjection,
+  });
   const outliers = createOutlierDetector(environment);
   return {
     isOn,
@@ -139,7 +156,7 @@
     pending: new PendingOpenings(),
     answers: new AnswerTracker({
       slowFactor: (environment.outliers ?? DEFAULT_OUTLIER_OPTIONS).slowFactor,
-      onBadAnswer: (badAnswer) => outliers.noteOwn(badAnswer),
+      onBadAnswer: (badAnswer) => outliers.recordOwn(badAnswer),
     }),
     failures: new FlowFailures({ states, dead, isOn }),
     sender: new PacketSender({ edge, cookies, statistics }),
@@ -180,7 +197,7 @@
     placement: new OpeningPlacement({ zone, zoneMargin, zoneLoadFactor, isOn, loads }),
     isOutlier: ({ backend, idHash }, flowHash, nowMs) =>
       outliers.isAvoided(backend.id, idHash, flowHash, nowMs),
-    slowHandshakeMs: () => pending.slowAfterMs,
+    slowHandshakeMs: () => pending.slowHandshakeMs,
   });
   return new OpeningHandler({
     newFlows,
@@ -190,7 +207,7 @@
     sender: shared.sender,
     statistics: shared.statistics,
     log: new OpeningLog({ events, knowledge, eligibility }),
-    mayHaveWaited: (nowMs) => isOn('old-opening-guard') && pauses.mayBeOld(nowMs),
+    mayHaveWaited: (nowMs) => isOn('old-opening-guard') && pauses.mayHaveWaited(nowMs),
   });
 }
 
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -4,9 +4,9 @@
  * the number of open flows at each back end.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
+import type { LocalBackendState } from '../backend-health/index.js';
 import type { OutstandingRequest } from '../outliers/index.js';
 import { addressKey } from '../routing/index.js';
-import type { BackendState } from '../backend-health/index.js';
 
 /** opening: nothing but SYNs yet. open: the caller went on. closing: the caller closed or reset it. */
 export type FlowPhase = 'opening' | 'open' | 'closing';
@@ -17,7 +17,7 @@
   readonly serviceKey: number;
   /** Retransmission count of the first SYN that was seen; 0 for a flow that was taken over. */
   readonly retransmissionCount: number;
-  state: BackendState;
+  state: LocalBackendState;
   phase: FlowPhase;
   /** Monotonic ms at which its SYN was sent to its present back end. */
   openedAtMs: number;
@@ -57,7 +57,7 @@
   }
 
   /** Adds the flow of `packet`; undefined when the cache is full. */
-  add(packet: CookiePacket, state: BackendState, phase: FlowPhase, nowMs: number): Flow | undefined {
+  add(packet: CookiePacket, state: LocalBackendState, phase: FlowPhase, nowMs: number): Flow | undefined {
     if (this.count >= this.maxFlows()) return undefined;
     const serviceKey = addressKey(packet.destinationAddress, packet.destinationPort);
     const callerKey = addressKey(packet.sourceAddress, packet.sourcePort);
@@ -83,7 +83,7 @@
   }
 
   /** Moves a flow to another back end, whose open flows it counts among from now on. */
-  move(flow: Flow, state: BackendState): void {
+  move(flow: Flow, state: LocalBackendState): void {
     if (flow.state === state) return;
     if (flow.phase !== 'closing') {
       flow.state.openFlows -= 1;
@@ -96,11 +96,11 @@
   close(flow: Flow, nowMs: number): void {
     if (flow.phase === 'closing') return;
     flow.phase = 'closing';
-    flow.state.noteClosed(nowMs);
+    flow.state.recordClosed(nowMs);
   }
 
   /** The open flows at a back end. */
-  flowsAt(state: BackendState): Flow[] {
+  flowsAt(state: LocalBackendState): Flow[] {
     if (state.openFlows === 0) return [];
     return [...this.all()].filter((flow) => flow.state === state && flow.phase !== 'closing');
   }
--- a/src/cookie-edge/forwarding/flow-failures.ts
+++ b/src/cookie-edge/forwarding/flow-failures.ts
@@ -1,14 +1,14 @@
 /**
- * Reports failures of flows: unanswered openings and retransmitted data. Relies on `BackendStates` for the
+ * Reports failures of flows: unanswered openings and retransmitted data. Relies on `LocalBackendStates` for the
  * ejection and on `DeadBackends` for the probes that a failure starts.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
-import type { BackendStates, DeadBackends } from '../backend-health/index.js';
+import type { LocalBackendStates, DeadBackends } from '../backend-health/index.js';
 import type { Flow } from './flow-cache.js';
 
 /** What reporting needs. */
 interface FlowFailuresOptions {
-  readonly states: BackendStates;
+  readonly states: LocalBackendStates;
   readonly dead: DeadBackends;
   readonly isOn: MechanismCheck;
 }
@@ -26,7 +26,7 @@
     if (flow.isFailureCounted) return;
     flow.isFailureCounted = true;
     if (!isOn('passive-health')) return;
-    states.noteFailure(flow.state, sinceMs, nowMs);
+    states.recordFailure(flow.state, sinceMs, nowMs);
     dead.probeIfInDoubt(flow.state);
   }
 }
--- a/src/cookie-edge/forwarding/flow-follower.ts
+++ b/src/cookie-edge/forwarding/flow-follower.ts
@@ -4,7 +4,7 @@
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
-import type { BackendStates, PendingOpenings } from '../backend-health/index.js';
+import type { LocalBackendStates, PendingOpenings } from '../backend-health/index.js';
 import type { AnswerTracker } from '../outliers/index.js';
 import type { KnownBackend } from '../routing/index.js';
 import { REPETITION_MIN_MS } from './constants.js';
@@ -15,7 +15,7 @@
 /** What following flows needs. */
 interface FlowFollowerOptions {
   readonly cache: FlowCache;
-  readonly states: BackendStates;
+  readonly states: LocalBackendStates;
   readonly pending: PendingOpenings;
   readonly answers: AnswerTracker;
   readonly failures: FlowFailures;
@@ -35,7 +35,7 @@
     flow.lastPacketMs = nowMs;
     if (flow.phase === 'opening') this.endHandshake(packet, flow, nowMs);
     else if (packet.ack && isAfter(packet.acknowledgement, flow.acknowledgement)) {
-      this.noteAcknowledgement(packet, flow, nowMs);
+      this.recordAcknowledgement(packet, flow, nowMs);
     }
     if (packet.payloadBytes > 0) this.followData(packet, flow, nowMs);
     if (packet.fin || packet.rst) this.close(flow, nowMs);
@@ -46,14 +46,14 @@
     flow.phase = 'open';
     flow.acknowledgement = packet.acknowledgement;
     statistics.handshake.observe(nowMs - flow.openedAtMs);
-    pending.noteAnswer(nowMs - flow.openedAtMs);
-    states.noteSignOfLife(flow.state, nowMs);
+    pending.recordAnswer(nowMs - flow.openedAtMs);
+    states.recordSignOfLife(flow.state, nowMs);
   }
 
-  private noteAcknowledgement(packet: CookiePacket, flow: Flow, nowMs: number): void {
+  private recordAcknowledgement(packet: CookiePacket, flow: Flow, nowMs: number): void {
     const bytes = (packet.acknowledgement - flow.acknowledgement) >>> 0;
     flow.acknowledgement = packet.acknowledgement;
-    this.options.states.noteSignOfLife(flow.state, nowMs);
+    this.options.states.recordSignOfLife(flow.state, nowMs);
     this.endRequest(flow, bytes, nowMs);
   }
 
@@ -84,7 +84,7 @@
 
   private endRequest(flow: Flow, bytes: number, nowMs: number): void {
     if (!flow.request) return;
-    this.options.answers.answer(flow.request, bytes, nowMs);
+    this.options.answers.recordAnswer(flow.request, bytes, nowMs);
     flow.request = undefined;
   }
 
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -5,7 +5,7 @@
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
 import type { EventLog } from '../../observability/event.js';
-import type { BackendStates, PendingOpenings } from '../backend-health/index.js';
+import type { LocalBackendStates, PendingOpenings } from '../backend-health/index.js';
 import type { AnswerTracker, OutlierDetector } from '../outliers/index.js';
 import { TICK_MS } from './constants.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
@@ -19,7 +19,7 @@
   readonly pauses: PauseDetector;
   readonly pending: PendingOpenings;
   readonly answers: AnswerTracker;
-  readonly states: BackendStates;
+  readonly states: LocalBackendStates;
   readonly outliers: OutlierDetector;
   readonly failures: FlowFailures;
   readonly expiry: FlowExpiry;
@@ -56,7 +56,7 @@
   /** Discards pending openings and requests after a pause: with packets unread, answered ones look unanswered. */
   private checkPause(nowMs: number): void {
     const { pauses, events, pending, answers } = this.options;
-    const pausedMs = pauses.noteTick(nowMs);
+    const pausedMs = pauses.recordTick(nowMs);
     if (pausedMs === 0) return;
     events.emit(COOKIE_FLOW_EVENTS.paused, { pausedMs: Math.round(pausedMs) });
     pending.clear();
--- a/src/cookie-edge/forwarding/index.ts
+++ b/src/cookie-edge/forwarding/index.ts
@@ -5,4 +5,6 @@
  */
 export { TICK_MS } from './constants.js';
 export type { CookieForwarder } from './cookie-forwarder.js';
+export type { CookieStatistics } from './cookie-statistics.js';
 export { createCookieForwarder } from './create-cookie-forwarder.js';
+export type { Flow, FlowCache } from './flow-cache.js';
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -4,7 +4,7 @@
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { EventLog } from '../../observability/event.js';
-import type { BackendState, BackendStates } from '../backend-health/index.js';
+import type { LocalBackendState, LocalBackendStates } from '../backend-health/index.js';
 import type { KnownBackend, RoutingKnowledge } from '../routing/index.js';
 import type { CookieRegistry } from './cookie-registry.js';
 import type { CookieStatistics } from './cookie-statistics.js';
@@ -19,7 +19,7 @@
   readonly events: EventLog;
   readonly knowledge: RoutingKnowledge;
   readonly cookies: CookieRegistry;
-  readonly states: BackendStates;
+  readonly states: LocalBackendStates;
   readonly cache: FlowCache;
   readonly follower: FlowFollower;
   readonly sender: PacketSender;
@@ -57,7 +57,7 @@
   }
 
   /** Resets a flow at a dead back end immediately instead of letting its caller wait for its timeout. */
-  private resetAtDead(packet: CookiePacket, flow: Flow | undefined, { backend }: BackendState): void {
+  private resetAtDead(packet: CookiePacket, flow: Flow | undefined, { backend }: LocalBackendState): void {
     const { cache, statistics, events, sender } = this.options;
     if (flow) cache.remove(flow);
     statistics.resets += 1;
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -65,7 +65,7 @@
   /** Records a new flow. A full cache only costs what the cache is for: the flow is forwarded by its cookie. */
   private open(packet: CookiePacket, placement: Placement, nowMs: number): void {
     const { newFlows, cache, pending, statistics } = this.options;
-    newFlows.notePlacement(placement, nowMs);
+    newFlows.recordPlacement(placement, nowMs);
     const flow = cache.add(packet, placement.state, 'opening', nowMs);
     if (flow) pending.add(flow);
     statistics.opened += 1;
@@ -80,7 +80,7 @@
     }
     if (mayLeaveFirstBackend(flow.phase, flow.state.liveness(nowMs))) {
       const alternative = newFlows.chooseAgain(packet, nowMs);
-      if (alternative) newFlows.notePlacement(alternative, nowMs);
+      if (alternative) newFlows.recordPlacement(alternative, nowMs);
       const target = decideRetransmission(flow.state, alternative);
       if (alternative && target === 'another-back-end') this.placeAnew(packet, flow, alternative, nowMs);
     }
--- a/src/cookie-edge/forwarding/reset-target.test.ts
+++ b/src/cookie-edge/forwarding/reset-target.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import { FlowCache, type FlowPhase } from './flow-cache.js';
-import { EMPTY_PACKET } from './cookie-test-support.js';
 import { stateOf } from '../placement/placement-test-support.js';
+import { EMPTY_PACKET } from './cookie-test-support.js';
+import { FlowCache, type FlowPhase } from './flow-cache.js';
 import { resetTargetOf } from './reset-target.js';
 
 /** Phase of a flow whose SYN was the second retransmission, and what a reset of it carries. */
--- a/src/cookie-edge/forwarding/retransmission-rule.test.ts
+++ b/src/cookie-edge/forwarding/retransmission-rule.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import type { Liveness } from '../backend-health/backend-state.js';
+import type { Liveness } from '../backend-health/local-backend-state.js';
 import type { Placement } from '../placement/index.js';
 import { stateOf } from '../placement/placement-test-support.js';
 import type { FlowPhase } from './flow-cache.js';
--- a/src/cookie-edge/forwarding/retransmission-rule.ts
+++ b/src/cookie-edge/forwarding/retransmission-rule.ts
@@ -8,7 +8,7 @@
  * caller went on with stays; so does one whose back end is not ejected or dead, even if it is suspect, cordoned or draining, since
  * its answer may be on its way. Only then another back end is chosen. Where none is found, or the same one, the flow stays.
  */
-import type { BackendState, Liveness } from '../backend-health/index.js';
+import type { LocalBackendState, Liveness } from '../backend-health/index.js';
 import type { Placement } from '../placement/index.js';
 import type { FlowPhase } from './flow-cache.js';
 
@@ -22,7 +22,7 @@
 
 /** The outcome for a flow that may leave its back end; `alternative` is what a new flow would get. */
 export function decideRetransmission(
-  first: BackendState,
+  first: LocalBackendState,
   alternative: Placement | undefined,
 ): RetransmissionOutcome {
   return alternative && alternative.state !== first ? 'another-back-end' : 'first-back-end';
--- a/src/cookie-edge/load/call-rates.ts
+++ b/src/cookie-edge/load/call-rates.ts
@@ -21,7 +21,7 @@
   private known = new Map<string, KnownCount>();
 
   /** Records the page's counts, read at `nowMs` (monotonic ms); forgets back ends that it no longer lists. */
-  note(counts: readonly BackendCallCount[], nowMs: number): void {
+  record(counts: readonly BackendCallCount[], nowMs: number): void {
     const known = new Map<string, KnownCount>();
     for (const count of counts) {
       known.set(count.id, { count, readAtMs: nowMs, rate: this.rateOf(count, nowMs) });
--- a/src/cookie-edge/load/load-reader.ts
+++ b/src/cookie-edge/load/load-reader.ts
@@ -56,7 +56,7 @@
     const { counts, next } = response.value;
     const measuredAtMs = clock.now();
     const rates = (this.pages[this.page] ??= new CallRates());
-    rates.note(counts, measuredAtMs);
+    rates.record(counts, measuredAtMs);
     const busy = rates.busy();
     events.emit(LOAD_EVENTS.pageRead, { page: this.page, backends: counts.length, busy: busy.length });
     onReport({ page: this.page, measuredAtMs, validMs: this.validMs(), busy });
--- a/src/cookie-edge/load/load-view.ts
+++ b/src/cookie-edge/load/load-view.ts
@@ -1,6 +1,6 @@
 /** Holds the newest load report of each page until it expires, and tells placement which back ends are busy. */
-import type { BusyBackend, LoadReport } from './types.js';
 import { LOAD_STEP_MS, TAG_MASK } from './constants.js';
+import type { BusyBackend, LoadReport } from './types.js';
 
 /** What placement asks. */
 export interface LoadLevels {
@@ -27,7 +27,7 @@
   private readonly pages = new Map<number, KnownReport>();
 
   /** Stores a report; returns false when the one stored for that page is about as new, which must not be gossiped further. */
-  accept({ page, measuredAtMs, validMs, busy }: LoadReport): boolean {
+  applyReport({ page, measuredAtMs, validMs, busy }: LoadReport): boolean {
     const known = this.pages.get(page);
     if (known && measuredAtMs - known.measuredAtMs < LOAD_STEP_MS) return false;
     this.pages.set(page, { measuredAtMs, untilMs: measuredAtMs + validMs, levels: levelsOf(busy) });
--- a/src/cookie-edge/load/load.test.ts
+++ b/src/cookie-edge/load/load.test.ts
@@ -27,9 +27,9 @@
 
 test('a back end with more calls than the mean of its service is busy', (t) => {
   const rates = new CallRates();
-  rates.note([countOf('a', 0), countOf('b', 100), countOf('c', 7)], 0);
+  rates.record([countOf('a', 0), countOf('b', 100), countOf('c', 7)], 0);
   t.deepEqual(rates.busy(), []);
-  rates.note([countOf('a', 30), countOf('b', 110), countOf('c', 27)], 2_000);
+  rates.record([countOf('a', 30), countOf('b', 110), countOf('c', 27)], 2_000);
   t.deepEqual(rates.busy(), [{ tag: tagOf('a'), level: 1.5 }]);
 });
 
@@ -40,15 +40,15 @@
     countOf('b', calls / 2),
     countOf('c', calls * 10, { service: 'beta' }),
   ];
-  rates.note(at(0), 0);
-  rates.note(at(40), 2_000);
+  rates.record(at(0), 0);
+  rates.record(at(40), 2_000);
   t.deepEqual(rates.busy(), []);
 });
 
 test('a count that goes back, and a back end that was not listed before, have no rate yet', (t) => {
   const rates = new CallRates();
-  rates.note([countOf('a', 50), countOf('b', 0)], 0);
-  rates.note([countOf('a', 10), countOf('b', 10), countOf('new', 900)], 2_000);
+  rates.record([countOf('a', 50), countOf('b', 0)], 0);
+  rates.record([countOf('a', 10), countOf('b', 10), countOf('new', 900)], 2_000);
   t.deepEqual(rates.busy(), []);
 });
 
@@ -56,7 +56,7 @@
   const rates = new CallRates();
   const ids = Array.from({ length: 500 }, (_, index) => `i-${index}`);
   for (const round of [0, 1]) {
-    rates.note(
+    rates.record(
       ids.map((id, index) => countOf(id, index * round)),
       round * 2_000,
     );
@@ -69,11 +69,11 @@
 test('a report is used until it is too old, and only one that is clearly newer replaces it', (t) => {
   const view = new LoadView();
   t.false(view.isKnown(0));
-  t.true(view.accept(reportOf({ busy: [{ tag: tagOf('a'), level: 2 }] })));
+  t.true(view.applyReport(reportOf({ busy: [{ tag: tagOf('a'), level: 2 }] })));
   t.is(view.levelOf(hashString('a'), 0), 2);
   t.is(view.levelOf(hashString('b'), 0), 1);
-  t.false(view.accept(reportOf({ measuredAtMs: LOAD_STEP_MS - 1 })));
-  t.true(view.accept(reportOf({ measuredAtMs: LOAD_STEP_MS })));
+  t.false(view.applyReport(reportOf({ measuredAtMs: LOAD_STEP_MS - 1 })));
+  t.true(view.applyReport(reportOf({ measuredAtMs: LOAD_STEP_MS })));
   t.is(view.levelOf(hashString('a'), LOAD_STEP_MS), 1);
   t.true(view.isKnown(LOAD_STEP_MS + 5_999));
   t.false(view.isKnown(LOAD_STEP_MS + 6_000));
@@ -81,8 +81,8 @@
 
 test('an old report says nothing any more, and pages stand beside each other', (t) => {
   const view = new LoadView();
-  view.accept(reportOf({ busy: [{ tag: tagOf('a'), level: 2 }] }));
-  view.accept(reportOf({ page: 1, measuredAtMs: 3_000, busy: [{ tag: tagOf('b'), level: 3 }] }));
+  view.applyReport(reportOf({ busy: [{ tag: tagOf('a'), level: 2 }] }));
+  view.applyReport(reportOf({ page: 1, measuredAtMs: 3_000, busy: [{ tag: tagOf('b'), level: 3 }] }));
   t.is(view.levelOf(hashString('a'), 5_000), 2);
   t.is(view.levelOf(hashString('b'), 5_000), 3);
   t.is(view.levelOf(hashString('a'), 6_000), 1);
--- a/src/cookie-edge/outliers/usual-answers.ts
+++ b/src/cookie-edge/outliers/answer-baseline.ts
@@ -11,13 +11,13 @@
 } from './constants.js';
 
 /** The usual answers of one route. */
-export class UsualAnswers {
+export class AnswerBaseline {
   private count = 0;
-  private medianMs = 0;
+  private estimateMs = 0;
   private leastBytes = Number.POSITIVE_INFINITY;
 
   /** Records how long an answer took in ms, and how many of its bytes were acknowledged first: all of a short one. */
-  note(tookMs: number, bytes: number): void {
+  record(tookMs: number, bytes: number): void {
     if (this.isShort(bytes)) {
       this.leastBytes *= 1 - SHORT_FALL;
       return;
@@ -25,21 +25,21 @@
     this.count += 1;
     this.leastBytes = Math.min(bytes, this.leastBytes * (1 + LENGTH_RISE));
     if (this.count === 1) {
-      this.medianMs = tookMs;
+      this.estimateMs = tookMs;
       return;
     }
     const step = MEDIAN_STEP + 1 / (this.count + FIRST_ANSWERS);
-    this.medianMs *= tookMs > this.medianMs ? 1 + step : 1 / (1 + step);
+    this.estimateMs *= tookMs > this.estimateMs ? 1 + step : 1 / (1 + step);
   }
 
   /** The median time in ms; undefined while too few answers were seen. */
-  get usualMs(): number | undefined {
-    return this.count >= MIN_ANSWERS ? this.medianMs : undefined;
+  get medianMs(): number | undefined {
+    return this.count >= MIN_ANSWERS ? this.estimateMs : undefined;
   }
 
   /** True for a time that is `factor` times the usual one. */
   isSlow(tookMs: number, factor: number): boolean {
-    return tookMs >= SLOW_MIN_MS && this.usualMs !== undefined && tookMs >= this.usualMs * factor;
+    return tookMs >= SLOW_MIN_MS && this.medianMs !== undefined && tookMs >= this.medianMs * factor;
   }
 
   /** True for an answer much shorter than any usual one: errors are, where answers carry something. */
--- a/src/cookie-edge/outliers/answer-tracker.test.ts
+++ b/src/cookie-edge/outliers/answer-tracker.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
+import { AnswerBaseline } from './answer-baseline.js';
 import { AnswerTracker } from './answer-tracker.js';
 import { MIN_ANSWERS, SLOW_MIN_MS } from './constants.js';
 import type { BadAnswer, OutstandingRequest } from './types.js';
-import { UsualAnswers } from './usual-answers.js';
 
 const SLOW_FACTOR = 4;
 const USUAL_MS = 50;
@@ -20,19 +20,19 @@
   for (let count = 0; count < MIN_ANSWERS; count += 1) {
     const answered = request(0);
     tracker.begin(answered);
-    tracker.answer(answered, USUAL_BYTES, USUAL_MS);
+    tracker.recordAnswer(answered, USUAL_BYTES, USUAL_MS);
   }
   return { tracker, slow };
 }
 
 test('the usual time follows a change of all answers and not a few slow ones', (t) => {
-  const usual = new UsualAnswers();
-  t.is(usual.usualMs, undefined);
+  const usual = new AnswerBaseline();
+  t.is(usual.medianMs, undefined);
   for (let count = 0; count < 100; count += 1)
-    usual.note(count % 5 === 0 ? 400 : USUAL_MS + (count % 3), USUAL_BYTES);
-  t.true(usual.usualMs! < 2 * USUAL_MS, `${usual.usualMs} ms with one slow answer in five`);
-  for (let count = 0; count < 100; count += 1) usual.note(400 + (count % 3), USUAL_BYTES);
-  t.true(usual.usualMs! > 300, `${usual.usualMs} ms once all are slow`);
+    usual.record(count % 5 === 0 ? 400 : USUAL_MS + (count % 3), USUAL_BYTES);
+  t.true(usual.medianMs! < 2 * USUAL_MS, `${usual.medianMs} ms with one slow answer in five`);
+  for (let count = 0; count < 100; count += 1) usual.record(400 + (count % 3), USUAL_BYTES);
+  t.true(usual.medianMs! > 300, `${usual.medianMs} ms once all are slow`);
 });
 
 test('a request is called slow as soon as it is, once, whether it is answered later or not', (t) => {
@@ -48,7 +48,7 @@
     slow.map(({ backendId }) => backendId),
     ['mute', 'late'],
   );
-  tracker.answer(late, USUAL_BYTES, 1_500);
+  tracker.recordAnswer(late, USUAL_BYTES, 1_500);
   tracker.check(9_000);
   t.is(slow.length, 2);
   t.is(tracker.outstandingCount, 0);
@@ -58,7 +58,7 @@
   const { tracker, slow } = warmTracker();
   const late = request(1_000);
   tracker.begin(late);
-  tracker.answer(late, USUAL_BYTES, 1_000 + 5 * USUAL_MS);
+  tracker.recordAnswer(late, USUAL_BYTES, 1_000 + 5 * USUAL_MS);
   t.is(slow.length, 1);
 });
 
@@ -67,7 +67,7 @@
   const slowRoute = request(1_000, 'a', 2);
   tracker.begin(slowRoute);
   tracker.check(1_000 + 10 * USUAL_MS);
-  tracker.answer(slowRoute, USUAL_BYTES, 1_000 + 10 * USUAL_MS);
+  tracker.recordAnswer(slowRoute, USUAL_BYTES, 1_000 + 10 * USUAL_MS);
   t.deepEqual(slow, [], 'too few answers of that route were seen');
 });
 
@@ -77,7 +77,7 @@
   for (let count = 0; count <= MIN_ANSWERS; count += 1) {
     const answered = request(0);
     tracker.begin(answered);
-    tracker.answer(answered, USUAL_BYTES, count < MIN_ANSWERS ? 2 : SLOW_MIN_MS - 1);
+    tracker.recordAnswer(answered, USUAL_BYTES, count < MIN_ANSWERS ? 2 : SLOW_MIN_MS - 1);
   }
   t.deepEqual(slow, []);
 });
@@ -100,7 +100,7 @@
   const answer = (bytes: number): void => {
     const answered = request(0);
     tracker.begin(answered);
-    tracker.answer(answered, bytes, USUAL_MS);
+    tracker.recordAnswer(answered, bytes, USUAL_MS);
   };
   for (let index = 0; index < count; index += 1) answer(600 + ((index * 37) % 600));
   return { tracker, bad, answer };
--- a/src/cookie-edge/outliers/answer-tracker.ts
+++ b/src/cookie-edge/outliers/answer-tracker.ts
@@ -5,9 +5,9 @@
  * it comes later or not; and one much shorter than the route's answers are, as errors are.
  */
 import { LatencyHistogram } from '../../observability/latency-histogram.js';
+import { AnswerBaseline } from './answer-baseline.js';
 import { MAX_OUTSTANDING, MAX_ROUTES } from './constants.js';
 import type { BadAnswer, OutstandingRequest } from './types.js';
-import { UsualAnswers } from './usual-answers.js';
 
 /** Counters since start. */
 interface AnswerStatistics {
@@ -36,7 +36,7 @@
   readonly times = new LatencyHistogram();
   /** Requests that are neither answered nor slow yet, the oldest first. */
   private readonly outstanding = new Set<OutstandingRequest>();
-  private readonly routes = new Map<number, UsualAnswers>();
+  private readonly baselines = new Map<number, AnswerBaseline>();
 
   constructor(private readonly options: AnswerTrackerOptions) {}
 
@@ -52,14 +52,14 @@
   }
 
   /** Notes that the first `bytes` of the answer to a request were acknowledged. */
-  answer(request: OutstandingRequest, bytes: number, nowMs: number): void {
+  recordAnswer(request: OutstandingRequest, bytes: number, nowMs: number): void {
     const tookMs = nowMs - request.sentAtMs;
-    const usual = this.usualOf(request.routeKey);
-    const isSlow = usual.isSlow(tookMs, this.options.slowFactor);
-    const isShort = usual.isShort(bytes);
+    const baseline = this.baselineOf(request.routeKey);
+    const isSlow = baseline.isSlow(tookMs, this.options.slowFactor);
+    const isShort = baseline.isShort(bytes);
     this.statistics.answered += 1;
     this.times.observe(tookMs);
-    usual.note(tookMs, bytes);
+    baseline.record(tookMs, bytes);
     if (!this.outstanding.delete(request)) return;
     if (isShort) this.report(request, 'short', nowMs);
     else if (isSlow) this.report(request, 'slow', nowMs);
@@ -74,8 +74,8 @@
   check(nowMs: number): void {
     const { slowFactor } = this.options;
     for (const request of this.outstanding) {
-      const usual = this.routes.get(request.routeKey);
-      if (!usual?.isSlow(nowMs - request.sentAtMs, slowFactor)) continue;
+      const baseline = this.baselines.get(request.routeKey);
+      if (!baseline?.isSlow(nowMs - request.sentAtMs, slowFactor)) continue;
       this.outstanding.delete(request);
       this.report(request, 'slow', nowMs);
     }
@@ -91,18 +91,18 @@
     this.options.onBadAnswer({ backendId, service, atMs: nowMs });
   }
 
-  private usualOf(routeKey: number): UsualAnswers {
-    let usual = this.routes.get(routeKey);
-    if (usual) return usual;
-    if (this.routes.size >= MAX_ROUTES) this.forgetOldestRoute();
-    usual = new UsualAnswers();
-    this.routes.set(routeKey, usual);
-    return usual;
+  private baselineOf(routeKey: number): AnswerBaseline {
+    let baseline = this.baselines.get(routeKey);
+    if (baseline) return baseline;
+    if (this.baselines.size >= MAX_ROUTES) this.forgetOldestRoute();
+    baseline = new AnswerBaseline();
+    this.baselines.set(routeKey, baseline);
+    return baseline;
   }
 
   private forgetOldestRoute(): void {
-    for (const oldest of this.routes.keys()) {
-      this.routes.delete(oldest);
+    for (const oldest of this.baselines.keys()) {
+      this.baselines.delete(oldest);
       return;
     }
   }
--- a/src/cookie-edge/outliers/index.ts
+++ b/src/cookie-edge/outliers/index.ts
@@ -1,10 +1,10 @@
 /**
  * Outlier detection: back ends that answer unusually late, not at all, or with errors, although connections to them open, get no new
- * flows. It covers slow, hanging, mute and failing back ends; `cookie-edge/backend-health` covers those that cannot be reached.
+ * flows. It covers slow, hanging, mute and failing back ends; `backend-health` covers those that cannot be reached.
  *
  * ```ts
  * const detector = new OutlierDetector({ ...DEFAULT_OUTLIER_OPTIONS, self, events, serviceOf, countBackends, onReport });
- * const tracker = new AnswerTracker({ slowFactor, onBadAnswer: (slow) => detector.noteOwn(slow) });
+ * const tracker = new AnswerTracker({ slowFactor, onBadAnswer: (badAnswer) => detector.recordOwn(badAnswer) });
  * ```
  */
 export type * from './types.js';
--- a/src/cookie-edge/outliers/outlier-detector.test.ts
+++ b/src/cookie-edge/outliers/outlier-detector.test.ts
@@ -43,12 +43,12 @@
   /** Reports of `count` other daemons, from the observer `first` on. */
   hear(backendId: string, count: number, nowMs = NOW_MS, first = 100): boolean[] {
     return Array.from({ length: count }, (_unused, index) =>
-      this.detector.noteReport({ backendId, observer: first + index, atMs: nowMs }, nowMs),
+      this.detector.applyReport({ backendId, observer: first + index, atMs: nowMs }, nowMs),
     );
   }
 
   notice(backendId: string, atMs = NOW_MS): void {
-    this.detector.noteOwn({ backendId, service: 'alpha', atMs });
+    this.detector.recordOwn({ backendId, service: 'alpha', atMs });
   }
 
   phase(backendId: string, nowMs = NOW_MS): string {
@@ -80,7 +80,7 @@
   t.deepEqual(harness.hear('b1', 1), [true]);
   t.deepEqual(harness.hear('b1', 1), [false]);
   t.deepEqual(harness.hear('x1', 1), [false]);
-  t.false(harness.detector.noteReport({ backendId: 'b1', observer: SELF, atMs: NOW_MS }, NOW_MS));
+  t.false(harness.detector.applyReport({ backendId: 'b1', observer: SELF, atMs: NOW_MS }, NOW_MS));
   const accepted = harness.hear('b2', 3 * MAX_REPORTS).filter(Boolean).length;
   t.is(accepted, quorum, 'then it is avoided, and more would change nothing');
   const undecided = new DetectorHarness(2);
@@ -103,7 +103,7 @@
   harness.hear('b1', 1, NOW_MS, 500);
   t.is(harness.phase('b1'), 'normal');
   const report = { backendId: 'b1', observer: 7, atMs: NOW_MS - REPORT_VALID_MS };
-  t.false(harness.detector.noteReport(report, NOW_MS));
+  t.false(harness.detector.applyReport(report, NOW_MS));
 });
 
 test('a daemon that finds most back ends slow tells of itself: neither it nor others act on that', (t) => {
--- a/src/cookie-edge/outliers/outlier-detector.ts
+++ b/src/cookie-edge/outliers/outlier-detector.ts
@@ -88,21 +88,21 @@
   }
 
   /** Records a bad answer that this daemon noticed itself; gossips it unless it is this daemon that is slow. */
-  noteOwn({ backendId, service, atMs }: BadAnswer): void {
+  recordOwn({ backendId, service, atMs }: BadAnswer): void {
     if (atMs < this.settledAtMs) return;
     const report = { backendId, observer: this.options.self, atMs };
-    if (!this.recordOf(backendId, service).note(report, true, atMs)) return;
+    if (!this.recordOf(backendId, service).record(report, true, atMs)) return;
     this.ownReports += 1;
     if (!this.isMostlyReporting(service, atMs)) this.options.onReport(report);
     this.judge(backendId, atMs);
   }
 
   /** Records another daemon's report; returns true when it is new here and must be gossiped further. */
-  noteReport(report: BadAnswerReport, nowMs: number): boolean {
+  applyReport(report: BadAnswerReport, nowMs: number): boolean {
     if (report.observer === this.options.self) return false;
     const service = this.options.serviceOf(report.backendId);
     if (service === undefined) return false;
-    if (!this.recordOf(report.backendId, service).note(report, false, nowMs)) return false;
+    if (!this.recordOf(report.backendId, service).record(report, false, nowMs)) return false;
     this.othersReports += 1;
     this.judge(report.backendId, nowMs);
     return true;
--- a/src/cookie-edge/outliers/outlier-record.ts
+++ b/src/cookie-edge/outliers/outlier-record.ts
@@ -14,14 +14,14 @@
 import type { OutlierPhase } from './types.js';
 
 /** A bad answer and who noticed it. */
-interface NotedReport {
+interface RecordedReport {
   readonly observer: number;
   readonly atMs: number;
 }
 
 /** Reports and phase of one back end. Times are monotonic ms. */
 export class OutlierRecord {
-  private reports: NotedReport[] = [];
+  private reports: RecordedReport[] = [];
   private avoidedUntilMs = Number.NEGATIVE_INFINITY;
   private trialUntilMs = Number.NEGATIVE_INFINITY;
   private avoidForMs = AVOID_MIN_MS;
@@ -39,7 +39,7 @@
    * Stores a report; returns false for one that changes nothing, which must not be gossiped further. Each other daemon counts once,
    * because its link to the back end may be what is slow. Own reports count each, because this daemon decides by them.
    */
-  note(report: NotedReport, isOwn: boolean, nowMs: number): boolean {
+  record(report: RecordedReport, isOwn: boolean, nowMs: number): boolean {
     if (nowMs - report.atMs >= REPORT_VALID_MS || this.isSettledAt(nowMs)) return false;
     this.dropOld(nowMs);
     const known = isOwn ? undefined : this.reports.find(({ observer }) => observer === report.observer);
@@ -87,7 +87,7 @@
   }
 
   private dropOld(nowMs: number): void {
-    const isValid = ({ atMs }: NotedReport): boolean => nowMs - atMs < REPORT_VALID_MS;
+    const isValid = ({ atMs }: RecordedReport): boolean => nowMs - atMs < REPORT_VALID_MS;
     if (!this.reports.every(isValid)) this.reports = this.reports.filter(isValid);
   }
 }
--- a/src/cookie-edge/placement/backend-eligibility.test.ts
+++ b/src/cookie-edge/placement/backend-eligibility.test.ts
@@ -2,18 +2,18 @@
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { seededRandom } from '../../common/random.js';
-import type { KnownBackend, Route, RoutedBackend } from '../routing/index.js';
-import { backendAt, SERVICE_ADDRESS, SERVICE_PORT } from '../routing/routing-test-support.js';
-import { BackendState } from '../backend-health/backend-state.js';
-import { stateExclusionOf, type RecordExclusion, type StateExclusion } from './backend-eligibility.js';
-import { ColdAdmission } from './cold-admission.js';
-import { BackendEligibility } from './index.js';
+import { LocalBackendState } from '../backend-health/local-backend-state.js';
 import {
   backends,
   failOpenings,
   ForwarderHarness,
   type HarnessSurroundings,
 } from '../forwarding/cookie-test-support.js';
+import type { KnownBackend, Route, RoutedBackend } from '../routing/index.js';
+import { backendAt, SERVICE_ADDRESS, SERVICE_PORT } from '../routing/routing-test-support.js';
+import { stateExclusionOf, type RecordExclusion, type StateExclusion } from './backend-eligibility.js';
+import { ColdAdmission } from './cold-admission.js';
+import { BackendEligibility } from './index.js';
 
 const COLD_MS = 2_000;
 
@@ -182,7 +182,7 @@
     for (let nowMs = 0; nowMs < 30_000; nowMs += 5) {
       for (const owner of owners) {
         if (random() < 0.3 || !owner.admits(cold!, rate, nowMs)) continue;
-        owner.note(cold!, nowMs);
+        owner.recordPlacement(cold!, nowMs);
         admittedAtMs.push(nowMs);
       }
     }
@@ -229,7 +229,7 @@
       coldUntilMs: 0,
       ...change,
     };
-    const state = new BackendState(backend);
+    const state = new LocalBackendState(backend);
     const eligibility = new BackendEligibility({
       knowledge,
       coldAdmission: new ColdAdmission({ overage: 1.5, slack: 5, isOwner: () => false }),
@@ -259,9 +259,9 @@
 
 for (const [openFlows, deadUntilMs, expected] of STATES) {
   test(`a back end with ${openFlows} flows, dead until ${deadUntilMs} ms, is ${expected ?? 'not'} excluded by its state`, (t) => {
-    const state = new BackendState({ id: 'a' } as KnownBackend);
+    const state = new LocalBackendState({ id: 'a' } as KnownBackend);
     state.openFlows = openFlows;
-    state.noteDead(deadUntilMs);
+    state.recordDeadVerdict(deadUntilMs);
     t.is(stateExclusionOf(state, 2, 1_000), expected);
   });
 }
--- a/src/cookie-edge/placement/backend-eligibility.ts
+++ b/src/cookie-edge/placement/backend-eligibility.ts
@@ -10,7 +10,7 @@
  *
  * Relies on the routing knowledge for records, cordons and limits, and on the back end's state for open flows and dead verdicts.
  */
-import type { BackendState } from '../backend-health/index.js';
+import type { LocalBackendState } from '../backend-health/index.js';
 import type { KnownBackend, Route, RoutingKnowledge } from '../routing/index.js';
 import type { ColdAdmission } from './cold-admission.js';
 
@@ -27,14 +27,14 @@
 interface BackendEligibilityOptions {
   readonly knowledge: RoutingKnowledge;
   readonly coldAdmission: ColdAdmission;
-  readonly stateOf: (backend: KnownBackend) => BackendState;
+  readonly stateOf: (backend: KnownBackend) => LocalBackendState;
   /** Region of a zone; undefined when it is not configured. */
   readonly regionOf: (zone: string) => string | undefined;
 }
 
 /** Why a back end's state excludes it; undefined when it does not. `maxConnections` limits this balancer's open flows there. */
 export function stateExclusionOf(
-  state: BackendState,
+  state: LocalBackendState,
   maxConnections: number,
   nowMs: number,
 ): StateExclusion | undefined {
@@ -52,7 +52,7 @@
     route: Route,
     maxConnections: number,
     nowMs: number,
-  ): BackendState | undefined {
+  ): LocalBackendState | undefined {
     if (this.recordExclusionOf(backend, route, nowMs)) return undefined;
     const state = this.options.stateOf(backend);
     return stateExclusionOf(state, maxConnections, nowMs) ? undefined : state;
--- a/src/cookie-edge/placement/backend-load.test.ts
+++ b/src/cookie-edge/placement/backend-load.test.ts
@@ -1,14 +1,14 @@
 import test from 'ava';
 import { allBut, type Mechanism } from '../../common/mechanisms.js';
-import type { BackendState } from '../backend-health/backend-state.js';
+import type { LocalBackendState } from '../backend-health/local-backend-state.js';
 import { loadWithNewFlow } from './backend-load.js';
 import { stateOf } from './placement-test-support.js';
 
 const NOW_MS = 1_000;
 
-function withFlows(state: BackendState, open: number, closed = 0): BackendState {
+function withFlows(state: LocalBackendState, open: number, closed = 0): LocalBackendState {
   state.openFlows = open + closed;
-  for (let flow = 0; flow < closed; flow += 1) state.noteClosed(NOW_MS);
+  for (let flow = 0; flow < closed; flow += 1) state.recordClosed(NOW_MS);
   return state;
 }
 
@@ -16,7 +16,7 @@
 const far = { zone: 'south' };
 
 /** What it is, its state, its load with one flow more, and a mechanism that is off. */
-const CASES: readonly (readonly [string, BackendState, number, Mechanism?])[] = [
+const CASES: readonly (readonly [string, LocalBackendState, number, Mechanism?])[] = [
   ['empty', stateOf('a'), 1 / 2],
   ['with three flows', withFlows(stateOf('a'), 3), 2],
   ['with one open flow and two just closed', withFlows(stateOf('a'), 1, 2), 2],
--- a/src/cookie-edge/placement/backend-load.ts
+++ b/src/cookie-edge/placement/backend-load.ts
@@ -8,8 +8,8 @@
  * slow start counts with `COLD_CAPACITY_SHARE` of its capacity. A back end of another zone needs `zoneMargin` flows less for each
  * unit of capacity, and its load counts `zoneLoadFactor` times, which bounds how much more the own zone gets.
  */
-import type { BackendState } from '../backend-health/index.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
+import type { LocalBackendState } from '../backend-health/index.js';
 import { COLD_CAPACITY_SHARE } from './constants.js';
 
 /** How zones and mechanisms count. */
@@ -24,7 +24,7 @@
 }
 
 /** Load of a back end as it would be with one flow more. */
-export function loadWithNewFlow(state: BackendState, nowMs: number, weights: LoadWeights): number {
+export function loadWithNewFlow(state: LocalBackendState, nowMs: number, weights: LoadWeights): number {
   const { record, coldUntilMs } = state.backend;
   const share = nowMs < coldUntilMs && weights.isOn('cold-share') ? COLD_CAPACITY_SHARE : 1;
   const flows = weights.isOn('closed-flows') ? state.flowsAt(nowMs) : state.openFlows;
--- a/src/cookie-edge/placement/candidate-classes.test.ts
+++ b/src/cookie-edge/placement/candidate-classes.test.ts
@@ -1,7 +1,7 @@
 /** Each class of candidates, and what no class takes. */
 import test from 'ava';
 import { allBut, type Mechanism } from '../../common/mechanisms.js';
-import type { BackendState } from '../backend-health/backend-state.js';
+import type { LocalBackendState } from '../backend-health/local-backend-state.js';
 import { CandidateClassifier, type CandidateClass } from './candidate-classes.js';
 import { LAPSED_RECORD_MS } from './constants.js';
 import { eject, stateOf } from './placement-test-support.js';
@@ -11,39 +11,39 @@
 
 interface Case {
   readonly name: string;
-  readonly state: () => BackendState;
+  readonly state: () => LocalBackendState;
   readonly expected: CandidateClass | undefined;
   readonly nowMs?: number;
   readonly isOutlier?: boolean;
   readonly off?: Mechanism;
 }
 
-function plain(): BackendState {
+function plain(): LocalBackendState {
   return stateOf('a');
 }
 
-function failed(): BackendState {
+function failed(): LocalBackendState {
   const state = stateOf('a');
-  state.noteFailure(NOW_MS - 10, NOW_MS - 160);
+  state.recordFailure(NOW_MS - 10, NOW_MS - 160);
   return state;
 }
 
-function ejected(): BackendState {
+function ejected(): LocalBackendState {
   const state = stateOf('a');
   eject(state);
   return state;
 }
 
-function waiting(): BackendState {
+function waiting(): LocalBackendState {
   const state = stateOf('a');
   state.pendingOpenings = 1;
   state.pendingSinceMs = NOW_MS - SLOW_HANDSHAKE_MS - 1;
   return state;
 }
 
-function lapsed(lastSignOfLifeMs?: number): BackendState {
+function lapsed(lastSignOfLifeMs?: number): LocalBackendState {
   const state = stateOf('a', {}, { departed: true, lapsed: true, departedAtMs: 1_000 });
-  if (lastSignOfLifeMs !== undefined) state.noteSignOfLife(lastSignOfLifeMs);
+  if (lastSignOfLifeMs !== undefined) state.recordSignOfLife(lastSignOfLifeMs);
   return state;
 }
 
--- a/src/cookie-edge/placement/candidate-classes.ts
+++ b/src/cookie-edge/placement/candidate-classes.ts
@@ -7,8 +7,8 @@
  * detection. Order: a departed record is tested first, because it serves as a last resort only and only if alive; then liveness;
  * the outlier test is last, because it applies to back ends that are alive otherwise. A back end of which nothing is known is alive.
  */
-import type { BackendState, Liveness } from '../backend-health/index.js';
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
+import type { LocalBackendState, Liveness } from '../backend-health/index.js';
 import type { KnownBackend } from '../routing/index.js';
 import { LAPSED_RECORD_MS } from './constants.js';
 
@@ -19,9 +19,9 @@
 export interface ClassificationRequest {
   readonly backends: Iterable<KnownBackend>;
   /** The state of a back end if it may get the flow; undefined when it is excluded. */
-  readonly eligibleStateOf: (backend: KnownBackend) => BackendState | undefined;
+  readonly eligibleStateOf: (backend: KnownBackend) => LocalBackendState | undefined;
   /** True for an outlier that may not get this flow, not even as an outlier trial. */
-  readonly isOutlier?: (state: BackendState) => boolean;
+  readonly isOutlier?: (state: LocalBackendState) => boolean;
   readonly nowMs: number;
   /** A back end with a handshake pending longer than this, in ms, is suspect. */
   readonly slowHandshakeMs: number;
@@ -29,14 +29,14 @@
 
 /** Candidates by class, each in the order of the request. */
 export interface Candidates {
-  readonly alive: BackendState[];
-  readonly outlier: BackendState[];
-  readonly suspect: BackendState[];
+  readonly alive: LocalBackendState[];
+  readonly outlier: LocalBackendState[];
+  readonly suspect: LocalBackendState[];
   /** Includes those that are due for a trial opening. */
-  readonly ejected: BackendState[];
-  readonly lapsed: BackendState[];
+  readonly ejected: LocalBackendState[];
+  readonly lapsed: LocalBackendState[];
   /** The first that is due for a trial opening. */
-  trial: BackendState | undefined;
+  trial: LocalBackendState | undefined;
 }
 
 /** Sorts back ends into classes. */
@@ -66,14 +66,14 @@
   }
 
   /** The class of a back end that may get the flow; undefined for a departed one that is no last resort. */
-  classOf(state: BackendState, request: ClassificationRequest): CandidateClass | undefined {
+  classOf(state: LocalBackendState, request: ClassificationRequest): CandidateClass | undefined {
     const liveness = this.livenessOf(state, request);
     if (state.backend.departed)
       return this.isLastResort(state, liveness, request.nowMs) ? 'lapsed' : undefined;
     return liveness === 'alive' && request.isOutlier?.(state) ? 'outlier' : liveness;
   }
 
-  private livenessOf(state: BackendState, { nowMs, slowHandshakeMs }: ClassificationRequest): Liveness {
+  private livenessOf(state: LocalBackendState, { nowMs, slowHandshakeMs }: ClassificationRequest): Liveness {
     const liveness = state.liveness(nowMs);
     if (liveness === 'trial' && !this.isOn('trial-openings')) return 'alive';
     if (liveness !== 'alive' || !this.isOn('slow-answer-avoidance')) return liveness;
@@ -81,7 +81,7 @@
   }
 
   /** A record that may only have lapsed serves for `LAPSED_RECORD_MS` if packets since then show that its back end lives. */
-  private isLastResort(state: BackendState, liveness: Liveness, nowMs: number): boolean {
+  private isLastResort(state: LocalBackendState, liveness: Liveness, nowMs: number): boolean {
     const missedAtMs = state.backend.departedAtMs ?? 0;
     if (nowMs - missedAtMs >= LAPSED_RECORD_MS || !this.isOn('lapsed-records')) return false;
     return liveness === 'alive' && state.lastSignOfLifeMs > missedAtMs;
--- a/src/cookie-edge/placement/class-choice.ts
+++ b/src/cookie-edge/placement/class-choice.ts
@@ -8,7 +8,7 @@
  * caller's next attempt can succeed elsewhere; then panic mode; then the best class that is not empty. Panic mode also covers the
  * case that only ejected candidates are left. Lapsed records count neither for nor against the panic threshold.
  */
-import type { BackendState } from '../backend-health/index.js';
+import type { LocalBackendState } from '../backend-health/index.js';
 import type { Candidates } from './candidate-classes.js';
 import { MAX_EJECTED_SHARE } from './constants.js';
 
@@ -32,7 +32,7 @@
 export function candidatesUnder(
   rule: Exclude<PlacementRule, 'trial'>,
   { alive, outlier, suspect, ejected, lapsed }: Candidates,
-): readonly BackendState[] {
+): readonly LocalBackendState[] {
   switch (rule) {
     case 'ejected-majority':
       return [...alive, ...outlier, ...suspect, ...ejected];
--- a/src/cookie-edge/placement/cold-admission.test.ts
+++ b/src/cookie-edge/placement/cold-admission.test.ts
@@ -24,7 +24,7 @@
   test(`after a flow at ${lastMs ?? 'no time'}, one at ${nowMs} ms by ${isOwner ? 'an owner' : 'another'}, rate ${rate ?? 'none'}: ${expected}`, (t) => {
     const admission = new ColdAdmission({ overage: 2, slack: 10, isOwner: () => isOwner });
     const { backend } = stateOf('a', {}, { coldUntilMs: COLD_UNTIL_MS });
-    if (lastMs !== undefined) admission.note(backend, lastMs);
+    if (lastMs !== undefined) admission.recordPlacement(backend, lastMs);
     t.is(admission.admits(backend, rate, nowMs), expected);
     admission.forget(backend);
     t.is(admission.admits(backend, rate, nowMs), rate === undefined || nowMs >= COLD_UNTIL_MS || isOwner);
--- a/src/cookie-edge/placement/cold-admission.ts
+++ b/src/cookie-edge/placement/cold-admission.ts
@@ -42,7 +42,7 @@
   }
 
   /** Records that a new flow was sent to `backend`. */
-  note(backend: KnownBackend, nowMs: number): void {
+  recordPlacement(backend: KnownBackend, nowMs: number): void {
     if (nowMs < backend.coldUntilMs) this.admittedAtMs.set(backend, nowMs);
     else this.admittedAtMs.delete(backend);
   }
--- a/src/cookie-edge/placement/equal-candidates.ts
+++ b/src/cookie-edge/placement/equal-candidates.ts
@@ -9,13 +9,13 @@
  * say more than the balancer's own flows (`LOAD_MAX_OWN_SHARE`). A back end without a report counts as not busy.
  */
 import { combine32 } from '../../common/hash.js';
+import type { LocalBackendState } from '../backend-health/index.js';
 import type { LoadLevels } from '../load/index.js';
-import type { BackendState } from '../backend-health/index.js';
 import { LOAD_CHOICES, LOAD_MAX_OWN_SHARE } from './constants.js';
 
 /** A candidate with its rank in the order of the flow; the highest goes first. */
 interface RankedState {
-  readonly state: BackendState;
+  readonly state: LocalBackendState;
   readonly rank: number;
 }
 
@@ -24,7 +24,7 @@
 
 /** Number of equals to look at: more than one only while load reports are known and own flows are few. */
 export function countEqualsToWeigh(
-  states: readonly BackendState[],
+  states: readonly LocalBackendState[],
   reports: LoadLevels | undefined,
   nowMs: number,
 ): number {
@@ -35,10 +35,10 @@
 
 /** The candidates with the least load that rank highest for a flow, at most `count`, in descending order. */
 export function findLeastLoaded(
-  states: readonly BackendState[],
+  states: readonly LocalBackendState[],
   flowHash: number,
   count: number,
-  loadOf: (state: BackendState) => number,
+  loadOf: (state: LocalBackendState) => number,
 ): readonly RankedState[] {
   let leastLoaded: RankedState[] = [];
   let leastLoad = Number.POSITIVE_INFINITY;
--- a/src/cookie-edge/placement/load-balance.test.ts
+++ b/src/cookie-edge/placement/load-balance.test.ts
@@ -3,16 +3,16 @@
  * three or four flows; back ends' load is measured and reported as the daemons do it.
  */
 import test from 'ava';
-import { seededRandom, type RandomSource } from '../../common/random.js';
 import { VirtualClock } from '../../common/clock.js';
+import { seededRandom, type RandomSource } from '../../common/random.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
+import { LocalBackendState } from '../backend-health/local-backend-state.js';
+import { placementRequest } from '../forwarding/cookie-test-support.js';
 import { CallRates } from '../load/call-rates.js';
 import { LOAD_READ_INTERVAL_MS, VALID_READINGS } from '../load/constants.js';
 import { LoadView } from '../load/index.js';
-import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { BackendRegistry, type KnownBackend } from '../routing/index.js';
 import { backendAt } from '../routing/routing-test-support.js';
-import { BackendState } from '../backend-health/backend-state.js';
-import { placementRequest } from '../forwarding/cookie-test-support.js';
 import { OpeningPlacement } from './opening-placement.js';
 
 const BALANCERS = 195;
@@ -27,11 +27,11 @@
 
 interface Balancer {
   readonly placement: OpeningPlacement;
-  readonly states: ReadonlyMap<KnownBackend, BackendState>;
+  readonly states: ReadonlyMap<KnownBackend, LocalBackendState>;
 }
 
 interface Caller {
-  state: BackendState | undefined;
+  state: LocalBackendState | undefined;
   opensAtMs: number;
 }
 
@@ -58,7 +58,7 @@
 function balancersOf(backends: readonly KnownBackend[], loads: LoadView): Balancer[] {
   return Array.from({ length: BALANCERS }, () => ({
     placement: new OpeningPlacement({ zone: 'north', zoneMargin: 0, zoneLoadFactor: 1, loads }),
-    states: new Map(backends.map((backend) => [backend, new BackendState(backend)])),
+    states: new Map(backends.map((backend) => [backend, new LocalBackendState(backend)])),
   }));
 }
 
@@ -87,19 +87,19 @@
       calls.set(id, (calls.get(id) ?? 0) + 1);
     }
     if (!day.reports || nowMs % LOAD_READ_INTERVAL_MS !== 0 || nowMs > (day.lostAfterMs ?? DAY_MS)) continue;
-    rates.note(
+    rates.record(
       backends.map(({ id }) => ({ id, service: 'alpha', capacity: 2, calls: calls.get(id) ?? 0 })),
       nowMs,
     );
     const validMs = LOAD_READ_INTERVAL_MS * VALID_READINGS;
-    loads.accept({ page: 0, measuredAtMs: nowMs + TELL_MS, validMs, busy: rates.busy() });
+    loads.applyReport({ page: 0, measuredAtMs: nowMs + TELL_MS, validMs, busy: rates.busy() });
   }
   const counts = [...calls.values()];
   return Math.max(...counts) / (counts.reduce((sum, count) => sum + count, 0) / BACKENDS);
 }
 
 function openAnew(caller: Caller, nowMs: number, balancers: readonly Balancer[], random: RandomSource): void {
-  if (caller.state) caller.state.noteClosed(nowMs);
+  if (caller.state) caller.state.recordClosed(nowMs);
   const { placement, states } = balancers[Math.floor(random() * BALANCERS)] as Balancer;
   const flow = Math.floor(random() * 2 ** 32);
   const choice = placement.choose({ ...placementRequest(states, flow), nowMs });
--- a/src/cookie-edge/placement/new-flow-rule.test.ts
+++ b/src/cookie-edge/placement/new-flow-rule.test.ts
@@ -1,8 +1,8 @@
 /** Each outcome for the first SYN of a flow. */
 import test from 'ava';
-import { BackendStates } from '../backend-health/backend-states.js';
-import { ForwarderHarness } from '../forwarding/cookie-test-support.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
+import { LocalBackendStates } from '../backend-health/local-backend-states.js';
+import { ForwarderHarness } from '../forwarding/cookie-test-support.js';
 import { backendAt, SERVICE_ADDRESS, SERVICE_PORT } from '../routing/routing-test-support.js';
 import {
   BackendEligibility,
@@ -23,7 +23,7 @@
 
 function ruleFor(harness: ForwarderHarness) {
   const { knowledge } = harness;
-  const states = new BackendStates(SILENT_EVENT_LOG, () => undefined);
+  const states = new LocalBackendStates(SILENT_EVENT_LOG, () => undefined);
   const coldAdmission = new ColdAdmission({ overage: 2, slack: 10, isOwner: () => true });
   const rule = new NewFlowRule({
     knowledge,
@@ -81,6 +81,6 @@
   const trial = rule.chooseAgain(FLOW, NOW_MS)!;
   t.is(trial.rule, 'trial');
   t.is(rule.chooseAgain(FLOW, NOW_MS)?.rule, 'trial');
-  rule.notePlacement(trial, NOW_MS);
+  rule.recordPlacement(trial, NOW_MS);
   t.is(rule.chooseAgain(FLOW, NOW_MS)?.rule, 'least-flows');
 });
--- a/src/cookie-edge/placement/new-flow-rule.ts
+++ b/src/cookie-edge/placement/new-flow-rule.ts
@@ -10,7 +10,7 @@
  */
 import { combine32 } from '../../common/hash.js';
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
-import type { BackendState } from '../backend-health/index.js';
+import type { LocalBackendState } from '../backend-health/index.js';
 import type { Route, RoutingKnowledge } from '../routing/index.js';
 import type { BackendEligibility } from './backend-eligibility.js';
 import type { ColdAdmission } from './cold-admission.js';
@@ -38,7 +38,7 @@
   readonly coldAdmission: ColdAdmission;
   readonly placement: OpeningPlacement;
   /** True for an outlier that may not get the flow with this hash. */
-  readonly isOutlier: (state: BackendState, flowHash: number, nowMs: number) => boolean;
+  readonly isOutlier: (state: LocalBackendState, flowHash: number, nowMs: number) => boolean;
   /** A back end with a handshake pending longer than this, in ms, is suspect. */
   readonly slowHandshakeMs: () => number;
 }
@@ -50,7 +50,7 @@
 export class NewFlowRule {
   constructor(private readonly options: NewFlowRuleOptions) {}
 
-  /** What becomes of the first SYN of a flow. A placement counts only after `notePlacement`. */
+  /** What becomes of the first SYN of a flow. A placement counts only after `recordPlacement`. */
   decide(flow: FlowAddresses, nowMs: number): NewFlowOutcome {
     const { knowledge } = this.options;
     const routes = knowledge.routes();
@@ -68,9 +68,9 @@
   }
 
   /** Records a choice, also one that leads back to the first back end: a trial opening and a cold flow count once. */
-  notePlacement({ rule, state }: Placement, nowMs: number): void {
-    if (rule === 'trial') state.noteTrial(nowMs);
-    this.options.coldAdmission.note(state.backend, nowMs);
+  recordPlacement({ rule, state }: Placement, nowMs: number): void {
+    if (rule === 'trial') state.recordTrial(nowMs);
+    this.options.coldAdmission.recordPlacement(state.backend, nowMs);
   }
 
   private choose(flow: FlowAddresses, route: Route, nowMs: number): Placement | undefined {
--- a/src/cookie-edge/placement/opening-placement.ts
+++ b/src/cookie-edge/placement/opening-placement.ts
@@ -4,8 +4,8 @@
  * (`equal-candidates.ts`). Owns no state; does no input or output. The caller carries out and logs the choice.
  */
 import { ALL_MECHANISMS_ON } from '../../common/mechanisms.js';
+import type { LocalBackendState } from '../backend-health/index.js';
 import type { LoadLevels } from '../load/index.js';
-import type { BackendState } from '../backend-health/index.js';
 import { loadWithNewFlow, type LoadWeights } from './backend-load.js';
 import { CandidateClassifier, type ClassificationRequest } from './candidate-classes.js';
 import { candidatesUnder, choosePlacementRule, type PlacementRule } from './class-choice.js';
@@ -19,7 +19,7 @@
 
 /** A choice with what led to it. */
 export interface Placement {
-  readonly state: BackendState;
+  readonly state: LocalBackendState;
   readonly rule: PlacementRule;
   /** Back ends that were weighed against each other. */
   readonly candidates: number;
@@ -56,7 +56,7 @@
   }
 
   private chooseAmong(
-    states: readonly BackendState[],
+    states: readonly LocalBackendState[],
     rule: PlacementRule,
     { flowHash, nowMs }: PlacementRequest,
   ): Placement | undefined {
--- a/src/cookie-edge/placement/placement-test-support.ts
+++ b/src/cookie-edge/placement/placement-test-support.ts
@@ -1,5 +1,5 @@
 /** States of back ends for tests of the rules of placement. */
-import { BackendState } from '../backend-health/backend-state.js';
+import { LocalBackendState } from '../backend-health/local-backend-state.js';
 import type { KnownBackend, RoutedBackend } from '../routing/index.js';
 import { backendAt } from '../routing/routing-test-support.js';
 
@@ -8,8 +8,8 @@
   id: string,
   record: Partial<RoutedBackend> = {},
   known: Partial<KnownBackend> = {},
-): BackendState {
-  return new BackendState({
+): LocalBackendState {
+  return new LocalBackendState({
     id,
     record: backendAt(id, 1, record),
     departed: false,
@@ -22,8 +22,8 @@
 }
 
 /** Ejects a back end at 100 ms; a trial opening is due from 1,100 ms. */
-export function eject(state: BackendState): void {
-  state.noteFailure(50, 10);
-  state.noteFailure(100, 10);
+export function eject(state: LocalBackendState): void {
+  state.recordFailure(50, 10);
+  state.recordFailure(100, 10);
   state.tryEject(100, 60);
 }
--- a/src/cookie-edge/placement/replayed-load.ts
+++ b/src/cookie-edge/placement/replayed-load.ts
@@ -6,8 +6,8 @@
 import { VirtualClock } from '../../common/clock.js';
 import type { Mechanism } from '../../common/mechanisms.js';
 import { seededRandom, type RandomSource } from '../../common/random.js';
-import { backendAt } from '../routing/routing-test-support.js';
 import { ForwarderHarness } from '../forwarding/cookie-test-support.js';
+import { backendAt } from '../routing/routing-test-support.js';
 
 /** What a replay is about. */
 export interface ReplayedDay {
--- a/src/cookie-edge/routing/backend-registry.ts
+++ b/src/cookie-edge/routing/backend-registry.ts
@@ -4,8 +4,8 @@
  * flow to it can be open. Owns the `KnownBackend` objects, one an id; relies on `RoutingKnowledge` to detect gaps.
  */
 import type { Clock } from '../../common/clock.js';
-import type { EventLog } from '../../observability/event.js';
 import { formatEndpoint } from '../../common/types.js';
+import type { EventLog } from '../../observability/event.js';
 import { ROUTING_EVENTS } from './events.js';
 import { hasLapsed } from './lapsed-records.js';
 import type { BackendRemoval, DepartedBackend, RoutedBackend } from './types.js';
--- a/src/cookie-edge/routing/constants.ts
+++ b/src/cookie-edge/routing/constants.ts
@@ -28,7 +28,7 @@
 export const RETRY_MAX_DOUBLINGS = 10;
 
 /** Largest part of a delay that jitter adds or takes off. Not measured; chosen because daemons that fail together must not retry together. */
-export const RETRY_JITTER = 0.5;
+export const RETRY_DELAY_JITTER = 0.5;
 
 /** Calls that fail for this long are an outage of the source. Not measured, and no reason is recorded. */
 export const OUTAGE_AFTER_MS = 1_000;
--- a/src/cookie-edge/routing/index.ts
+++ b/src/cookie-edge/routing/index.ts
@@ -4,9 +4,9 @@
  * ```ts
  * const knowledge = new RoutingKnowledge({ clock, events, retentionMs: 60_000 });
  * const timings = freshnessTimings(3_000);
- * const circuit = new SourceCircuit(clock, random, events);
+ * const availability = new SourceAvailability(clock, random, events);
  * const problems = new ProblemLog(events);
- * void new SourceFollower('routes', { clock, source, knowledge, circuit, timings, problems }).run(signal);
+ * void new SourceFollower('routes', { clock, source, knowledge, availability, timings, problems }).run(signal);
  * ```
  */
 export type * from './types.js';
@@ -18,6 +18,6 @@
 export { ProblemLog } from './problem-log.js';
 export { addressKey, RouteIndex, splitAddressKey } from './route-index.js';
 export { isNextChange, joinTableChanges } from './route-table-change.js';
-export { SourceCircuit } from './source-circuit.js';
-export { SourceFollower } from './source-follower.js';
+export { SourceAvailability } from './source-availability.js';
+export { SourceFollower, type SourceFollowerOptions } from './source-follower.js';
 export { ZoneCordons } from './zone-cordons.js';
--- a/src/cookie-edge/routing/knowledge.test.ts
+++ b/src/cookie-edge/routing/knowledge.test.ts
@@ -130,14 +130,12 @@
   clock.advance(10_000);
   knowledge.apply('backends', list(3, backendAt('a', 3)), origin(-1, 1_000));
   t.is(knowledge.ageOf('backends'), 9_000);
-  t.false(
-    knowledge.acceptConfirmation('backends', { revision: 8, changedRevision: 5, confirmedAtMs: 9_000 }),
-  );
+  t.false(knowledge.applyConfirmation('backends', { revision: 8, changedRevision: 5, confirmedAtMs: 9_000 }));
   t.is(knowledge.ageOf('backends'), 9_000);
-  t.true(knowledge.acceptConfirmation('backends', { revision: 8, changedRevision: 3, confirmedAtMs: 9_000 }));
+  t.true(knowledge.applyConfirmation('backends', { revision: 8, changedRevision: 3, confirmedAtMs: 9_000 }));
   t.is(knowledge.ageOf('backends'), 1_000);
   t.is(knowledge.revisionOf('backends'), 8);
-  t.true(knowledge.acceptConfirmation('backends', { revision: 4, changedRevision: 3, confirmedAtMs: 9_900 }));
+  t.true(knowledge.applyConfirmation('backends', { revision: 4, changedRevision: 3, confirmedAtMs: 9_900 }));
   t.is(knowledge.ageOf('backends'), 1_000, 'an older revision confirms nothing');
 });
 
@@ -179,7 +177,7 @@
   const passedOn: { readonly update: RoutingUpdate; readonly since: number }[] = [];
   first.subscribe((applied) => passedOn.push(applied));
   first.apply('routes', updateAt(3, { complete: true, routes: [tableAt(3)] }), origin(-1));
-  first.acceptConfirmation('routes', { revision: 8, changedRevision: 3, confirmedAtMs: 0 });
+  first.applyConfirmation('routes', { revision: 8, changedRevision: 3, confirmedAtMs: 0 });
   first.apply('routes', updateAt(9, { routes: [tableAt(9, { routes: [] })] }), origin(8));
   const { update, since } = passedOn[1]!;
   t.deepEqual(update.routes, []);
--- a/src/cookie-edge/routing/knowledge.ts
+++ b/src/cookie-edge/routing/knowledge.ts
@@ -147,7 +147,7 @@
   }
 
   /** Applies another daemon's freshness confirmation; returns false when it covers changes that are not known here. */
-  acceptConfirmation(topic: RoutingTopic, confirmation: TopicConfirmation): boolean {
+  applyConfirmation(topic: RoutingTopic, confirmation: TopicConfirmation): boolean {
     const { revision, changedRevision } = this.progress[topic];
     if (confirmation.changedRevision > revision) return false;
     this.advance(topic, {
--- a/src/cookie-edge/routing/problem-log.ts
+++ b/src/cookie-edge/routing/problem-log.ts
@@ -19,7 +19,7 @@
   }
 
   /** Logs the problems of a response about `topic` that were not logged yet. */
-  note(topic: RoutingTopic, problems: readonly RecordProblem[] = []): void {
+  record(topic: RoutingTopic, problems: readonly RecordProblem[] = []): void {
     for (const { name, revision, problem } of problems) {
       const key = `${topic}/${name}@${revision}: ${problem}`;
       if (this.logged.has(key)) continue;
--- a/src/cookie-edge/routing/source-circuit.ts
+++ b/src/cookie-edge/routing/source-availability.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '../../common/clock.js';
 import { jitter, type RandomSource } from '../../common/random.js';
 import type { EventLog } from '../../observability/event.js';
-import { RETRY_JITTER } from './constants.js';
+import { RETRY_DELAY_JITTER } from './constants.js';
 import type { RoutingSourceError } from './errors.js';
 import { ROUTING_EVENTS } from './events.js';
 import { recordsMayLapse } from './lapsed-records.js';
@@ -13,8 +13,8 @@
 import type { RoutingTopic } from './types.js';
 
 /** The outage state of the source. Times are monotonic ms. */
-export class SourceCircuit {
-  private lastAnswerMs: number;
+export class SourceAvailability {
+  private lastResponseMs: number;
   private failedCalls = 0;
   private lost = false;
   private regainedAtMs = Number.NEGATIVE_INFINITY;
@@ -25,11 +25,11 @@
     private readonly random: RandomSource,
     private readonly events: EventLog,
   ) {
-    this.lastAnswerMs = clock.now();
+    this.lastResponseMs = clock.now();
   }
 
   /** Sets the source of the shortest delay after a failed call, in ms without jitter; it is asked at each failure. */
-  retryNoSoonerThan(minimumRetryDelayMs: () => number): void {
+  setMinimumRetryDelay(minimumRetryDelayMs: () => number): void {
     this.minimumRetryDelayMs = minimumRetryDelayMs;
   }
 
@@ -44,33 +44,33 @@
   }
 
   /** Call when this daemon begins to read the source: silence counts from now. */
-  begin(): void {
-    this.lastAnswerMs = this.clock.now();
+  beginReading(): void {
+    this.lastResponseMs = this.clock.now();
     this.failedCalls = 0;
   }
 
   /** Call when this daemon stops reading the source: only readers can see whether an outage goes on. */
-  end(): void {
+  endReading(): void {
     if (this.lost) this.regainedAtMs = this.clock.now();
     this.lost = false;
   }
 
   /** Records a response, which ends an outage. */
-  noteAnswer(): void {
+  recordResponse(): void {
     const nowMs = this.clock.now();
     if (this.lost) {
       this.regainedAtMs = nowMs;
-      const silentMs = Math.round(nowMs - this.lastAnswerMs);
+      const silentMs = Math.round(nowMs - this.lastResponseMs);
       this.events.emit(ROUTING_EVENTS.sourceRegained, { silentMs });
     }
     this.lost = false;
     this.failedCalls = 0;
-    this.lastAnswerMs = nowMs;
+    this.lastResponseMs = nowMs;
   }
 
   /** Records and logs a failed call; returns the jittered delay before the next one, in ms. */
-  noteFailure(topic: RoutingTopic, error: RoutingSourceError): number {
-    const silentMs = Math.round(this.clock.now() - this.lastAnswerMs);
+  recordFailure(topic: RoutingTopic, error: RoutingSourceError): number {
+    const silentMs = Math.round(this.clock.now() - this.lastResponseMs);
     this.failedCalls += 1;
     this.events.emit(ROUTING_EVENTS.sourceCallFailed, {
       topic,
@@ -83,6 +83,6 @@
       this.events.emit(ROUTING_EVENTS.sourceLost, { silentMs, kind: error.kind });
     }
     const delayMs = retryDelayMs(this.failedCalls, this.minimumRetryDelayMs());
-    return jitter(delayMs, RETRY_JITTER, this.random);
+    return jitter(delayMs, RETRY_DELAY_JITTER, this.random);
   }
 }
--- a/src/cookie-edge/routing/source-follower.test.ts
+++ b/src/cookie-edge/routing/source-follower.test.ts
@@ -8,7 +8,7 @@
 import { RoutingKnowledge } from './knowledge.js';
 import { ProblemLog } from './problem-log.js';
 import { backendAt, ScriptedSource, updateAt, type SourceCall } from './routing-test-support.js';
-import { SourceCircuit } from './source-circuit.js';
+import { SourceAvailability } from './source-availability.js';
 import { SourceFollower } from './source-follower.js';
 import type { RoutingUpdate } from './types.js';
 
@@ -21,12 +21,12 @@
   const clock = new VirtualClock();
   const source = new ScriptedSource((call) => script(call, clock));
   const knowledge = new RoutingKnowledge({ clock, events: SILENT_EVENT_LOG, retentionMs: 60_000 });
-  const circuit = new SourceCircuit(clock, seededRandom(1), SILENT_EVENT_LOG);
+  const availability = new SourceAvailability(clock, seededRandom(1), SILENT_EVENT_LOG);
   const abort = new AbortController();
   const problems = new ProblemLog(SILENT_EVENT_LOG);
-  const options = { clock, source, knowledge, circuit, timings: TIMINGS, problems };
+  const options = { clock, source, knowledge, availability, timings: TIMINGS, problems };
   void new SourceFollower('backends', options).run(abort.signal);
-  return { clock, source, knowledge, circuit, problems, stop: () => abort.abort() };
+  return { clock, source, knowledge, availability, problems, stop: () => abort.abort() };
 }
 
 function after<T>(clock: VirtualClock, delayMs: number, value: T): Promise<T> {
@@ -136,14 +136,14 @@
 
 for (const kind of FAILURES) {
   test(`what is known stays after ${kind}, and calls are repeated with growing waits`, async (t) => {
-    const { clock, source, knowledge, circuit, stop } = follow((call, virtual) =>
+    const { clock, source, knowledge, availability, stop } = follow((call, virtual) =>
       call.kind === 'read' ? after<Answer>(virtual, 4, LIST) : after<Answer>(virtual, 4, kind),
     );
     await clock.advanceAsync(10_000, 5);
     t.truthy(knowledge.backends.get('a'));
     t.false(knowledge.backends.get('a')?.departed);
-    t.true(circuit.isLost);
-    t.true(circuit.recordsMayLapse());
+    t.true(availability.isLost);
+    t.true(availability.recordsMayLapse());
     const watches = source.calls.length - 1;
     t.true(watches >= 10_000 / (RETRY_MAX_MS * 1.5 + 10), `${watches} calls`);
     t.true(watches <= 30, `${watches} calls`);
--- a/src/cookie-edge/routing/source-follower.ts
+++ b/src/cookie-edge/routing/source-follower.ts
@@ -1,6 +1,6 @@
 /**
  * The task in which a reader follows one topic of the source: reads it once, which may return a state some seconds old, then watches for
- * changes, and reads it again after a gap. Owns the call under way. Relies on `SourceCircuit` for retries, on `watch-wait.ts` for the
+ * changes, and reads it again after a gap. Owns the call under way. Relies on `SourceAvailability` for retries, on `watch-wait.ts` for the
  * length of a watch, and on `RoutingKnowledge` to apply what comes.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
@@ -10,7 +10,7 @@
 import type { FreshnessTimings } from './freshness.js';
 import { hasContent, type RoutingKnowledge } from './knowledge.js';
 import type { ProblemLog } from './problem-log.js';
-import type { SourceCircuit } from './source-circuit.js';
+import type { SourceAvailability } from './source-availability.js';
 import type { ReadFreshness, RoutingSource, RoutingTopic, RoutingUpdate } from './types.js';
 import { isUnconfirmed, mayWatchLong, watchWaitMs, type WatchRequest } from './watch-wait.js';
 
@@ -19,7 +19,7 @@
   readonly clock: Clock;
   readonly source: RoutingSource;
   readonly knowledge: RoutingKnowledge;
-  readonly circuit: SourceCircuit;
+  readonly availability: SourceAvailability;
   readonly timings: FreshnessTimings;
   readonly problems: ProblemLog;
   /** False: every topic is watched as often as the one that changes most. True unless given. */
@@ -181,10 +181,10 @@
   }
 
   private apply(update: RoutingUpdate, since: number, confirmedAtMs: number): boolean {
-    const { circuit, knowledge, problems } = this.options;
-    problems.note(this.topic, update.problems);
-    const mayHaveLapsed = circuit.recordsMayLapse();
-    circuit.noteAnswer();
+    const { availability, knowledge, problems } = this.options;
+    problems.record(this.topic, update.problems);
+    const mayHaveLapsed = availability.recordsMayLapse();
+    availability.recordResponse();
     const complete = knowledge.apply(this.topic, update, { since, confirmedAtMs, mayHaveLapsed });
     if (Number.isFinite(confirmedAtMs)) this.options.onConfirmation?.();
     return complete;
@@ -192,7 +192,7 @@
 
   private async waitAfter(error: RoutingSourceError, signal: AbortSignal): Promise<void> {
     if (signal.aborted || error.kind === 'routing.cancelled') return;
-    const waitMs = this.options.circuit.noteFailure(this.topic, error);
+    const waitMs = this.options.availability.recordFailure(this.topic, error);
     await pause(this.options.clock, waitMs, signal);
   }
 }
--- a/src/cookie-edge/spreading/bad-answers.test.ts
+++ b/src/cookie-edge/spreading/bad-answers.test.ts
@@ -1,5 +1,6 @@
 /** How bad answers reach the fleet, and what that costs at the most. */
 import test from 'ava';
+import { BadAnswerOutbox } from './bad-answer-outbox.js';
 import {
   MAX_DATAGRAM_BYTES,
   BAD_ANSWER_GATHER_MS,
@@ -7,7 +8,6 @@
   BAD_ANSWER_GOSSIP_MS,
 } from './constants.js';
 import { encodePeerMessage, decodePeerMessage } from './message-codec.js';
-import { BadAnswerOutbox } from './bad-answer-outbox.js';
 import { settled, type SpreadingCluster } from './spreading-test-support.js';
 import type { PeerMessage } from './types.js';
 
--- a/src/cookie-edge/spreading/index.ts
+++ b/src/cookie-edge/spreading/index.ts
@@ -4,7 +4,7 @@
  *
  * ```ts
  * const transport = await NetworkTransport.open(control, events);
- * const spreader = new Spreader({ selfId, zone, seeds, transport, knowledge, clock, random, events, setReading, mayBeOld });
+ * const spreader = new Spreader({ selfId, zone, seeds, transport, knowledge, clock, random, events, setReading, mayHaveWaited });
  * spreader.start(signal);
  * ```
  */
--- a/src/cookie-edge/spreading/message-channel.ts
+++ b/src/cookie-edge/spreading/message-channel.ts
@@ -13,7 +13,7 @@
   readonly clock: Clock;
   readonly events: EventLog;
   /** Called with each datagram that arrives, before it is decoded. */
-  readonly noteArrival: () => void;
+  readonly recordArrival: () => void;
 }
 
 /** Counters since start. */
@@ -73,7 +73,7 @@
   }
 
   private decode(bytes: Uint8Array, from: Endpoint, nowMs: number): PeerMessage | undefined {
-    this.options.noteArrival();
+    this.options.recordArrival();
     this.counts.messagesReceived += 1;
     this.counts.bytesReceived += bytes.length;
     const message = decodePeerMessage(bytes, nowMs);
--- a/src/cookie-edge/spreading/message-codec.test.ts
+++ b/src/cookie-edge/spreading/message-codec.test.ts
@@ -2,9 +2,9 @@
  * What a message says arrives as it was said: regions of routes, rates of cold back ends, cordons and their removals.
  */
 import test from 'ava';
-import { tableAt, updateAt } from '../routing/routing-test-support.js';
 import type { RouteTable, RoutingUpdate } from '../routing/index.js';
 import { applyTableChange, compareTables } from '../routing/route-table-change.js';
+import { tableAt, updateAt } from '../routing/routing-test-support.js';
 import { decodePeerMessage, encodePeerMessage } from './message-codec.js';
 import type { PeerMessage, SpreadUpdate } from './types.js';
 
--- a/src/cookie-edge/spreading/message-composer.ts
+++ b/src/cookie-edge/spreading/message-composer.ts
@@ -5,11 +5,11 @@
 import type { Clock } from '../../common/clock.js';
 import type { LoadReport } from '../load/index.js';
 import type { RoutingKnowledge, RoutingTopic, TopicConfirmation } from '../routing/index.js';
+import { BadAnswerOutbox } from './bad-answer-outbox.js';
 import { LOADS_PER_MESSAGE, NOTHING_KNOWN, PEERS_PER_MESSAGE, READERS_PER_MESSAGE } from './constants.js';
 import type { PeerView } from './peer-view.js';
 import type { ReaderRole } from './reader-role.js';
 import type { RecentEjections } from './recent-ejections.js';
-import { BadAnswerOutbox } from './bad-answer-outbox.js';
 import type { KnownRevisions, PeerMessage, SpreadUpdate } from './types.js';
 import { completeUpdate, type UpdateLog } from './update-log.js';
 
--- a/src/cookie-edge/spreading/peer-view.test.ts
+++ b/src/cookie-edge/spreading/peer-view.test.ts
@@ -2,7 +2,6 @@
 import test from 'ava';
 import { seededRandom } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
-import { readBackoffMs } from './source-read-pacing.js';
 import {
   READS_PER_SECOND,
   MAX_PEERS,
@@ -11,6 +10,7 @@
   SIZE_SAMPLE_FORGET_MS,
 } from './constants.js';
 import { PeerView } from './peer-view.js';
+import { readBackoffMs } from './source-read-pacing.js';
 
 const SILENT_EVENTS = { emit: () => undefined };
 const PORT = 7_500;
--- a/src/cookie-edge/spreading/simulated-source.ts
+++ b/src/cookie-edge/spreading/simulated-source.ts
@@ -15,7 +15,7 @@
 } from '../routing/index.js';
 import { backendAt, tableAt, updateAt } from '../routing/routing-test-support.js';
 
-const ANSWER_MS = 4;
+const RESPONSE_MS = 4;
 const CALL_TIMEOUT_MS = 1_000;
 
 /** How the source treats a daemon. */
@@ -54,34 +54,34 @@
   changeRoutes(content: Partial<RouteTable> = {}): number {
     this.revision += 1;
     this.table = tableAt(this.revision, content);
-    return this.note({ revision: this.revision, topic: 'routes' });
+    return this.recordChange({ revision: this.revision, topic: 'routes' });
   }
 
   changeBackend(id: string, change: Partial<RoutedBackend> = {}): number {
     this.revision += 1;
     const backend = backendAt(id, this.revision, change);
     this.backends.set(id, backend);
-    return this.note({ revision: this.revision, topic: 'backends', backend });
+    return this.recordChange({ revision: this.revision, topic: 'backends', backend });
   }
 
   removeBackend(id: string): number {
     this.revision += 1;
     this.backends.delete(id);
-    return this.note({ revision: this.revision, topic: 'backends', removed: id });
+    return this.recordChange({ revision: this.revision, topic: 'backends', removed: id });
   }
 
   /** Cordons a zone. */
   cordon(zone: string): number {
     this.revision += 1;
     this.cordons.set(zone, this.revision);
-    return this.note({ revision: this.revision, topic: 'cordons', cordoned: zone });
+    return this.recordChange({ revision: this.revision, topic: 'cordons', cordoned: zone });
   }
 
   /** Takes a cordon back. */
   uncordon(zone: string): number {
     this.revision += 1;
     this.cordons.delete(zone);
-    return this.note({ revision: this.revision, topic: 'cordons', uncordoned: zone });
+    return this.recordChange({ revision: this.revision, topic: 'cordons', uncordoned: zone });
   }
 
   /** Forgets every change so far; watches that ask for them are told so. */
@@ -99,7 +99,7 @@
     };
   }
 
-  private note(change: LoggedChange): number {
+  private recordChange(change: LoggedChange): number {
     this.changes.push(change);
     for (const wake of [...this.waiters]) wake();
     return change.revision;
@@ -108,15 +108,15 @@
   private async call(
     id: string,
     signal: AbortSignal,
-    answer: () => Promise<RoutingUpdate | undefined>,
+    respond: () => Promise<RoutingUpdate | undefined>,
   ): Promise<Result<RoutingUpdate, RoutingSourceError>> {
     this.calls += 1;
-    await this.sleep(ANSWER_MS, signal);
+    await this.sleep(RESPONSE_MS, signal);
     const fault = this.faultOf(id);
     if (fault === 'refuse') return failure('routing.unavailable');
     if (fault === 'throttle') return failure('routing.throttled');
     if (fault !== 'silent') {
-      const update = await answer();
+      const update = await respond();
       const faultNow = this.faultOf(id);
       if (faultNow !== 'silent') return update ? Result.ok(update) : failure('routing.history-gone');
     }
--- a/src/cookie-edge/spreading/source-read-pacing.test.ts
+++ b/src/cookie-edge/spreading/source-read-pacing.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import { readDelayMs, readBackoffMs } from './source-read-pacing.js';
 import { READS_PER_SECOND, FIRST_READS } from './constants.js';
+import { readDelayMs, readBackoffMs } from './source-read-pacing.js';
 
 const SPREAD_MS = 500;
 
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -8,24 +8,24 @@
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import { jitter, pick, type RandomSource } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
+import type { EventLog } from '../../observability/event.js';
 import type { LoadReport } from '../load/index.js';
 import type { BadAnswerReport } from '../outliers/index.js';
-import type { EventLog } from '../../observability/event.js';
 import type { FreshnessTimings, RoutingKnowledge } from '../routing/index.js';
-import { minimumRetryDelayMs } from './source-read-pacing.js';
 import { CatchUp } from './catch-up.js';
 import { GREETING_JITTER, GREETING_MAX_MS, GREETING_MIN_MS, PULL_FANOUT, TICK_MS } from './constants.js';
 import { SPREADING_EVENTS } from './events.js';
 import { isConfirmationStep } from './gossip-rule.js';
 import { MessageChannel, type MessageCounts } from './message-channel.js';
 import { MessageComposer } from './message-composer.js';
-import { UpdateSender } from './update-sender.js';
 import { PeerView } from './peer-view.js';
 import { isPullDue } from './pull-rule.js';
 import { ReaderRole, type RoleReason } from './reader-role.js';
 import { RecentEjections } from './recent-ejections.js';
+import { minimumRetryDelayMs } from './source-read-pacing.js';
 import type { EjectionReport, PeerMessage, PeerTransport } from './types.js';
 import { UpdateLog } from './update-log.js';
+import { UpdateSender } from './update-sender.js';
 
 /** Collaborators of a spreader. */
 interface SpreaderOptions {
@@ -42,9 +42,9 @@
   /** Starts or stops reading the source. */
   readonly setReading: (reading: boolean) => void;
   /** Called with each datagram that arrives. */
-  readonly noteArrival: () => void;
+  readonly recordArrival: () => void;
   /** True while what arrives may have waited through a pause of this process, so that its age is unknown. */
-  readonly mayBeOld: () => boolean;
+  readonly mayHaveWaited: () => boolean;
   /** True while records may vanish because their owners cannot write. */
   readonly recordsMayLapse: () => boolean;
   /** Mechanisms that are on; all unless given. */
@@ -76,8 +76,8 @@
   private overdue = false;
 
   constructor(private readonly options: SpreaderOptions) {
-    const { selfId, zone, transport, random, events, knowledge, timings, clock, noteArrival } = options;
-    const channel = (this.channel = new MessageChannel({ transport, clock, events, noteArrival }));
+    const { selfId, zone, transport, random, events, knowledge, timings, clock, recordArrival } = options;
+    const channel = (this.channel = new MessageChannel({ transport, clock, events, recordArrival }));
     const isOn = (this.isOn = options.isOn ?? ALL_MECHANISMS_ON);
     const log = new UpdateLog(isOn);
     const peers = (this.peers = new PeerView({ self: transport.endpoint, zone, random, events }));
@@ -184,7 +184,7 @@
   }
 
   /** Call after each response of the source: gossips the confirmation. */
-  noteOwnConfirmation(): void {
+  recordOwnConfirmation(): void {
     this.composer.recordOwnConfirmation();
     this.sender.pushSoon();
   }
@@ -229,20 +229,20 @@
   /** Applies a message; pulls from the sender what is missing. */
   private apply(message: PeerMessage, from: Endpoint): void {
     const { knowledge } = this.options;
-    const mayBeOld = this.options.mayBeOld();
+    const mayHaveWaited = this.options.mayHaveWaited();
     const mayHaveLapsed = this.options.recordsMayLapse();
     const ageBeforeMs = knowledge.age();
     for (const { topic, since, update } of message.updates) {
       knowledge.apply(topic, update, { since, confirmedAtMs: Number.NEGATIVE_INFINITY, mayHaveLapsed });
     }
-    if (mayBeOld) return;
+    if (mayHaveWaited) return;
     message.readers.forEach((reader) => this.role.record(reader));
     message.loads.forEach((report) => this.gossipLoad(report));
     message.suspicions.forEach((report) => this.applyEjectionReport(report));
     message.badAnswers.forEach((report) => this.applyBadAnswerReport(report));
     const missing = knowledge.topics.filter((topic) => {
       const confirmation = message.confirmations[topic];
-      return confirmation !== undefined && !knowledge.acceptConfirmation(topic, confirmation);
+      return confirmation !== undefined && !knowledge.applyConfirmation(topic, confirmation);
     });
     if (message.departedCount > 0) this.catchUp.learnDeparted(from);
     if (missing.length > 0) return this.catchUp.requestMissing(missing, message, from);
--- a/src/cookie-edge/spreading/spreading-test-support.ts
+++ b/src/cookie-edge/spreading/spreading-test-support.ts
@@ -2,14 +2,14 @@
 import { VirtualClock } from '../../common/clock.js';
 import { seededRandom } from '../../common/random.js';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { LoadView } from '../load/index.js';
 import type { BadAnswerReport } from '../outliers/index.js';
-import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import {
   freshnessTimings,
   ProblemLog,
   RoutingKnowledge,
-  SourceCircuit,
+  SourceAvailability,
   SourceFollower,
 } from '../routing/index.js';
 import { SimulatedPeerNetwork, zoneOf } from './simulated-peer-network.js';
@@ -35,7 +35,7 @@
   readonly loads = new LoadView();
   private readonly clock: VirtualClock;
   private readonly events = SILENT_EVENT_LOG;
-  private readonly circuit: SourceCircuit;
+  private readonly availability: SourceAvailability;
   private readonly followers: readonly SourceFollower[];
   private readonly abort = new AbortController();
   private reading: AbortController | undefined;
@@ -51,8 +51,8 @@
     const { followsCordons } = cluster.options;
     const random = seededRandom(cluster.seed * 1_000 + index);
     this.knowledge = new RoutingKnowledge({ clock, events, retentionMs: 60_000, followsCordons });
-    this.circuit = new SourceCircuit(clock, random, events);
-    this.circuit.retryNoSoonerThan(() => this.spreader.minimumRetryDelayMs());
+    this.availability = new SourceAvailability(clock, random, events);
+    this.availability.setMinimumRetryDelay(() => this.spreader.minimumRetryDelayMs());
     this.followers = this.followersOf(cluster);
     this.spreader = new Spreader({
       selfId: id,
@@ -65,10 +65,10 @@
       events,
       timings: TIMINGS,
       setReading: (isReading) => this.setReading(isReading),
-      noteArrival: () => undefined,
-      mayBeOld: () => false,
-      recordsMayLapse: () => this.circuit.recordsMayLapse(),
-      applyLoadReport: (report) => this.loads.accept(report),
+      recordArrival: () => undefined,
+      mayHaveWaited: () => false,
+      recordsMayLapse: () => this.availability.recordsMayLapse(),
+      applyLoadReport: (report) => this.loads.applyReport(report),
       applyBadAnswerReport: (report) => this.applyBadAnswerReport(report),
       applyEjectionReport: (report) => this.applyEjectionReport(report),
     });
@@ -89,16 +89,16 @@
   }
 
   private followersOf({ source, options }: SpreadingCluster): readonly SourceFollower[] {
-    const { clock, knowledge, circuit } = this;
+    const { clock, knowledge, availability } = this;
     const following = {
       clock,
       source: source.for(this.id),
       knowledge,
-      circuit,
+      availability,
       timings: TIMINGS,
       problems: new ProblemLog(this.events),
       usesLongWatches: options.usesLongWatches,
-      onConfirmation: () => this.spreader.noteOwnConfirmation(),
+      onConfirmation: () => this.spreader.recordOwnConfirmation(),
     };
     return knowledge.topics.map((topic) => new SourceFollower(topic, following));
   }
@@ -106,8 +106,8 @@
   private setReading(isReading: boolean): void {
     this.reading?.abort();
     this.reading = isReading ? new AbortController() : undefined;
-    if (isReading) this.circuit.begin();
-    else this.circuit.end();
+    if (isReading) this.availability.beginReading();
+    else this.availability.endReading();
     for (const follower of this.followers) if (this.reading) void follower.run(this.reading.signal);
   }
 
