--- /dev/null
+++ b/src/cookie-edge/backend-health/local-backend-state.test.ts
@@ -0,0 +1,26 @@
+/** How failures, trial openings and signs of life change whether a back end gets new flows. */
+import test from 'ava';
+import { stateOf } from '../placement/placement-test-support.js';
+
+test('repeated trials that fail keep a back end out longer each time', (t) => {
+  const state = stateOf('a');
+  state.recordFailure(100, 0);
+  t.false(state.tryEject(100, 50));
+  t.is(state.liveness(120), 'suspect');
+  state.recordFailure(200, 100);
+  t.false(state.tryEject(200, 0), 'nobody else gave a sign of life either');
+  t.true(state.tryEject(200, 150));
+  t.is(state.liveness(1_199), 'ejected');
+  t.is(state.liveness(1_300), 'trial');
+  state.recordTrial(1_300);
+  t.is(state.liveness(1_301), 'ejected', 'one trial at a time');
+  state.recordFailure(1_500, 1_300);
+  t.true(state.tryEject(1_500, 1_400));
+  t.false(state.tryEject(3_600, 3_500), 'only a later failure leads to another ejection');
+  t.is(state.liveness(3_400), 'ejected');
+  t.is(state.liveness(3_600), 'trial');
+  t.true(state.recordSignOfLife(3_700));
+  t.is(state.liveness(3_701), 'alive');
+  state.recordFailure(3_800, 3_600);
+  t.is(state.failuresSinceSignOfLife, 0, 'a failure that began before the last sign of life');
+});
--- a/src/cookie-edge/daemon/readiness.ts
+++ b/src/cookie-edge/daemon/readiness.ts
@@ -1,13 +1,16 @@
 /**
  * Rule: whether routers may send new flows to this daemon. Pure.
  *
- * Prevents new flows at a daemon that would refuse them for lack of knowledge, or that is about to end. Every reason
- * is reported, not the first one only. Knowledge counts however old it is, so that a daemon that is cut off from the
+ * Prevents new flows at a daemon that would refuse them for lack of knowledge, or that is about to end. Reports every reason
+ * and not only the first, the stop before missing topics. Knowledge counts however old it is, so that a daemon that is cut off from the
  * source goes on serving.
  */
 import type { Readiness } from '../../observability/admin-server.js';
 import type { RoutingTopic } from '../routing/index.js';
 
+/** Why the daemon is not ready, as the readiness page and event 2102 name it. */
+export type UnreadyReason = 'stopping' | `no ${RoutingTopic}`;
+
 /** Inputs of the rule. */
 interface ReadinessInputs {
   /** A stop was requested. */
@@ -20,7 +23,7 @@
 
 /** Decides whether the daemon is ready, with every reason why not. */
 export function decideReadiness({ isStopping, hasRoutes, missingTopics }: ReadinessInputs): Readiness {
-  const reasons: string[] = [];
+  const reasons: UnreadyReason[] = [];
   if (isStopping) reasons.push('stopping');
   if (!hasRoutes) reasons.push('no routes');
   for (const topic of missingTopics) reasons.push(`no ${topic}`);
--- /dev/null
+++ b/src/cookie-edge/forwarding/cookie-registry.test.ts
@@ -0,0 +1,60 @@
+/** Cookies that collide, and cookies of forgotten back ends. */
+import test from 'ava';
+import { VirtualClock } from '../../common/clock.js';
+import { SILENT_EVENT_LOG } from '../../observability/event.js';
+import { BackendRegistry, type KnownBackend } from '../routing/index.js';
+import { backendAt } from '../routing/routing-test-support.js';
+import { CookieRegistry } from './cookie-registry.js';
+
+/** Known back ends with these ids, recorded in this order. */
+function known(...ids: string[]): KnownBackend[] {
+  const clock = new VirtualClock();
+  const registry = new BackendRegistry({ clock, events: SILENT_EVENT_LOG, retentionMs: 1_000 });
+  ids.forEach((id, index) => registry.put(backendAt(id, index + 1), -1));
+  return ids.map((id) => registry.get(id)!);
+}
+
+/** Two ids whose first cookies are equal, found by trying: about 100,000 ids hold one such pair. */
+function collidingIds(): readonly [string, string] {
+  const seen = new Map<number, string>();
+  for (let number = 0; ; number += 1) {
+    const id = `i-${number.toString(16)}`;
+    const registry = new CookieRegistry();
+    const [backend] = [{ id, record: backendAt(id, 1) } as KnownBackend];
+    registry.add(backend);
+    const cookie = registry.cookieOf(backend);
+    const other = seen.get(cookie);
+    if (other !== undefined) return [other, id];
+    seen.set(cookie, id);
+  }
+}
+
+test('cookies of two back ends that collide are kept apart, in whatever order they become known', (t) => {
+  const [first, second] = collidingIds();
+  const [earlier, later] = known(first, second) as [KnownBackend, KnownBackend];
+  const orders = [
+    [earlier, later],
+    [later, earlier],
+  ];
+  const cookies = orders.map((order) => {
+    const registry = new CookieRegistry();
+    order.forEach((backend) => registry.add(backend));
+    t.is(registry.collisions, 1);
+    for (const backend of order) t.is(registry.backendOf(registry.cookieOf(backend)), backend);
+    return [registry.cookieOf(earlier), registry.cookieOf(later)];
+  });
+  t.deepEqual(cookies[0], cookies[1]);
+  const alone = new CookieRegistry();
+  alone.add(later);
+  t.is(alone.backendOf(cookies[0]![1]!), later, 'one who never knew the earlier understands both cookies');
+});
+
+test('a forgotten back end is not found by its cookie any more', (t) => {
+  const [backend] = known('a') as [KnownBackend];
+  const registry = new CookieRegistry();
+  registry.add(backend);
+  const cookie = registry.cookieOf(backend);
+  t.not(cookie, 0);
+  registry.remove(backend);
+  t.is(registry.backendOf(cookie), undefined);
+});
--- /dev/null
+++ b/src/cookie-edge/forwarding/flow-expiry-rule.test.ts
@@ -0,0 +1,29 @@
+/** When a remembered flow is forgotten. */
+import test from 'ava';
+import { CLOSING_MS } from './constants.js';
+import type { FlowPhase } from './flow-cache.js';
+import { idleTimeoutMs, isExpired } from './flow-expiry-rule.js';
+
+const IDLE_MS = 60_000;
+
+const CASES: readonly (readonly [phase: FlowPhase, silentMs: number, isExpired: boolean])[] = [
+  ['opening', CLOSING_MS - 1, false],
+  ['opening', CLOSING_MS, true],
+  ['open', CLOSING_MS, false],
+  ['open', IDLE_MS - 1, false],
+  ['open', IDLE_MS, true],
+  ['closing', CLOSING_MS - 1, false],
+  ['closing', CLOSING_MS, true],
+];
+
+for (const [phase, silentMs, expected] of CASES) {
+  test(`a flow that is ${phase} and silent for ${silentMs} ms is ${expected ? 'forgotten' : 'kept'}`, (t) => {
+    t.is(isExpired(phase, silentMs, IDLE_MS), expected);
+  });
+}
+
+test('the idle timeout is the configured one, bounded by the longest life of a flow', (t) => {
+  t.is(idleTimeoutMs(undefined, 100), 100);
+  t.is(idleTimeoutMs(40, 100), 40);
+  t.is(idleTimeoutMs(400, 100), 100);
+});
--- a/src/cookie-edge/forwarding/flow-expiry.ts
+++ b/src/cookie-edge/forwarding/flow-expiry.ts
@@ -1,7 +1,11 @@
-/** Forgets flows that were silent too long, and departed back ends whose flows must have ended. */
+/**
+ * Sweeps the flow cache by the rule in `flow-expiry-rule.ts`, and forgets departed back ends whose flows must have ended. Owns the time
+ * of the next sweep; relies on the housekeeping to call it once a tick.
+ */
 import type { RoutingKnowledge } from '../routing/index.js';
-import { CLOSING_MS, EXPIRY_INTERVAL_MS } from './constants.js';
+import { EXPIRY_INTERVAL_MS } from './constants.js';
 import type { FlowCache } from './flow-cache.js';
+import { idleTimeoutMs, isExpired } from './flow-expiry-rule.js';
 
 /** What expiry needs. */
 interface FlowExpiryOptions {
@@ -11,7 +15,7 @@
   readonly maxFlowAgeMs: number;
 }
 
-/** Owns the time of the next sweep. Times are monotonic ms. */
+/** Sweeps at most once in `EXPIRY_INTERVAL_MS`. Times are monotonic ms. */
 export class FlowExpiry {
   private nextSweepMs = 0;
 
@@ -23,10 +27,7 @@
     const { knowledge, cache, maxFlowAgeMs } = this.options;
     this.nextSweepMs = nowMs + EXPIRY_INTERVAL_MS;
     knowledge.backends.prune();
-    const idleMs = Math.min(knowledge.routes()?.table.idleTimeoutMs ?? maxFlowAgeMs, maxFlowAgeMs);
-    cache.expire(cache.size, (flow) => {
-      const silentMs = nowMs - flow.lastPacketMs;
-      return silentMs >= (flow.phase === 'open' ? idleMs : CLOSING_MS);
-    });
+    const idleMs = idleTimeoutMs(knowledge.routes()?.table.idleTimeoutMs, maxFlowAgeMs);
+    cache.expire(cache.size, ({ phase, lastPacketMs }) => isExpired(phase, nowMs - lastPacketMs, idleMs));
   }
 }
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -1,10 +1,10 @@
 /**
- * Handles packets that are no SYN. The connection cookie names the back end; without one, the flow cache does. Drops packets whose
- * back end is unknown: forwarding them to a guess could reach the wrong service. Owns no state.
+ * Handles packets that are no SYN: carries out what `mid-flow-rule.ts` decides, counts it and logs it. Owns no state; relies on the
+ * cookie registry and the flow cache to name a packet's back end, and on `FlowFollower` to learn from the packet.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { EventLog } from '../../observability/event.js';
-import type { LocalBackendState, LocalBackendStates } from '../backend-health/index.js';
+import type { LocalBackendStates } from '../backend-health/index.js';
 import type { KnownBackend, RoutingKnowledge } from '../routing/index.js';
 import type { CookieRegistry } from './cookie-registry.js';
 import type { CookieStatistics } from './cookie-statistics.js';
@@ -12,6 +12,7 @@
 import type { Flow, FlowCache } from './flow-cache.js';
 import type { FlowFollower } from './flow-follower.js';
 import { formatFlowId } from './flow-id.js';
+import { backendOfPacket, decideMidFlow } from './mid-flow-rule.js';
 import type { PacketSender } from './packet-sender.js';
 
 /** What handling packets of open flows needs. */
@@ -34,10 +35,11 @@
   onMidFlow(packet: CookiePacket, flow: Flow | undefined, nowMs: number): void {
     const { cookies, states, follower, sender } = this.options;
     const named = packet.cookie === 0 ? undefined : cookies.backendOf(packet.cookie);
-    const backend = named ?? flow?.state.backend;
-    if (!backend) return this.dropUnknown(packet);
-    const state = states.of(backend);
-    if (state.isDead(nowMs)) return this.resetAtDead(packet, flow, state);
+    const backend = backendOfPacket(named, flow?.state.backend);
+    const isDead = backend !== undefined && states.of(backend).isDead(nowMs);
+    const outcome = decideMidFlow(backend, isDead);
+    if (!backend || outcome === 'drop') return this.dropUnknown(packet);
+    if (outcome === 'reset') return this.resetAtDead(packet, flow, backend);
     const known = flow ?? this.takeOver(packet, backend, nowMs);
     if (known) follower.follow(packet, known, backend, nowMs);
     sender.forward(backend);
@@ -57,7 +59,7 @@
   }
 
   /** Resets a flow at a dead back end immediately instead of letting its caller wait for its timeout. */
-  private resetAtDead(packet: CookiePacket, flow: Flow | undefined, { backend }: LocalBackendState): void {
+  private resetAtDead(packet: CookiePacket, flow: Flow | undefined, backend: KnownBackend): void {
     const { cache, statistics, events, sender } = this.options;
     if (flow) cache.remove(flow);
     statistics.resets += 1;
--- /dev/null
+++ b/src/cookie-edge/forwarding/mid-flow-rule.test.ts
@@ -0,0 +1,69 @@
+/** Where a packet that is no SYN goes: each outcome, and the order of cookie and memory. */
+import test from 'ava';
+import type { KnownBackend } from '../routing/index.js';
+import { backendOfPacket, decideMidFlow, type MidFlowOutcome } from './mid-flow-rule.js';
+
+const [named, remembered] = [{ id: 'named' }, { id: 'remembered' }] as [KnownBackend, KnownBackend];
+
+const CASES: readonly {
+  readonly title: string;
+  readonly cookie: KnownBackend | undefined;
+  readonly memory: KnownBackend | undefined;
+  readonly isDead: boolean;
+  readonly backend: KnownBackend | undefined;
+  readonly outcome: MidFlowOutcome;
+}[] = [
+  {
+    title: 'the cookie decides',
+    cookie: named,
+    memory: undefined,
+    isDead: false,
+    backend: named,
+    outcome: 'forward',
+  },
+  {
+    title: 'the cookie outweighs the memory',
+    cookie: named,
+    memory: remembered,
+    isDead: false,
+    backend: named,
+    outcome: 'forward',
+  },
+  {
+    title: 'without a cookie the memory decides',
+    cookie: undefined,
+    memory: remembered,
+    isDead: false,
+    backend: remembered,
+    outcome: 'forward',
+  },
+  {
+    title: 'a dead back end has its flow reset',
+    cookie: named,
+    memory: remembered,
+    isDead: true,
+    backend: named,
+    outcome: 'reset',
+  },
+  {
+    title: 'an unknown back end has its packet dropped',
+    cookie: undefined,
+    memory: undefined,
+    isDead: false,
+    backend: undefined,
+    outcome: 'drop',
+  },
+];
+
+for (const { title, cookie, memory, isDead, backend, outcome } of CASES) {
+  test(title, (t) => {
+    const chosen = backendOfPacket(cookie, memory);
+    t.is(chosen, backend);
+    t.is(decideMidFlow(chosen, isDead), outcome);
+  });
+}
+
+test('a departed or draining back end keeps its flows', (t) => {
+  const departed = { id: 'a', departed: true, lapsed: false, record: { draining: true } } as KnownBackend;
+  t.is(decideMidFlow(departed, false), 'forward');
+});
--- a/src/cookie-edge/forwarding/cookie-parts.test.ts
+++ b/src/cookie-edge/placement/opening-placement.test.ts
@@ -1,16 +1,14 @@
+/** Where new flows go by capacity, slow start, load reports and zones, as the rules of placement together decide. */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { hashString } from '../../common/hash.js';
-import { seededRandom } from '../../common/random.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { LocalBackendState } from '../backend-health/local-backend-state.js';
 import { DEFAULT_ZONE_LOAD_FACTOR, DEFAULT_ZONE_MARGIN } from '../daemon/constants.js';
-import { OpeningPlacement } from '../placement/opening-placement.js';
-import { TrafficSplitter } from '../placement/traffic-splitter.js';
-import { BackendRegistry, type KnownBackend, type Route } from '../routing/index.js';
-import { backendAt, SERVICE_ADDRESS } from '../routing/routing-test-support.js';
-import { CookieRegistry } from './cookie-registry.js';
-import { placementRequest } from './cookie-test-support.js';
+import { placementRequest } from '../forwarding/cookie-test-support.js';
+import { BackendRegistry, type KnownBackend } from '../routing/index.js';
+import { backendAt } from '../routing/routing-test-support.js';
+import { OpeningPlacement } from './opening-placement.js';
 
 /** Known back ends with these ids, recorded in this order. */
 function known(...ids: string[]): KnownBackend[] {
@@ -20,88 +18,6 @@
   return ids.map((id) => registry.get(id)!);
 }
 
-/** Two ids whose first cookies are equal, found by trying: about 100,000 ids hold one such pair. */
-function collidingIds(): readonly [string, string] {
-  const seen = new Map<number, string>();
-  for (let number = 0; ; number += 1) {
-    const id = `i-${number.toString(16)}`;
-    const registry = new CookieRegistry();
-    const [backend] = [{ id, record: backendAt(id, 1) } as KnownBackend];
-    registry.add(backend);
-    const cookie = registry.cookieOf(backend);
-    const other = seen.get(cookie);
-    if (other !== undefined) return [other, id];
-    seen.set(cookie, id);
-  }
-}
-
-test('cookies of two back ends that collide are kept apart, in whatever order they become known', (t) => {
-  const [first, second] = collidingIds();
-  const [earlier, later] = known(first, second) as [KnownBackend, KnownBackend];
-  const orders = [
-    [earlier, later],
-    [later, earlier],
-  ];
-  const cookies = orders.map((order) => {
-    const registry = new CookieRegistry();
-    order.forEach((backend) => registry.add(backend));
-    t.is(registry.collisions, 1);
-    for (const backend of order) t.is(registry.backendOf(registry.cookieOf(backend)), backend);
-    return [registry.cookieOf(earlier), registry.cookieOf(later)];
-  });
-  t.deepEqual(cookies[0], cookies[1]);
-  const alone = new CookieRegistry();
-  alone.add(later);
-  t.is(alone.backendOf(cookies[0]![1]!), later, 'one who never knew the earlier understands both cookies');
-});
-
-test('a forgotten back end is not found by its cookie any more', (t) => {
-  const [backend] = known('a') as [KnownBackend];
-  const registry = new CookieRegistry();
-  registry.add(backend);
-  const cookie = registry.cookieOf(backend);
-  t.not(cookie, 0);
-  registry.remove(backend);
-  t.is(registry.backendOf(cookie), undefined);
-});
-
-function routeWith(...weights: number[]): Route {
-  const targets = weights.map((weight, index) => ({ service: `service-${index}`, weight }));
-  return { name: 'route', address: SERVICE_ADDRESS, port: 80, targets };
-}
-
-for (const weights of [
-  [90, 10],
-  [50, 30, 20],
-  [1, 1],
-  [99, 1],
-]) {
-  test(`shares of ${weights.join(':')} hold within any 200 flows`, (t) => {
-    const splitter = new TrafficSplitter(seededRandom(5));
-    const route = routeWith(...weights);
-    const chosen = Array.from({ length: 1_000 }, () => splitter.choose(route, () => true));
-    const total = weights.reduce((sum, weight) => sum + weight, 0);
-    for (let start = 0; start + 200 <= chosen.length; start += 50) {
-      weights.forEach((weight, index) => {
-        const taken = chosen.slice(start, start + 200).filter((name) => name === `service-${index}`).length;
-        t.true(Math.abs(taken / 200 - weight / total) <= 0.01, `${taken} of 200 from ${start}`);
-      });
-    }
-  });
-}
-
-test('a service that cannot serve is passed over, and a changed split starts anew', (t) => {
-  const splitter = new TrafficSplitter(seededRandom(5));
-  for (let flow = 0; flow < 50; flow += 1) {
-    t.is(
-      splitter.choose(routeWith(90, 10), (service) => service === 'service-1'),
-      'service-1',
-    );
-  }
-  const chosen = Array.from({ length: 100 }, () => splitter.choose(routeWith(10, 90), () => true));
-  t.true(Math.abs(chosen.filter((name) => name === 'service-1').length - 90) <= 1);
-});
-
 test('new flows spread evenly by capacity, and a cold back end gets half', (t) => {
   const all = known('a', 'b', 'c');
   all[1]!.record = backendAt('b', 9, { capacity: 4 });
@@ -190,27 +106,3 @@
   const { own, other } = flowsByZone(800);
   t.true(own / other > 1.4 && own / other < DEFAULT_ZONE_LOAD_FACTOR + 0.05, `${own} and ${other}`);
 });
-
-test('repeated trials that fail keep a back end out longer each time', (t) => {
-  const [backend] = known('a') as [KnownBackend];
-  const state = new LocalBackendState(backend);
-  state.recordFailure(100, 0);
-  t.false(state.tryEject(100, 50));
-  t.is(state.liveness(120), 'suspect');
-  state.recordFailure(200, 100);
-  t.false(state.tryEject(200, 0), 'nobody else gave a sign of life either');
-  t.true(state.tryEject(200, 150));
-  t.is(state.liveness(1_199), 'ejected');
-  t.is(state.liveness(1_300), 'trial');
-  state.recordTrial(1_300);
-  t.is(state.liveness(1_301), 'ejected', 'one trial at a time');
-  state.recordFailure(1_500, 1_300);
-  t.true(state.tryEject(1_500, 1_400));
-  t.false(state.tryEject(3_600, 3_500), 'only a later failure leads to another ejection');
-  t.is(state.liveness(3_400), 'ejected');
-  t.is(state.liveness(3_600), 'trial');
-  t.true(state.recordSignOfLife(3_700));
-  t.is(state.liveness(3_701), 'alive');
-  state.recordFailure(3_800, 3_600);
-  t.is(state.failuresSinceSignOfLife, 0, 'a failure that began before the last sign of life');
-});
--- a/src/cookie-edge/placement/traffic-splitter.test.ts
+++ b/src/cookie-edge/placement/traffic-splitter.test.ts
@@ -1,6 +1,9 @@
-/** Which service of a split gets a flow. The shares over many flows are tested in `forwarding/cookie-parts.test.ts`. */
+/** Which service of a split gets a flow, and the shares over many flows. */
 import test from 'ava';
 import { allBut } from '../../common/mechanisms.js';
+import { seededRandom } from '../../common/random.js';
+import type { Route } from '../routing/index.js';
+import { SERVICE_ADDRESS } from '../routing/routing-test-support.js';
 import { TrafficSplitter } from './traffic-splitter.js';
 
 /** Weights of the services 0, 1, ..., those with a candidate, and the services of the next flows. */
@@ -48,3 +51,40 @@
     '1',
   );
 });
+
+function routeWith(...weights: number[]): Route {
+  const targets = weights.map((weight, index) => ({ service: `service-${index}`, weight }));
+  return { name: 'route', address: SERVICE_ADDRESS, port: 80, targets };
+}
+
+for (const weights of [
+  [90, 10],
+  [50, 30, 20],
+  [1, 1],
+  [99, 1],
+]) {
+  test(`shares of ${weights.join(':')} hold within any 200 flows`, (t) => {
+    const splitter = new TrafficSplitter(seededRandom(5));
+    const route = routeWith(...weights);
+    const chosen = Array.from({ length: 1_000 }, () => splitter.choose(route, () => true));
+    const total = weights.reduce((sum, weight) => sum + weight, 0);
+    for (let start = 0; start + 200 <= chosen.length; start += 50) {
+      weights.forEach((weight, index) => {
+        const taken = chosen.slice(start, start + 200).filter((name) => name === `service-${index}`).length;
+        t.true(Math.abs(taken / 200 - weight / total) <= 0.01, `${taken} of 200 from ${start}`);
+      });
+    }
+  });
+}
+
+test('a service that cannot serve is passed over, and a changed split starts anew', (t) => {
+  const splitter = new TrafficSplitter(seededRandom(5));
+  for (let flow = 0; flow < 50; flow += 1) {
+    t.is(
+      splitter.choose(routeWith(90, 10), (service) => service === 'service-1'),
+      'service-1',
+    );
+  }
+  const chosen = Array.from({ length: 100 }, () => splitter.choose(routeWith(10, 90), () => true));
+  t.true(Math.abs(chosen.filter((name) => name === 'service-1').length - 90) <= 1);
+});
--- a/src/cookie-edge/spreading/peer-view.ts
+++ b/src/cookie-edge/spreading/peer-view.ts
@@ -1,14 +1,16 @@
 /**
  * The peers that this daemon knows: all of them in a small fleet, a random part in a large one, and the estimated
- * size of the fleet. Owns the choice of the peers of a push and of the owners of a key.
+ * size of the fleet. Owns the turns of peers and the random draws; `peer-choice.ts` decides who gets a push and who owns
+ * a key. Relies on `Spreader` to report whom it hears of.
  */
-import { combine32, hashString } from '../../common/hash.js';
+import { hashString } from '../../common/hash.js';
 import { pick, type RandomSource } from '../../common/random.js';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import type { EventLog } from '../../observability/event.js';
 import { ALONE_AFTER_MS, MAX_PEERS, PEER_FORGET_MS, SIZE_SAMPLE } from './constants.js';
 import { SPREADING_EVENTS } from './events.js';
 import { FleetSizeSketch, hashOfDaemon } from './fleet-size.js';
+import { choosePeersOfPush, isAmongOwners, type PeerWithTurn } from './peer-choice.js';
 import type { Peer } from './types.js';
 
 /** Collaborators of a view. */
@@ -19,9 +21,9 @@
   readonly events: EventLog;
 }
 
-/** A peer with its turn: the lowest turn gets the next message. */
-interface ListedPeer extends Peer {
-  turn: number;
+/** A peer as the view keeps it. */
+interface ListedPeer extends PeerWithTurn {
+  /** `hashOfDaemon` of its address, by which keys get their owners. */
   readonly hash: number;
 }
 
@@ -78,15 +80,7 @@
    */
   isOwner(key: string, count: number): boolean {
     const candidates = this.size < MAX_PEERS ? this.peers.values() : this.sketch.othersOfSample;
-    if (!candidates) return false;
-    const keyHash = hashString(key);
-    const own = combine32(keyHash, this.sketch.selfHash);
-    let higherRanked = 0;
-    for (const { hash } of candidates) {
-      if (combine32(keyHash, hash) > own) higherRanked += 1;
-      if (higherRanked >= count) return false;
-    }
-    return true;
+    return isAmongOwners(hashString(key), this.sketch.selfHash, candidates, count);
   }
 
   /** Records that a peer itself sent a message. */
@@ -111,16 +105,14 @@
     }
   }
 
-  /**
-   * Up to `inZone` peers of the own zone and `elsewhere` of any other, more where the own zone has too few: those
-   * that were not chosen for longest. Otherwise a daemon that is alone in its zone would get few messages.
-   */
+  /** The peers of the next push, as `choosePeersOfPush` decides; each of them gets the last turn. */
   choose(inZone: number, elsewhere: number): Peer[] {
-    const near: ListedPeer[] = [];
-    const far: ListedPeer[] = [];
-    for (const peer of this.peers.values()) (peer.zone === this.options.zone ? near : far).push(peer);
-    const chosen = this.takeTurns(near, inZone);
-    return [...chosen, ...this.takeTurns(far, elsewhere + inZone - chosen.length)];
+    const chosen = choosePeersOfPush(this.peers.values(), this.options.zone, inZone, elsewhere);
+    for (const peer of chosen) {
+      this.turns += 1;
+      peer.turn = this.turns + this.options.random();
+    }
+    return chosen;
   }
 
   /** Up to `count` random peers. */
@@ -139,16 +131,6 @@
     return [...chosen, sampled];
   }
 
-  /** The peers whose turn it is; equal turns do not occur, since each starts with a random part. */
-  private takeTurns(peers: readonly ListedPeer[], count: number): Peer[] {
-    const chosen = [...peers].sort((left, right) => left.turn - right.turn).slice(0, count);
-    for (const peer of chosen) {
-      this.turns += 1;
-      peer.turn = this.turns + this.options.random();
-    }
-    return chosen;
-  }
-
   /** Moves up to `count` random entries to the front and returns them. */
   private draw(peers: Peer[], count: number): Peer[] {
     const taken = Math.min(count, peers.length);
