--- a/src/cookie-edge/daemon/buffered-packets.test.ts
+++ b/src/cookie-edge/daemon/buffered-packets.test.ts
@@ -3,12 +3,17 @@
 import { MAX_BUFFERED_PACKETS, MAX_BUFFERED_SYN_AFTER_READ_MS, MAX_BUFFERED_SYN_MS } from './constants.js';
 
 const ARRIVALS = [
-  { isHoldingOn: true, isAttached: true, bufferedCount: 0, outcome: 'hold' },
-  { isHoldingOn: true, isAttached: true, bufferedCount: MAX_BUFFERED_PACKETS - 1, outcome: 'hold' },
-  { isHoldingOn: true, isAttached: true, bufferedCount: MAX_BUFFERED_PACKETS, outcome: 'drop-buffer-full' },
-  { isHoldingOn: false, isAttached: true, bufferedCount: 0, outcome: 'drop-holding-off' },
-  { isHoldingOn: true, isAttached: false, bufferedCount: 0, outcome: 'drop-holding-off' },
-  { isHoldingOn: false, isAttached: true, bufferedCount: MAX_BUFFERED_PACKETS, outcome: 'drop-holding-off' },
+  { isBufferingOn: true, isAttached: true, bufferedCount: 0, outcome: 'hold' },
+  { isBufferingOn: true, isAttached: true, bufferedCount: MAX_BUFFERED_PACKETS - 1, outcome: 'hold' },
+  { isBufferingOn: true, isAttached: true, bufferedCount: MAX_BUFFERED_PACKETS, outcome: 'drop-buffer-full' },
+  { isBufferingOn: false, isAttached: true, bufferedCount: 0, outcome: 'drop-holding-off' },
+  { isBufferingOn: true, isAttached: false, bufferedCount: 0, outcome: 'drop-holding-off' },
+  {
+    isBufferingOn: false,
+    isAttached: true,
+    bufferedCount: MAX_BUFFERED_PACKETS,
+    outcome: 'drop-holding-off',
+  },
 ] as const;
 
 for (const { outcome, ...state } of ARRIVALS) {
--- a/src/cookie-edge/daemon/config.ts
+++ b/src/cookie-edge/daemon/config.ts
@@ -1,6 +1,7 @@
 /**
- * Configuration of a daemon on a cookie edge: one file of JSON or YAML, checked before it is used. Unknown fields are
- * ignored, since the writer of the file may be newer than this build.
+ * Configuration of a daemon on a cookie edge: one file of JSON or YAML, checked before it is used. Owns the schema and
+ * the list of reloadable fields; relies on `run.ts` to reread the file. Ignores unknown fields, since the writer of the
+ * file may be newer than this build.
  */
 import { readFileSync } from 'node:fs';
 import * as z from 'zod/mini';
@@ -87,7 +88,7 @@
     }),
     {},
   ),
-  /** For experiments: mechanisms that this daemon does without (`src/common/mechanisms.ts`). */
+  /** Mechanisms that are switched off for an experiment (`src/common/mechanisms.ts`). */
   switchedOff: z._default(z.array(z.enum(MECHANISMS)), []),
   limits: z.prefault(
     z.object({ maxFlows: z._default(z.int().check(z.positive()), defaults.DEFAULT_MAX_FLOWS) }),
@@ -99,7 +100,7 @@
       minMs: z._default(milliseconds, defaults.DEFAULT_DRAIN_MIN_MS),
       /** Then the daemon ends after this long without a packet. */
       quietMs: z._default(milliseconds, defaults.DEFAULT_DRAIN_QUIET_MS),
-      /** It ends after this long in any case. */
+      /** The daemon ends after this long in any case. */
       maxMs: z._default(milliseconds, defaults.DEFAULT_DRAIN_MAX_MS),
     }),
     {},
--- a/src/cookie-edge/daemon/connect-probe.ts
+++ b/src/cookie-edge/daemon/connect-probe.ts
@@ -1,4 +1,7 @@
-/** Probes whether a process listens at a back end's address. */
+/**
+ * Probes whether a process listens at a back end's address. Owns the connection; `backend-health` decides what an
+ * outcome means.
+ */
 import { connect } from 'node:net';
 import type { Endpoint } from '../../common/types.js';
 import type { ProbeOutcome } from '../backend-health/index.js';
@@ -7,9 +10,9 @@
 const REFUSALS: ReadonlySet<string | undefined> = new Set(['ECONNREFUSED', 'ECONNRESET']);
 
 /**
- * Opens a TCP connection and closes it again, without sending anything. Any answer proves that the process is alive,
- * however busy it is. Resolves within `timeoutMs` and one turn of the event loop, in which an answer that is there
- * already is read.
+ * Opens a TCP connection and closes it without sending data. An accepted connection proves that the process is alive,
+ * however busy it is. Never rejects. Resolves within `timeoutMs` and one more turn of the event loop, which reads an
+ * answer that has already arrived.
  */
 export function probeConnect({ host, port }: Endpoint, timeoutMs: number): Promise<ProbeOutcome> {
   return new Promise((resolve) => {
--- a/src/cookie-edge/daemon/constants.ts
+++ b/src/cookie-edge/daemon/constants.ts
@@ -1,4 +1,4 @@
-/** Defaults and bounds of a daemon on a cookie edge. Each names its source. */
+/** Defaults and bounds of a daemon on a cookie edge. */
 
 /**
  * Shortest time in ms for which a stopping daemon goes on forwarding. Bound of the platform: its routers need two
@@ -7,8 +7,8 @@
 export const DEFAULT_DRAIN_MIN_MS = 1_300;
 
 /**
- * Then the daemon ends as soon as no packet came for the quiet time in ms, and at the latest after the longest time
- * in ms, both counted into a stop. Not measured; chosen because callers send the first retransmission (after 200 ms)
+ * After the shortest time the daemon ends as soon as no packet came for the quiet time in ms. The longest time in ms
+ * counts from the stop request. Not measured; chosen because callers send the first retransmission (after 200 ms)
  * within the quiet time.
  */
 export const DEFAULT_DRAIN_QUIET_MS = 400;
@@ -33,13 +33,13 @@
 export const DEFAULT_LOG_BURST = 2_000;
 
 /**
- * Packets held between the binding of the data socket and the first knowledge. Chosen because
- * it bounds the memory: about 1.3 MB at the most.
+ * Packets buffered between the binding of the data socket and the first complete knowledge. Not measured; chosen to
+ * bound memory: at most about 1.3 MB.
  */
 export const MAX_BUFFERED_PACKETS = 1_024;
 
 /**
- * A held first SYN is delivered while it is certainly younger than this, in ms. Derivation: callers send the first
+ * A buffered first SYN is delivered while it is certainly younger than this, in ms. Derivation: callers send the first
  * retransmission after 200 ms, less 50 ms for the answer. Measured with the buffer itself: packets dropped during
  * starts in ten plays 793 without, 12 with.
  */
--- a/src/cookie-edge/daemon/cookie-daemon.ts
+++ b/src/cookie-edge/daemon/cookie-daemon.ts
@@ -1,5 +1,5 @@
 /**
- * The life of a balancer on a cookie edge: it learns routes and back ends, becomes ready, forwards and stops. Owns
+ * Life of a daemon on a cookie edge: learns routes and back ends, becomes ready, forwards and stops. Owns
  * the configuration in force and the admin server; the rules stand in `readiness.ts` and `shutdown.ts`.
  */
 import { formatEndpoint } from '../../common/types.js';
--- a/src/cookie-edge/daemon/errors.ts
+++ b/src/cookie-edge/daemon/errors.ts
@@ -1,4 +1,4 @@
-/** Errors of a daemon on a cookie edge. */
+/** Errors of a daemon on a cookie edge: a configuration that cannot be read, or is invalid. */
 import { SailquayError } from '../../common/types.js';
 
 type CookieDaemonErrorKind = 'cookie-daemon.config-unreadable' | 'cookie-daemon.config-invalid';
--- a/src/cookie-edge/daemon/readiness.ts
+++ b/src/cookie-edge/daemon/readiness.ts
@@ -1,15 +1,15 @@
 /**
- * Rule: whether routers may send new flows to this daemon. Pure.
+ * Rule: whether routers may send new flows to this daemon. Does no input or output.
  *
- * Prevents new flows at a daemon that would refuse them for lack of knowledge, or that is about to end. Reports every reason
- * and not only the first, the stop before missing topics. Knowledge counts however old it is, so that a daemon that is cut off from the
- * source goes on serving.
+ * Prevents new flows at a daemon that would refuse them for lack of knowledge, or that is about to end. Reports every
+ * reason and not only the first, the stop before missing topics. Knowledge of any age counts, so that a daemon that is
+ * cut off from the source keeps serving.
  */
 import type { Readiness } from '../../observability/admin-server.js';
 import type { RoutingTopic } from '../routing/index.js';
 
 /** Why the daemon is not ready, as the readiness page and event 2102 name it. */
-export type UnreadyReason = 'stopping' | `no ${RoutingTopic}`;
+type UnreadyReason = 'stopping' | `no ${RoutingTopic}`;
 
 /** Inputs of the rule. */
 interface ReadinessInputs {
--- a/src/cookie-edge/daemon/source-reading.ts
+++ b/src/cookie-edge/daemon/source-reading.ts
@@ -1,6 +1,6 @@
 /**
- * Calls of this daemon to the source. Owns the followers of all topics: the first reading at the start, and following
- * while this daemon is a reader. Relies on `SourceFollower` and `LoadReader` for the calls themselves.
+ * Starts and stops this daemon's calls to the source. Owns the followers of all topics: the first reading at the start,
+ * and following while this daemon is a reader. Relies on `SourceFollower` and `LoadReader` for the calls themselves.
  */
 import type { LoadReader } from '../load/index.js';
 import { SourceFollower, type SourceFollowerOptions } from '../routing/index.js';
--- a/src/cookie-edge/daemon/startup-buffer.test.ts
+++ b/src/cookie-edge/daemon/startup-buffer.test.ts
@@ -21,7 +21,7 @@
   cookie: 7,
 };
 
-/** A gate on a virtual clock whose edge delivers what it kept, as the real one does. */
+/** A buffer on a virtual clock whose edge delivers the packets that it kept, as the real one does. */
 function gateAt() {
   const clock = new VirtualClock();
   const gate = new StartupBuffer({ clock, events: SILENT_EVENT_LOG });
--- a/src/cookie-edge/daemon/startup-buffer.ts
+++ b/src/cookie-edge/daemon/startup-buffer.ts
@@ -1,7 +1,7 @@
 /**
- * Holds packets between the binding of the edge and the opening, which comes as soon as routes and back ends are
- * known. Carries out the rule in `buffered-packets.ts`. Owns the held packets; relies on the edge to keep the bytes
- * of a packet until it is delivered.
+ * Buffers packets from the binding of the edge until routes and back ends are known, and then delivers them. Carries
+ * out the rule in `buffered-packets.ts`. Owns the buffered packets; relies on the edge to keep a packet's bytes until
+ * it is delivered.
  */
 import type { Clock } from '../../common/clock.js';
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
@@ -12,7 +12,7 @@
 import { decideAtOpening, decideOnArrival } from './buffered-packets.js';
 import { COOKIE_DAEMON_EVENTS } from './events.js';
 
-/** A packet that waits for the opening. */
+/** A packet that waits for the opening of the buffer. */
 interface BufferedPacket {
   /** How many times its caller had sent this SYN before; undefined for a packet that is no SYN. */
   readonly retransmissions: number | undefined;
@@ -53,7 +53,7 @@
     this.boundAtMs = edge.boundAtMs;
   }
 
-  /** Delivers the held packets that are not too old to `handler`, in their order, and from now on every packet. */
+  /** Delivers the buffered packets that are not too old to `handler`, in their order, and from now on every packet. */
   open(handler: CookieEdgeHandler): void {
     this.handler = handler;
     const nowMs = this.options.clock.now();
@@ -79,7 +79,7 @@
     const { isOn = ALL_MECHANISMS_ON } = this.options;
     const { edge } = this;
     const outcome = decideOnArrival({
-      isHoldingOn: isOn('held-packets'),
+      isBufferingOn: isOn('held-packets'),
       isAttached: edge !== undefined,
       bufferedCount: this.buffered.length,
     });
--- a/src/cookie-edge/daemon/status.ts
+++ b/src/cookie-edge/daemon/status.ts
@@ -1,4 +1,4 @@
-/** What a daemon on a cookie edge shows of itself: the status page and the numbers of its last log line. Reads only. */
+/** Status page of a daemon on a cookie edge, and the numbers of its last log line. Owns nothing: reads the parts. */
 import type { Readiness } from '../../observability/admin-server.js';
 import type { RoutingTopic } from '../routing/index.js';
 import type { CookieDaemonComponents } from './components.js';
@@ -17,7 +17,7 @@
   readonly backends: BackendCounts;
   readonly openFlows: number;
   readonly outstandingRequests: number;
-  /** Ids of back ends that get no new flows because they answer unusually late. */
+  /** Ids of outliers that are avoided now. */
   readonly avoidedBackends: readonly string[];
   readonly cordonedZones: readonly string[];
   readonly knowledgeAgeMs: Readonly<Partial<Record<RoutingTopic, number>>>;
