--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -1,7 +1,7 @@
 /**
- * Forwards callers' packets on a cookie edge. A packet's cookie decides first, then this balancer's memory of the flow; only a SYN of
- * a flow that is not remembered is placed. Owns the registration of back ends in and out of the parts that hold state of them; the
- * parts are wired by `create-cookie-forwarder.ts`.
+ * Forwards callers' packets on a cookie edge. A packet's cookie decides first, then this balancer's memory of the flow;
+ * only a SYN of a flow that is not remembered is placed. Owns the registration of back ends in and out of the parts
+ * that hold state of them; the parts are wired by `create-cookie-forwarder.ts`.
  */
 import type { Clock } from '../../common/clock.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
--- a/src/cookie-edge/forwarding/cookie-registry.ts
+++ b/src/cookie-edge/forwarding/cookie-registry.ts
@@ -1,11 +1,12 @@
 /**
- * Which connection cookie names which back end. A cookie is a hash of the back end's id, so that all balancers compute the same
- * without coordination. Where two ids have the same hash, the back end that was recorded later gets a second hash; both are accepted.
+ * Maps connection cookies to back ends. A cookie is a hash of the back end's id, so that all balancers compute the same
+ * cookie without coordination. Where two ids collide, the back end that was recorded later gets a second hash; packets
+ * with either are accepted. Owns both maps; relies on `CookieForwarder` to add and remove back ends.
  */
 import { hashString } from '../../common/hash.js';
 import type { KnownBackend } from '../routing/index.js';
 
-/** Put before the id for the second hash. Behind it, ids with equal hashes would have equal second hashes as well. */
+/** Prefix of the id for the second hash. As a suffix it would give ids with equal hashes equal second hashes. */
 const SECOND_PREFIX = '2:';
 
 /** A cookie is never 0, which means "none yet". */
@@ -13,7 +14,7 @@
   return hashString(text) || 1;
 }
 
-/** Owns the cookies of all back ends that are known. */
+/** The cookies of all known back ends. */
 export class CookieRegistry {
   private readonly primary = new Map<number, KnownBackend>();
   private readonly secondary = new Map<number, KnownBackend>();
@@ -43,7 +44,7 @@
     if (this.secondary.get(second) === backend) this.secondary.delete(second);
   }
 
-  /** The cookie for flows of a back end; 0 when both of its hashes belong to others, so that it cannot be named. */
+  /** The cookie for flows of a back end; 0 when both of its hashes belong to other back ends. */
   cookieOf(backend: KnownBackend): number {
     const [first, second] = cookiesOf(backend.id);
     if (this.primary.get(first) === backend) return first;
--- a/src/cookie-edge/forwarding/cookie-statistics.ts
+++ b/src/cookie-edge/forwarding/cookie-statistics.ts
@@ -1,4 +1,4 @@
-/** Counters of cookie forwarding since start. */
+/** Counters of cookie forwarding since start. Owns the numbers; each handler counts what it does. */
 import { LatencyHistogram } from '../../observability/latency-histogram.js';
 
 /** Counters that never decrease, read by the metrics page and the stop event. */
@@ -13,7 +13,7 @@
   placedAnew = 0;
   /** Open flows that were reset because their back end was dead. */
   resets = 0;
-  /** Flows met in mid-life: placed by another balancer, or by this one before its start. */
+  /** Flows first seen after their opening: placed by another balancer, or before this one started. */
   takenOver = 0;
   /** Milliseconds from the SYN to the caller's next packet. */
   readonly handshake = new LatencyHistogram();
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -1,4 +1,4 @@
-/** Wires a cookie forwarder: each part is created after those that it needs. */
+/** Wires a cookie forwarder. Owns the order in which the parts are created: each after those that it needs. */
 import type { Clock } from '../../common/clock.js';
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
@@ -58,7 +58,7 @@
   /** Region of a zone; undefined when it is not configured. */
   readonly regionOf: (zone: string) => string | undefined;
   readonly cold: ColdAdmissionOptions;
-  /** Tries whether a back end can be reached. */
+  /** Opens a connection to a back end to test whether it listens. */
   readonly probe: ConnectProbe;
   /** Longest life of a flow, in ms. */
   readonly maxFlowAgeMs: number;
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -1,14 +1,14 @@
 /**
- * The flows that this balancer has met. Forwarding does not depend on it, since packets carry cookies: it tells retransmissions of a
- * SYN from new flows, counts open flows, and lets a flow's packets be compared with its earlier ones. Owns the flows, and with them
- * the number of open flows at each back end.
+ * Remembers the flows that this balancer has met. Packets carry cookies, so that forwarding works without it. It
+ * distinguishes retransmissions of a SYN from new flows, counts open flows, and keeps what later packets of a flow are
+ * compared with. Owns the flows, and with them the number of open flows at each back end.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { LocalBackendState } from '../backend-health/index.js';
 import type { OutstandingRequest } from '../outliers/index.js';
 import { addressKey } from '../routing/index.js';
 
-/** opening: nothing but SYNs yet. open: the caller went on. closing: the caller closed or reset it. */
+/** `opening`: only SYNs came. `open`: the caller continued. `closing`: the caller closed or reset the flow. */
 export type FlowPhase = 'opening' | 'open' | 'closing';
 
 /** One flow from a caller to a service address. */
@@ -31,7 +31,7 @@
   acknowledgement: number;
   /** True when the opening, or the newest data, has counted as a failure of the back end already. */
   isFailureCounted: boolean;
-  /** True from the SYN until the caller goes on or the opening counts as failed; kept by `PendingOpenings`. */
+  /** True from the SYN until the caller continues or the opening counts as failed; set by `PendingOpenings`. */
   awaitsAnswer: boolean;
   /** The request that its caller has sent, until answer data is acknowledged. */
   request: OutstandingRequest | undefined;
@@ -92,7 +92,7 @@
     flow.state = state;
   }
 
-  /** Records that its caller closed the flow: it is no open flow any more, and is found until it expires. */
+  /** Records that the caller closed the flow: it no longer counts as open, but is found until it expires. */
   close(flow: Flow, nowMs: number): void {
     if (flow.phase === 'closing') return;
     flow.phase = 'closing';
--- a/src/cookie-edge/forwarding/flow-expiry.ts
+++ b/src/cookie-edge/forwarding/flow-expiry.ts
@@ -1,6 +1,6 @@
 /**
- * Sweeps the flow cache by the rule in `flow-expiry-rule.ts`, and forgets departed back ends whose flows must have ended. Owns the time
- * of the next sweep; relies on the housekeeping to call it once a tick.
+ * Sweeps the flow cache by the rule in `flow-expiry-rule.ts`, and forgets departed back ends whose flows must have
+ * ended. Owns the time of the next sweep; relies on the housekeeping to call it once a tick.
  */
 import type { RoutingKnowledge } from '../routing/index.js';
 import { EXPIRY_INTERVAL_MS } from './constants.js';
--- a/src/cookie-edge/forwarding/flow-failures.ts
+++ b/src/cookie-edge/forwarding/flow-failures.ts
@@ -18,8 +18,8 @@
   constructor(private readonly options: FlowFailuresOptions) {}
 
   /**
-   * Counts a failure that began at `sinceMs` against the flow's back end, once for each opening and each piece of data: a caller
-   * that repeats often must not eject a back end alone.
+   * Counts a failure that began at `sinceMs` against the flow's back end, once for each opening and each piece of data:
+   * a caller that repeats often must not eject a back end alone.
    */
   report(flow: Flow, sinceMs: number, nowMs: number): void {
     const { states, dead, isOn } = this.options;
--- a/src/cookie-edge/forwarding/flow-follower.ts
+++ b/src/cookie-edge/forwarding/flow-follower.ts
@@ -1,6 +1,7 @@
 /**
- * Follows flows by their callers' packets, since answers do not pass a balancer: what a caller acknowledges proves that the back end
- * lives and ends a request; data that it repeats counts against the back end. Relies on TCP sequence numbers; owns no state.
+ * Infers from callers' packets whether back ends answer, since answers bypass a balancer. A new acknowledgement proves
+ * that the back end lives, and ends a request. Retransmitted data counts as a failure of the back end. Relies on TCP
+ * sequence numbers; owns no state.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
@@ -27,7 +28,10 @@
 export class FlowFollower {
   constructor(private readonly options: FlowFollowerOptions) {}
 
-  /** Follows a packet that is no SYN and goes to `backend`, which its cookie may have changed. */
+  /**
+   * Follows a packet that is no SYN and goes to `backend`, which may differ from the remembered one: the cookie
+   * decides.
+   */
   follow(packet: CookiePacket, flow: Flow, backend: KnownBackend, nowMs: number): void {
     const { cache, pending, states } = this.options;
     pending.settle(flow);
@@ -68,7 +72,9 @@
     }
   }
 
-  /** New data while no request is outstanding begins one; further packets of the same request follow before its answer. */
+  /**
+   * New data while no request is outstanding begins one; further packets of the same request follow before its answer.
+   */
   private beginRequest(flow: Flow, nowMs: number): void {
     const { isOn, answers } = this.options;
     if (flow.request || !isOn('outlier-detection')) return;
--- a/src/cookie-edge/forwarding/flow-id.ts
+++ b/src/cookie-edge/forwarding/flow-id.ts
@@ -1,4 +1,4 @@
-/** The id of a flow in logs: `caller:port>service:port`. */
+/** Formats the id of a flow in logs: `caller:port>service:port`. */
 import type { ResetTarget } from '../../fabric/cookie-edge.js';
 import { formatIpv4 } from '../../fabric/ipv4-address.js';
 
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -1,6 +1,6 @@
 /**
- * The periodic work of forwarding: pauses of the process, unanswered openings, ejections, outliers and expiry. Owns the timer; what is
- * checked belongs to the collaborators.
+ * The periodic work of forwarding: pauses of the process, unanswered openings, ejections, outliers and expiry. Owns the
+ * timer; what is checked belongs to the collaborators.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -1,6 +1,7 @@
 /**
- * Handles packets that are no SYN: carries out what `mid-flow-rule.ts` decides, counts it and logs it. Owns no state; relies on the
- * cookie registry and the flow cache to name a packet's back end, and on `FlowFollower` to learn from the packet.
+ * Handles packets that are no SYN: carries out what `mid-flow-rule.ts` decides, counts it and logs it. Owns no state;
+ * relies on the cookie registry and the flow cache to name a packet's back end, and on `FlowFollower` to learn from the
+ * packet.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { EventLog } from '../../observability/event.js';
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Handles SYNs: asks the rules (`syn-rule.ts`, `retransmission-rule.ts`, `placement/new-flow-rule.ts`) for an outcome, carries it out
- * and has it logged. Owns no state; relies on the flow cache to tell retransmissions from new flows.
+ * Handles SYNs: carries out what `syn-rule.ts`, `retransmission-rule.ts` and `placement/new-flow-rule.ts` decide,
+ * counts it and has it logged. Owns no state; relies on the flow cache to distinguish retransmissions from new flows.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { PendingOpenings } from '../backend-health/index.js';
@@ -62,7 +62,7 @@
     sender.forward(placement.state.backend);
   }
 
-  /** Records a new flow. A full cache only costs what the cache is for: the flow is forwarded by its cookie. */
+  /** Records a new flow. With a full cache the flow is not remembered, but still forwarded by its cookie. */
   private open(packet: CookiePacket, placement: Placement, nowMs: number): void {
     const { newFlows, cache, pending, statistics } = this.options;
     newFlows.recordPlacement(placement, nowMs);
--- a/src/cookie-edge/forwarding/opening-log.ts
+++ b/src/cookie-edge/forwarding/opening-log.ts
@@ -1,4 +1,4 @@
-/** Log events about SYNs: what became of each, and what this balancer knew at that time. */
+/** Logs what became of each SYN and what this balancer knew at that time. Owns no state. */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { EventLog } from '../../observability/event.js';
 import type { BackendEligibility, Placement } from '../placement/index.js';
--- a/src/cookie-edge/forwarding/packet-sender.ts
+++ b/src/cookie-edge/forwarding/packet-sender.ts
@@ -1,4 +1,7 @@
-/** Sends the packet that is being handled on to a back end, or answers it with a reset. */
+/**
+ * Forwards the current packet to a back end, or answers it with a reset. Owns no state; relies on the edge to hold the
+ * current packet.
+ */
 import type { CookieEdgePort } from '../../fabric/cookie-edge.js';
 import type { KnownBackend } from '../routing/index.js';
 import type { CookieRegistry } from './cookie-registry.js';
@@ -15,7 +18,10 @@
 export class PacketSender {
   constructor(private readonly options: PacketSenderOptions) {}
 
-  /** Forwards to a back end with the cookie that names it; drops and counts the packet where both of its cookies are taken. */
+  /**
+   * Forwards to a back end with the cookie that names it; drops and counts the packet where both of its cookies are
+   * taken.
+   */
   forward(backend: KnownBackend): void {
     const { edge, cookies, statistics } = this.options;
     const cookie = cookies.cookieOf(backend);
--- a/src/cookie-edge/forwarding/retransmission-rule.ts
+++ b/src/cookie-edge/forwarding/retransmission-rule.ts
@@ -1,12 +1,13 @@
 /**
  * Rule: where a retransmitted SYN goes whose flow is remembered.
  *
- * Prevents both that a flow is opened at two back ends and that a caller spends all its attempts on one that does not answer. Does no
- * input or output.
+ * Prevents both that a flow is opened at two back ends and that a caller spends all its attempts on one that does not
+ * answer. Does no input or output.
  *
- * Inputs: the phase of the flow, the liveness of its back end, the back end that a new flow would get now. Order: a flow that its
- * caller went on with stays; so does one whose back end is not ejected or dead, even if it is suspect, cordoned or draining, since
- * its answer may be on its way. Only then another back end is chosen. Where none is found, or the same one, the flow stays.
+ * Inputs: the phase of the flow, the liveness of its back end, the back end that a new flow would get now. Order: a
+ * flow that its caller continued stays; so does one whose back end is not ejected or dead, even if it is suspect,
+ * cordoned or draining, since its answer may be on its way. Only then another back end is chosen. Where none is found,
+ * or the same one, the flow stays.
  */
 import type { LocalBackendState, Liveness } from '../backend-health/index.js';
 import type { Placement } from '../placement/index.js';
