--- a/src/cookie-edge/placement/backend-eligibility.ts
+++ b/src/cookie-edge/placement/backend-eligibility.ts
@@ -1,20 +1,25 @@
 /**
  * Rule: which back ends may get a new flow of a route at all.
  *
- * Prevents new flows at back ends that must not have them whatever their load: no fallback class of the placement overrides this
- * rule. Does no input or output.
+ * Prevents new flows at back ends that must not have them whatever their load: no fallback class of the placement
+ * overrides this rule. Does no input or output.
  *
- * Order: what the record says comes first, because it needs no state of the back end; `cold` is last among these, because its
- * test is the only one that costs a ranking of the fleet. Then what this balancer has seen: `full`, `dead`. Missing knowledge: a
- * zone without a region is in no allowed region; a service without a limit of connections or a cold rate is not limited.
+ * Order: what the record says comes first, because it needs no state of the back end; `cold` is last among these,
+ * because its test is the only one that costs a ranking of the fleet. Then what this balancer has seen: `full`, `dead`.
+ * Missing knowledge: a zone without a region is in no allowed region; a service without a limit of connections or a
+ * cold rate is not limited.
  *
- * Relies on the routing knowledge for records, cordons and limits, and on the back end's state for open flows and dead verdicts.
+ * Relies on the routing knowledge for records, cordons and limits, and on the back end's state for open flows and dead
+ * verdicts.
  */
 import type { LocalBackendState } from '../backend-health/index.js';
 import type { KnownBackend, Route, RoutingKnowledge } from '../routing/index.js';
 import type { ColdAdmission } from './cold-admission.js';
 
-/** Why a record or a limit of the deployment excludes a back end. `cold`: its rate of new flows in slow start is used up. */
+/**
+ * Why a record or a limit of the deployment excludes a back end. `cold`: its rate of new flows in slow start is used
+ * up.
+ */
 export type RecordExclusion = 'departed' | 'draining' | 'cordoned' | 'region' | 'cold';
 
 /** Why the state of a back end excludes it. `full`: it holds its maximum of flows; `dead`: a dead verdict holds. */
@@ -32,7 +37,10 @@
   readonly regionOf: (zone: string) => string | undefined;
 }
 
-/** Why a back end's state excludes it; undefined when it does not. `maxConnections` limits this balancer's open flows there. */
+/**
+ * Why a back end's state excludes it; undefined when it does not. `maxConnections` limits this balancer's open flows
+ * there.
+ */
 export function stateExclusionOf(
   state: LocalBackendState,
   maxConnections: number,
@@ -59,8 +67,8 @@
   }
 
   /**
-   * Why its record excludes `backend` from new flows of `route`; undefined when it does not. A departed back end whose record may
-   * only have lapsed is not excluded: it is the last resort of its service.
+   * Why its record excludes `backend` from new flows of `route`; undefined when it does not. A departed back end whose
+   * record may only have lapsed is not excluded: it is the last resort of its service.
    */
   recordExclusionOf(backend: KnownBackend, route: Route, nowMs: number): RecordExclusion | undefined {
     const { knowledge } = this.options;
--- a/src/cookie-edge/placement/backend-load.ts
+++ b/src/cookie-edge/placement/backend-load.ts
@@ -3,10 +3,11 @@
  *
  * Prevents uneven load: equal load means equal shares of the capacity in use. Does no input or output.
  *
- * Unit: flows of this balancer for each unit of capacity, counting the new one. Flows that were just closed count as well;
- * otherwise a back end without long flows would get every short one, because each has ended before the next comes. A back end in
- * slow start counts with `COLD_CAPACITY_SHARE` of its capacity. A back end of another zone needs `zoneMargin` flows less for each
- * unit of capacity, and its load counts `zoneLoadFactor` times, which bounds how much more the own zone gets.
+ * Unit: flows of this balancer for each unit of capacity, counting the new one. Flows that were just closed count as
+ * well; otherwise a back end without long flows would get every short one, because each has ended before the next
+ * comes. A back end in slow start counts with `COLD_CAPACITY_SHARE` of its capacity. A back end of another zone needs
+ * `zoneMargin` flows less for each unit of capacity, and its load counts `zoneLoadFactor` times, which bounds how much
+ * more the own zone gets.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { LocalBackendState } from '../backend-health/index.js';
--- a/src/cookie-edge/placement/candidate-classes.ts
+++ b/src/cookie-edge/placement/candidate-classes.ts
@@ -3,9 +3,10 @@
  *
  * Prevents new flows at back ends that probably do not answer while others do. Does no input or output.
  *
- * Inputs: the state of the back end, the current time and the slow handshake threshold in monotonic ms, the verdict of outlier
- * detection. Order: a departed record is tested first, because it serves as a last resort only and only if alive; then liveness;
- * the outlier test is last, because it applies to back ends that are alive otherwise. A back end of which nothing is known is alive.
+ * Inputs: the state of the back end, the current time and the slow handshake threshold in monotonic ms, the verdict of
+ * outlier detection. Order: a departed record is tested first, because it serves as a last resort only and only if
+ * alive; then liveness; the outlier test is last, because it applies to back ends that are alive otherwise. A back end
+ * of which nothing is known is alive.
  */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { LocalBackendState, Liveness } from '../backend-health/index.js';
@@ -80,7 +81,10 @@
     return state.hasSlowHandshake(nowMs, slowHandshakeMs) ? 'suspect' : liveness;
   }
 
-  /** A record that may only have lapsed serves for `LAPSED_RECORD_MS` if packets since then show that its back end lives. */
+  /**
+   * A record that may only have lapsed serves for `LAPSED_RECORD_MS` if packets since then show that its back end
+   * lives.
+   */
   private isLastResort(state: LocalBackendState, liveness: Liveness, nowMs: number): boolean {
     const missedAtMs = state.backend.departedAtMs ?? 0;
     if (nowMs - missedAtMs >= LAPSED_RECORD_MS || !this.isOn('lapsed-records')) return false;
--- a/src/cookie-edge/placement/class-choice.ts
+++ b/src/cookie-edge/placement/class-choice.ts
@@ -1,12 +1,13 @@
 /**
  * Rule: which class of candidates a new flow is placed in.
  *
- * Prevents an outage by ejections: when too many candidates are ejected (`MAX_EJECTED_SHARE`), the balancer's own network is the
- * likelier cause, and all recorded candidates serve (panic mode). Does no input or output.
+ * Prevents an outage by ejections: when too many candidates are ejected (`MAX_EJECTED_SHARE`), the balancer's own
+ * network is the likelier cause, and all recorded candidates serve (panic mode). Does no input or output.
  *
- * Inputs: the candidates by class. Order: the trial opening comes first, but only while another back end is alive, so that the
- * caller's next attempt can succeed elsewhere; then panic mode; then the best class that is not empty. Panic mode also covers the
- * case that only ejected candidates are left. Lapsed records count neither for nor against the panic threshold.
+ * Inputs: the candidates by class. Order: the trial opening comes first, but only while another back end is alive, so
+ * that the caller's next attempt can succeed elsewhere; then panic mode; then the best class that is not empty. Panic
+ * mode also covers the case that only ejected candidates are left. Lapsed records count neither for nor against the
+ * panic threshold.
  */
 import type { LocalBackendState } from '../backend-health/index.js';
 import type { Candidates } from './candidate-classes.js';
--- a/src/cookie-edge/placement/equal-candidates.ts
+++ b/src/cookie-edge/placement/equal-candidates.ts
@@ -1,12 +1,13 @@
 /**
  * Rule: which of the least loaded candidates gets a new flow.
  *
- * Prevents hot spots that one balancer's few flows do not show: back ends that load reports call busy are passed over. Does no
- * input or output.
+ * Prevents hot spots that one balancer's few flows do not show: back ends that are busy according to load reports are
+ * passed over. Does no input or output.
  *
- * Ties: equal loads are ordered by a hash of flow and back end, so that balancers with the same knowledge choose equally and
- * retransmissions of a SYN meet one back end; equal hashes keep the order of the candidates. Load reports are used only while they
- * say more than the balancer's own flows (`LOAD_MAX_OWN_SHARE`). A back end without a report counts as not busy.
+ * Ties: equal loads are ordered by a hash of flow and back end, so that balancers with the same knowledge choose
+ * equally and retransmissions of a SYN meet one back end; equal hashes keep the order of the candidates. Load reports
+ * are used only while they say more than the balancer's own flows (`LOAD_MAX_OWN_SHARE`). A back end without a report
+ * counts as not busy.
  */
 import { combine32 } from '../../common/hash.js';
 import type { LocalBackendState } from '../backend-health/index.js';
--- a/src/cookie-edge/placement/load-balance.test.ts
+++ b/src/cookie-edge/placement/load-balance.test.ts
@@ -1,6 +1,6 @@
 /**
- * Imbalance in a large fleet, simulated: 195 balancers, 164 back ends and 726 callers whose flows last 20 s. Each balancer holds
- * three or four flows; back ends' load is measured and reported as the daemons do it.
+ * Imbalance in a large fleet, simulated: 195 balancers, 164 back ends and 726 callers whose flows last 20 s. Each
+ * balancer holds three or four flows; back ends' load is measured and reported as the daemons do it.
  */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
--- a/src/cookie-edge/placement/replayed-load.ts
+++ b/src/cookie-edge/placement/replayed-load.ts
@@ -1,7 +1,7 @@
 /**
- * Replays a load against balancers on a virtual clock, for tests: callers that open a flow for each request, and callers that keep one
- * with pauses; back ends with slots and a queue, of which some are slow or never answer. Reports of bad answers reach the other
- * balancers after a delay.
+ * Replays a load against balancers on a virtual clock, for tests: callers that open a flow for each request, and
+ * callers that keep one with pauses; back ends with slots and a queue, of which some are slow or never answer. Reports
+ * of bad answers reach the other balancers after a delay.
  */
 import { VirtualClock } from '../../common/clock.js';
 import type { Mechanism } from '../../common/mechanisms.js';
@@ -9,7 +9,7 @@
 import { ForwarderHarness } from '../forwarding/cookie-test-support.js';
 import { backendAt } from '../routing/routing-test-support.js';
 
-/** What a replay is about. */
+/** Parameters of a replay. */
 export interface ReplayedDay {
   readonly balancers: number;
   readonly backends: number;
@@ -24,7 +24,7 @@
   readonly slownessOf: (backend: number, nowMs: number) => number;
   /** Requests a second as a multiple. */
   readonly burstAt?: (nowMs: number) => number;
-  /** True while nothing that balancers tell each other arrives. */
+  /** True while no gossip between balancers arrives. */
   readonly gossipLostAt?: (nowMs: number) => boolean;
   readonly switchedOff?: readonly Mechanism[];
   readonly seed: number;
@@ -42,7 +42,10 @@
 const SLOTS = 2;
 /** Standard deviation of the logarithm of the work. */
 const WORK_SPREAD = 0.5;
-/** Time in ms in which a report reaches the other balancers. Not measured; chosen as two to three messages, 150 ms apart. */
+/**
+ * Time in ms in which a report reaches the other balancers. Not measured; chosen as two to three messages, 150 ms
+ * apart.
+ */
 const GOSSIP_MS = 400;
 /** A caller closes the flow of a request that takes longer than this, in ms. */
 const DEADLINE_MS = 2_000;
--- a/src/cookie-edge/placement/traffic-splitter.ts
+++ b/src/cookie-edge/placement/traffic-splitter.ts
@@ -3,10 +3,10 @@
  *
  * Prevents short runs that miss the configured weights, as choices by chance do. Does no input or output.
  *
- * Smooth weighted round robin: each flow credits every service with its share, and the service with the highest credit pays one
- * flow. Order: services without a candidate are passed over; where no service has one, all stay in the choice, so that credits go
- * on. Ties go to the first in the route. A route with new weights, or one met for the first time, starts with random credits, so
- * that balancers with few flows each do not all begin with the same service.
+ * Smooth weighted round robin: each flow credits every service with its share, and the service with the highest credit
+ * pays one flow. Order: services without a candidate are passed over; where no service has one, all stay in the choice,
+ * so that credits go on. Ties go to the first in the route. A route with new weights, or one met for the first time,
+ * starts with random credits, so that balancers with few flows each do not all begin with the same service.
  */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { RandomSource } from '../../common/random.js';
@@ -30,8 +30,8 @@
   ) {}
 
   /**
-   * Service of the next flow of `route`; undefined for a route without services. `hasCandidate` is not asked where there is only
-   * one service.
+   * Returns the service of the next flow of `route`; undefined for a route without services. `hasCandidate` is not
+   * called for a route with one service.
    */
   choose(route: Route, hasCandidate: (service: string) => boolean): string | undefined {
     if (route.targets.length <= 1) return route.targets[0]?.service;
