--- a/src/cookie-edge/backend-health/backend-prober.ts
+++ b/src/cookie-edge/backend-health/backend-prober.ts
@@ -1,6 +1,7 @@
 /**
- * Sends probes: connections that tell whether anything listens at a back end's address. `dead-verdict.ts` decides what they mean.
- * Relies on the pause detector to tell whether this process may have slept through an answer.
+ * Sends probes: connections that test whether a process listens at a back end's address. Owns the count of probes;
+ * `dead-verdict.ts` decides what they mean. Relies on the pause detector to recognize a pause of this process, in which
+ * an answer may have been missed.
  */
 import type { Clock } from '../../common/clock.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
@@ -9,10 +10,10 @@
 import { PROBE_SPACING_MS, PROBE_TIMEOUT_MS } from './constants.js';
 import { findingOf, findingOfPair } from './dead-verdict.js';
 
-/** What a connection to a back end's address met. */
+/** How a connection to a back end's address ended; `silent`: no response until the timeout. */
 export type ProbeOutcome = 'answered' | 'refused' | 'silent';
 
-/** What one probe, or a pair, tells; `inconclusive` when this process may have slept through the answer. */
+/** Result of one probe or of a pair; `inconclusive` when this process may have paused while the answer came. */
 export type ProbeFinding = ProbeOutcome | 'inconclusive';
 
 /** Opens a connection and closes it as soon as it is answered. Never rejects. */
@@ -37,7 +38,8 @@
   }
 
   /**
-   * Sends a second probe `PROBE_SPACING_MS` after the first, unless that was answered or refused by then. Never rejects.
+   * Sends a second probe `PROBE_SPACING_MS` after the first, unless that was answered or refused by then. Never
+   * rejects.
    *
    * @param onUnanswered called just before the second probe is sent
    */
--- a/src/cookie-edge/backend-health/dead-backends.test.ts
+++ b/src/cookie-edge/backend-health/dead-backends.test.ts
@@ -1,4 +1,4 @@
-/** When a back end is held dead, and what becomes of its flows. */
+/** When a back end gets a dead verdict, and what becomes of its flows. */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -1,7 +1,7 @@
 /**
- * Probes back ends in doubt, carries out the dead verdicts that `dead-verdict.ts` decides, and resets the flows that are open there.
- * Owns the probes under way, the verdicts that are renewed, and the newest back end at each address. Relies on `LocalBackendStates` for signs
- * of life, and on the flow cache to find a back end's flows.
+ * Probes back ends in doubt, carries out the dead verdicts that `dead-verdict.ts` decides, and resets the flows that
+ * are open there. Owns the probes under way, the verdicts that are renewed, and the newest back end at each address.
+ * Relies on `LocalBackendStates` for signs of life, and on the flow cache to find a back end's flows.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import { pause } from '../../common/pause.js';
@@ -80,7 +80,10 @@
     void this.check(state).finally(() => this.probing.delete(state));
   }
 
-  /** Records a back end that became known: of two starts at one address the earlier one has ended. */
+  /**
+   * Registers a back end that became known. Of two starts at one address the earlier one has ended and is declared
+   * dead.
+   */
   registerBackend(backend: KnownBackend): void {
     if (!this.options.isOn('dead-back-ends')) return;
     const address = formatEndpoint(backend.record.endpoint);
@@ -121,8 +124,9 @@
   }
 
   /**
-   * Gossips a back end that has not answered a probe so far, unless this daemon has not heard from any other back end either. Others with flows there then
-   * need not wait for failures of their own, nor for this daemon's proof.
+   * Gossips a back end that has not answered its first probe, so that other daemons with flows there probe it without
+   * waiting for failures of their own. Does nothing while no other back end answers either, since this daemon may be
+   * the one that is cut off.
    */
   private gossipDoubt(state: LocalBackendState, sinceMs: number): void {
     const nowMs = this.options.clock.now();
@@ -137,8 +141,8 @@
   }
 
   /**
-   * Renews a verdict as long as further probes prove it again, so that no caller's flow has to try the back end, and gossips it
-   * again. Ends with an answered probe, or when the verdict lapses.
+   * Renews and gossips a verdict as long as further probes prove it, so that no caller's flow is spent on a trial. Ends
+   * with an answered probe, or when the verdict lapses.
    */
   private async renewVerdict(state: LocalBackendState): Promise<void> {
     const { clock } = this.options;
@@ -156,7 +160,9 @@
     }
   }
 
-  /** False for a back end that gets no flows anyway, or at whose address another one listens. */
+  /**
+   * False for a departed back end, for one whose verdict has ended, and for one at whose address a later one started.
+   */
   private mayRenew(state: LocalBackendState): boolean {
     const { backend } = state;
     const isNewest = this.newestAt.get(formatEndpoint(backend.record.endpoint)) === backend;
--- a/src/cookie-edge/backend-health/dead-verdict.ts
+++ b/src/cookie-edge/backend-health/dead-verdict.ts
@@ -1,11 +1,13 @@
 /**
- * Decides when a back end is probed, when it is proved dead, and how long that verdict lasts. Prevents that each open flow there, and the
- * next request on it, waits for its caller's deadline: on a day with failing back ends the verdicts cut failed requests from 401
- * to 95 (one run each, then with two probes of 400 ms). Does no input or output. Times are monotonic ms.
+ * Decides when a back end is probed, when it is proved dead, and how long that verdict lasts. Prevents that each
+ * request on an open flow there waits for its caller's deadline: on a day with failing back ends the verdicts cut
+ * failed requests from 401 to 95 (one run each, then with two probes of 400 ms). Does no input or output. Times are
+ * monotonic ms.
  *
- * Missing answers to callers' packets are no proof, because a busy back end acknowledges late. Proofs are a refused probe, since a
- * refusal came over a working network; a pair of silent probes while other back ends give signs of life; and a later start
- * recorded at the same address, where only one process can listen. Another daemon's proof does not count, because its links may be cut.
+ * Missing answers to callers' packets are no proof, because a busy back end acknowledges late. Proofs are a refused
+ * probe, since a refusal came over a working network; a pair of silent probes while other back ends give signs of life;
+ * and a later start recorded at the same address, where only one process can listen. Another daemon's proof does not
+ * count, because its links may be cut.
  */
 import type { KnownBackend } from '../routing/index.js';
 import type { ProbeFinding, ProbeOutcome } from './backend-prober.js';
@@ -40,7 +42,10 @@
 export type ProbeDecision =
   'probe' | 'no-flows' | 'already-dead' | 'already-probing' | 'too-many-probes' | 'just-answered';
 
-/** Without flows here there is nothing to reset, so that is tested first. A back end left out is probed at its next failure. */
+/**
+ * Tests for flows first: without any there is nothing to reset. A back end that is not probed now is probed at its next
+ * failure.
+ */
 export function decideProbe(request: ProbeRequest): ProbeDecision {
   if (request.openFlows === 0) return 'no-flows';
   if (request.isDead) return 'already-dead';
@@ -49,13 +54,19 @@
   return request.nowMs - request.answeredAtMs < PROBE_AGAIN_MS ? 'just-answered' : 'probe';
 }
 
-/** What one probe tells. An answer always counts; anything else only if this process cannot have slept through the answer. */
+/**
+ * Result of one probe. An answer always counts; anything else only if this process did not pause while an answer may
+ * have come.
+ */
 export function findingOf(outcome: ProbeOutcome, tookMs: number, mayHavePaused: boolean): ProbeFinding {
   if (outcome === 'answered') return outcome;
   return tookMs > PROBE_TIMEOUT_MS + PROBE_LATE_MS || mayHavePaused ? 'inconclusive' : outcome;
 }
 
-/** What two overlapping probes tell: an answer outweighs a refusal, and either one outweighs silence, which a lost packet explains. */
+/**
+ * Result of two overlapping probes: an answer outweighs a refusal, and both outweigh silence, which a lost packet may
+ * explain.
+ */
 export function findingOfPair(first: ProbeFinding, second: ProbeFinding): ProbeFinding {
   if (first === 'answered' || second === 'answered') return 'answered';
   if (first === 'refused' || second === 'refused') return 'refused';
@@ -103,7 +114,10 @@
   readonly atMs: number;
 }
 
-/** True when a death is the second one of different back ends of a zone within `DEAD_IN_ZONE_MS`: the zone may be cut off. */
+/**
+ * True when a death is the second one of different back ends of a zone within `DEAD_IN_ZONE_MS`: the zone may be cut
+ * off.
+ */
 export function putsZoneInDoubt<Backend>(
   before: ZoneDeath<Backend> | undefined,
   death: ZoneDeath<Backend>,
@@ -111,7 +125,10 @@
   return before !== undefined && before.state !== death.state && death.atMs - before.atMs < DEAD_IN_ZONE_MS;
 }
 
-/** True when `backend` started later than the one known at its address. Of records with equal revisions the known one stays. */
+/**
+ * True when `backend` started later than the one known at its address. Of records with equal revisions the known one
+ * stays.
+ */
 export function isLaterStart(backend: KnownBackend, known: KnownBackend | undefined): boolean {
   return !known || backend.record.createdRevision > known.record.createdRevision;
 }
--- a/src/cookie-edge/backend-health/ejection-report.ts
+++ b/src/cookie-edge/backend-health/ejection-report.ts
@@ -1,7 +1,8 @@
 /**
- * Decides how long another daemon's ejection of a back end makes it suspect here. Prevents that each daemon loses callers' openings of its
- * own to find a dead back end. A report only makes suspect and never ejects, because the reporter's links may be at fault. Does no
- * input or output. Times are monotonic ms of this daemon.
+ * Decides how long another daemon's ejection of a back end makes it suspect here. Prevents that each daemon finds a
+ * dead back end only by losing openings of its own callers. A report only makes suspect and never ejects, because the
+ * reporter's links may be at fault. Does no input or output; owns the time of the last report. Times are monotonic ms
+ * of this daemon.
  */
 import { SHARED_SUSPECT_MS, SUSPECT_MS } from './constants.js';
 
@@ -13,8 +14,9 @@
   private reportedAtMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * Records an ejection at `atMs`. A sign of life at that time or later disproves it, which is tested first because it is what this
-   * daemon saw itself. A report less than `SUSPECT_MS` after the last one is a duplicate, and so is an older one.
+   * Records an ejection at `atMs`. A sign of life at that time or later disproves it, which is tested first because it
+   * is what this daemon saw itself. A report less than `SUSPECT_MS` after the last one is a duplicate, and so is an
+   * older one.
    */
   apply(atMs: number, lastSignOfLifeMs: number): ReportOutcome {
     if (lastSignOfLifeMs >= atMs) return 'disproved';
--- a/src/cookie-edge/backend-health/index.ts
+++ b/src/cookie-edge/backend-health/index.ts
@@ -1,10 +1,11 @@
 /**
- * Health of back ends as this daemon sees it: which ones are ejected, suspect, slow to answer or dead. Owns what is known of each back
- * end and the probes. Relies on forwarding to report answers, failures and placements, on gossip for other daemons' ejections,
- * and on routing for the records.
+ * Health of back ends as this daemon sees it: which ones are ejected, suspect, slow to answer or dead. Owns what is
+ * known of each back end and the probes. Relies on forwarding to report answers, failures and placements, on gossip for
+ * other daemons' ejections, and on routing for the records.
  *
- * One module a rule: `passive-ejection.ts`, `ejection-report.ts`, `slow-handshake.ts` and `dead-verdict.ts` decide; `local-backend-state.ts`
- * orders them for one back end; `local-backend-states.ts` and `dead-backends.ts` carry the outcomes out and log them.
+ * One module a rule: `passive-ejection.ts`, `ejection-report.ts`, `slow-handshake.ts` and `dead-verdict.ts` decide;
+ * `local-backend-state.ts` orders them for one back end; `local-backend-states.ts` and `dead-backends.ts` carry the
+ * outcomes out and log them.
  */
 export type { ConnectProbe, ProbeOutcome } from './backend-prober.js';
 export type { LocalBackendState, Liveness } from './local-backend-state.js';
--- a/src/cookie-edge/backend-health/local-backend-state.ts
+++ b/src/cookie-edge/backend-health/local-backend-state.ts
@@ -1,6 +1,7 @@
 /**
- * What this daemon knows of one back end: its own flows there and the last sign of life, and from these whether new flows should go
- * there. A caller that continues an opening, or acknowledges new data, proves that its back end lives. The rules stand in
+ * What this daemon itself observed of one back end: its own flows there, failures and the last sign of life, and from
+ * these whether new flows should go there. A sign of life is a caller that continues an opening or acknowledges new
+ * data. Owns the observations of one back end; relies on forwarding to report them. The rules stand in
  * `passive-ejection.ts`, `ejection-report.ts`, `dead-verdict.ts` and `slow-handshake.ts`; this class only orders them.
  */
 import { hashString } from '../../common/hash.js';
@@ -11,7 +12,7 @@
 import { PassiveEjection } from './passive-ejection.js';
 import { hasSlowHandshake } from './slow-handshake.js';
 
-/** Whether a back end should get new flows, as far as packets tell. */
+/** Whether a back end should get new flows, judged by packets alone. `trial`: ejected, and due for a trial opening. */
 export type Liveness = 'alive' | 'suspect' | 'trial' | 'ejected';
 
 /** Passive health and load of one back end. Times are monotonic ms. */
@@ -68,12 +69,16 @@
     if (this.lastSignOfLifeMs < sinceMs) this.ejection.recordFailure(nowMs, sinceMs);
   }
 
-  /** Ejects the back end where `PassiveEjection.judge` says so; returns true when that begins an ejection. */
+  /**
+   * Ejects the back end where `PassiveEjection.judge` says so; returns true when that begins an ejection.
+   *
+   * @param othersAliveMs time of the last sign of life of any other back end; -Infinity without any
+   */
   tryEject(nowMs: number, othersAliveMs: number): boolean {
     return this.ejection.judge(nowMs, othersAliveMs) === 'eject';
   }
 
-  /** Records a dead verdict and its end. */
+  /** Records a dead verdict that ends at `untilMs`; the present time ends one at once. */
   recordDeadVerdict(untilMs: number): void {
     this.verdict.hold(untilMs);
   }
@@ -88,7 +93,10 @@
     return this.report.apply(atMs, this.lastSignOfLifeMs) === 'new';
   }
 
-  /** A dead verdict comes first because it is proved; a report counts only where this daemon has seen no failure itself. */
+  /**
+   * Tests a dead verdict first because it is proved, then this daemon's own failures. Another daemon's report counts
+   * only where this daemon has seen no failure itself.
+   */
   liveness(nowMs: number): Liveness {
     if (this.isDead(nowMs)) return 'ejected';
     const phase = this.ejection.phaseAt(nowMs);
--- a/src/cookie-edge/backend-health/local-backend-states.ts
+++ b/src/cookie-edge/backend-health/local-backend-states.ts
@@ -1,6 +1,7 @@
 /**
- * Carries out and logs passive ejections. Owns the `LocalBackendState` of each back end that was met, and the last signs of life of any two,
- * because a back end is judged by whether others answer. Relies on forwarding to report signs of life and failures.
+ * Carries out and logs passive ejections. Owns the `LocalBackendState` of each back end that was met, and the newest
+ * signs of life of two different back ends, because a back end is judged by whether others answer. Relies on forwarding
+ * to report signs of life and failures.
  */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { EventLog } from '../../observability/event.js';
@@ -8,7 +9,7 @@
 import type { KnownBackend } from '../routing/index.js';
 import { LocalBackendState } from './local-backend-state.js';
 
-/** A back end's last sign of life. */
+/** A sign of life and the back end that gave it. */
 interface NewestSignOfLife {
   readonly state: LocalBackendState | undefined;
   readonly atMs: number;
@@ -72,7 +73,10 @@
     this.events.emit(COOKIE_FLOW_EVENTS.backendRevived, { backend: state.backend.id });
   }
 
-  /** Records a failure that began at `sinceMs`, and judges the back end. Does nothing while `passive-health` is switched off. */
+  /**
+   * Records a failure that began at `sinceMs`, and judges the back end. Does nothing while `passive-health` is switched
+   * off.
+   */
   recordFailure(state: LocalBackendState, sinceMs: number, nowMs: number): void {
     if (!this.isOn('passive-health')) return;
     state.recordFailure(nowMs, sinceMs);
--- a/src/cookie-edge/backend-health/own-flows.ts
+++ b/src/cookie-edge/backend-health/own-flows.ts
@@ -1,4 +1,4 @@
-/** Counts the flows that this daemon has placed at one back end, as the load that placement compares. Owns only the counts. */
+/** Counts this daemon's flows at one back end, the load that placement compares. Owns only the counts. */
 import { DecayingRate } from '../../common/decaying-rate.js';
 import { CLOSED_FLOW_COUNTS_MS } from './constants.js';
 
--- a/src/cookie-edge/backend-health/pending-openings.ts
+++ b/src/cookie-edge/backend-health/pending-openings.ts
@@ -1,6 +1,7 @@
 /**
- * Openings whose callers have not continued them yet: finds those that are unanswered, and measures how long handshakes take. Owns the
- * pending counts of `LocalBackendState`. Relies on the forwarder to report each placement and answer and to look once a tick.
+ * Tracks openings that their callers have not continued yet: finds the unanswered ones and measures handshake times.
+ * Owns the pending counts of `LocalBackendState`. Relies on forwarding to report each placement and answer, and on
+ * housekeeping to collect the unanswered ones once a tick.
  */
 import type { Flow } from '../forwarding/index.js';
 import { OPENING_ANSWER_MS } from './constants.js';
