--- a/src/cookie-edge/routing/backend-registry.ts
+++ b/src/cookie-edge/routing/backend-registry.ts
@@ -1,7 +1,8 @@
 /**
- * All back ends that this daemon has heard of. Records and removals may come from the source and from peers, in any order: the
- * one with the higher revision wins, and a removal wins over a record of the same revision. A back end that left is remembered until no
- * flow to it can be open. Owns the `KnownBackend` objects, one an id; relies on `RoutingKnowledge` to detect gaps.
+ * Registry of all back ends that are recorded, or departed recently. Records and removals may come from the source and
+ * from peers, in any order: the one with the higher revision wins, and a removal wins over a record of the same
+ * revision. A back end that left is remembered until no flow to it can be open. Owns the `KnownBackend` objects, one an
+ * id; relies on `RoutingKnowledge` to detect gaps.
  */
 import type { Clock } from '../../common/clock.js';
 import { formatEndpoint } from '../../common/types.js';
@@ -14,9 +15,9 @@
 export interface KnownBackend {
   readonly id: string;
   record: RoutedBackend;
-  /** Its record is gone from the source. */
+  /** True while its record is gone from the source. */
   departed: boolean;
-  /** It departed while its record may only have lapsed, and had not said that it leaves. */
+  /** True for a departed back end whose record may only have lapsed; one that was draining left on purpose. */
   lapsed: boolean;
   /** Highest revision of a removal of it; records up to it do not bring it back. */
   removedRevision: number;
@@ -108,8 +109,8 @@
   }
 
   /**
-   * Stores a back end that left, unless it is known or left so long ago that no flow to it can be open. Its retention counts from when
-   * it left, not from now: otherwise new daemons would gossip it to each other for ever.
+   * Stores a back end that left, unless it is known or left so long ago that no flow to it can be open. Its retention
+   * counts from when it left, not from now: otherwise new daemons would gossip it to each other for ever.
    */
   putDeparted({ record, departedAtMs }: DepartedBackend): void {
     if (this.byId.has(record.id)) return;
@@ -119,7 +120,10 @@
     if (known) known.departedAtMs = departedAtMs;
   }
 
-  /** Applies a removal; returns false when it is not newer than what is known. `mayHaveLapsed`: see `KnownBackend.lapsed`. */
+  /**
+   * Applies a removal; returns false when it is not newer than what is known. `mayHaveLapsed`: see
+   * `KnownBackend.lapsed`.
+   */
   remove(removal: BackendRemoval, mayHaveLapsed: boolean): boolean {
     const known = this.byId.get(removal.id);
     if (!known || removal.revision < known.record.revision) return false;
--- a/src/cookie-edge/routing/constants.ts
+++ b/src/cookie-edge/routing/constants.ts
@@ -1,40 +1,50 @@
 /** Timeouts of following a routing source. Durations are in ms. */
 
-/** Wait of a new reader's first watch, so that its confirmation tells others at once that somebody reads. Not measured; chosen because 1 ms is practically none. */
+/**
+ * Wait of a new reader's first watch: its confirmation shows the other daemons at once that this one reads. Not
+ * measured; chosen as practically none.
+ */
 export const FIRST_WATCH_WAIT_MS = 1;
 
 /**
- * Delay of the next watch after a response with changes, so that changes in a row come together. Not measured, and no reason is
- * recorded for the size.
+ * Delay of the next watch after a response with changes, so that one response brings several changes. Not measured, and
+ * no reason is recorded for the size.
  */
 export const CHANGE_GATHER_MS = 120;
 
 /**
- * Delay with which a new reader begins to watch the topic with long watches. Most daemons that begin to read together stop before, and
- * the responses about the other topics confirm it meanwhile. Not measured; no reason is recorded for the size.
+ * Delay before a new reader watches the topic with long watches. Most daemons that begin to read together stand down
+ * before it passes, and responses about the other topics confirm this one meanwhile. Not measured; no reason is
+ * recorded for the size.
  */
 export const LONG_WATCH_START_MS = 1_000;
 
 /** Interval at which a long watch checks the age of its topic. Not measured, and no reason is recorded. */
 export const CONFIRM_CHECK_MS = 100;
 
-/** First delay after a failed call; doubled with each further one, and jittered. Not measured, and no reason is recorded. */
+/**
+ * First delay after a failed call; doubled with each further one, and jittered. Not measured, and no reason is
+ * recorded.
+ */
 export const RETRY_MIN_MS = 100;
 
 /** Longest delay, jitter and the minimum by the number of readers apart. Not measured, and no reason is recorded. */
 export const RETRY_MAX_MS = 1_000;
 
-/** Doublings after which the delay is not computed anew. Derived: 2^10 times `RETRY_MIN_MS` is far above `RETRY_MAX_MS`. */
+/** Doublings after which the delay stays the same. Derived: 2^10 times `RETRY_MIN_MS` is far above `RETRY_MAX_MS`. */
 export const RETRY_MAX_DOUBLINGS = 10;
 
-/** Largest part of a delay that jitter adds or takes off. Not measured; chosen because daemons that fail together must not retry together. */
+/**
+ * Largest part of a delay that jitter adds or takes off. Not measured; chosen because daemons that fail together must
+ * not retry together.
+ */
 export const RETRY_DELAY_JITTER = 0.5;
 
-/** Calls that fail for this long are an outage of the source. Not measured, and no reason is recorded. */
+/** The source counts as lost once calls have failed for this long. Not measured, and no reason is recorded. */
 export const OUTAGE_AFTER_MS = 1_000;
 
 /**
- * Records that vanish within this time after an outage may have lapsed. A bound of the platform: back ends that live are recorded again
- * about 2 s after the source's return.
+ * Records that vanish within this time after an outage may have lapsed. A bound of the platform: back ends that live
+ * are recorded again about 2 s after the source's return.
  */
 export const LAPSE_AFTER_OUTAGE_MS = 2_000;
--- a/src/cookie-edge/routing/errors.ts
+++ b/src/cookie-edge/routing/errors.ts
@@ -1,10 +1,10 @@
-/** Why a call to a routing source failed. */
+/** Errors of calls to a routing source; all of them are retried except `cancelled`. */
 import { SailquayError } from '../../common/types.js';
 
 /**
- * `unavailable`: no connection, or the source says that it did nothing. `timeout`: no answer in time.
- * `throttled`: too many calls. `history-gone`: the changes asked for are forgotten, read everything.
- * `malformed`: an answer that cannot be understood. `cancelled`: the caller ended the call.
+ * `unavailable`: no connection, or the source says that it did nothing. `timeout`: no answer in time. `throttled`: too
+ * many calls. `history-gone`: the source no longer has the requested changes, so that everything must be read.
+ * `malformed`: a response that cannot be decoded. `cancelled`: the caller ended the call.
  */
 export type RoutingSourceErrorKind =
   | 'routing.unavailable'
--- a/src/cookie-edge/routing/freshness.ts
+++ b/src/cookie-edge/routing/freshness.ts
@@ -1,21 +1,31 @@
 /**
- * Derives the durations of reading the source from the freshness bound: the time within which a change must be in force everywhere. A
- * looser bound lets watches wait longer, so that the source gets fewer calls. Does no input or output.
+ * Rule: the durations of reading the source, derived from the freshness bound, the time within which a change must be
+ * in force everywhere. Prevents both knowledge that is older than the bound and calls that a looser bound makes
+ * unnecessary: with it watches wait longer. Does no input or output.
+ *
+ * Order in which the durations pass for a daemon without a confirmation: a reader's own age (`readerAgeMs`), pulls from
+ * peers (`pullAfterMs`), reads of the source (`readAfterMs` and a random part of `readSpreadMs`).
  */
 
 /** Bound of a deployment that sets none, in ms. Not measured, and no reason is recorded. */
 export const DEFAULT_FRESHNESS_BOUND_MS = 3_000;
 
-/** Loosest bound that is used, in ms. Not measured; chosen because with looser ones dead readers would stay unnoticed. */
+/**
+ * Loosest bound that is used, in ms. Not measured; chosen because with looser ones dead readers would stay unnoticed.
+ */
 const LOOSEST_BOUND_MS = 6_000;
 
 /**
- * Parts of the bound, without a unit. Not measured against other shares, and no reason is recorded for their sizes. A reader's wait and the age that it may reach add up to the bound: `WATCH_WAIT_SHARE` + `READER_AGE_SHARE` = 1.
+ * Parts of the bound, without a unit. Not measured against other shares, and no reason is recorded for their sizes. A
+ * reader's wait and the age that it may reach add up to the bound: `WATCH_WAIT_SHARE` + `READER_AGE_SHARE` = 1.
  */
 const WATCH_WAIT_SHARE = 0.45;
 const READER_AGE_SHARE = 0.55;
 
-/** Not measured against other shares; it equals four ordinary waits. Long watches of cordons alone take at most 1.15 times the calls of two topics (simulation). */
+/**
+ * Not measured against other shares; it equals four ordinary waits. Long watches of cordons alone take at most 1.15
+ * times the calls of two topics (simulation).
+ */
 const LONG_WATCH_WAIT_SHARE = 1.8;
 
 /** Half of the bound. Not measured; a long watch is broken off with half of the bound left. */
@@ -36,19 +46,22 @@
 /** Not measured, and no reason is recorded; longer than the bound, as `FreshnessTimings.readerFreshMs` explains. */
 const READER_FRESH_SHARE = 1.333;
 
-/** Bounds without a confirmation after which a reader is missed. Not measured, and no reason is recorded. */
+/**
+ * Multiple of the bound without a confirmation after which a reader counts as gone. Not measured, and no reason is
+ * recorded.
+ */
 const READER_MISSED_BOUNDS = 2;
 
 /** Durations in ms. */
 export interface FreshnessTimings {
-  /** A watch is answered after this long at the latest, so that a dead connection is noticed soon. */
+  /** Longest wait of a watch; bounds how late a dead connection is noticed. */
   readonly watchWaitMs: number;
   /**
-   * A watch of a topic that seldom changes is answered after this long at the latest. While the source's revision stands still,
-   * each answer about another topic confirms this one as well; a watch that went silent is noticed by `confirmAfterMs`.
+   * Longest wait of a watch of a topic that seldom changes. While the source's revision stands still, each response
+   * about another topic confirms this one as well; `confirmAfterMs` bounds how late a silent watch is noticed.
    */
   readonly longWatchWaitMs: number;
-  /** A long watch is broken off and asked anew, to be answered at once, when its topic was not confirmed for this long. */
+  /** A long watch is aborted and repeated with a short wait when its topic was not confirmed for this long. */
   readonly confirmAfterMs: number;
   /** Shortest wait of a watch that follows a confirmation. */
   readonly watchMinWaitMs: number;
@@ -60,13 +73,14 @@
   readonly readAfterMs: number;
   readonly readSpreadMs: number;
   /**
-   * A daemon stands down only for readers that confirmed something within this time. It may be longer than a confirmation lasts:
-   * a daemon that stood down for readers that are gone soon lacks a confirmation and reads again.
+   * A daemon stands down only for readers that confirmed something within this time. It may be longer than a
+   * confirmation lasts: a daemon that stood down for readers that are gone soon lacks a confirmation and reads again.
    */
   readonly readerFreshMs: number;
   /**
-   * A reader is missed this long after its last confirmation. Not each of its confirmations travels far, because another reader's may just
-   * have done so; and nothing hangs on it, since daemons without any confirmation read for themselves much earlier.
+   * A reader counts as gone this long after its last confirmation. Not each of its confirmations is gossiped far,
+   * because another reader's may just have been. The bound may be loose, since daemons without any confirmation read
+   * for themselves much earlier.
    */
   readonly readerMissedMs: number;
 }
--- a/src/cookie-edge/routing/index.ts
+++ b/src/cookie-edge/routing/index.ts
@@ -1,5 +1,7 @@
 /**
- * Routes and back ends of a cookie edge: the model, where it comes from, and how current it is.
+ * Routes, back ends and cordons of a cookie edge: the model, where it comes from, and how current it is. Owns what this
+ * daemon knows and the calls that follow the source; relies on a deployment's `RoutingSource` and on `spreading` to
+ * bring updates.
  *
  * ```ts
  * const knowledge = new RoutingKnowledge({ clock, events, retentionMs: 60_000 });
--- a/src/cookie-edge/routing/knowledge.ts
+++ b/src/cookie-edge/routing/knowledge.ts
@@ -1,6 +1,7 @@
 /**
- * What this daemon knows of routes, back ends and cordoned zones, up to which revision that is complete, and when it was last confirmed.
- * Owns the route table, the registry and the cordons. Relies on followers and gossip to bring updates and confirmations.
+ * What this daemon knows of routes, back ends and cordoned zones, up to which revision that is complete, and when it
+ * was last confirmed. Owns the route table, the registry and the cordons. Relies on followers and gossip to bring
+ * updates and confirmations.
  */
 import type { Clock } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
@@ -18,7 +19,7 @@
 } from './types.js';
 import { ZoneCordons } from './zone-cordons.js';
 
-/** An update that changed what is known, for those who pass it on. */
+/** An update that changed what is known, as it is gossiped further. */
 export interface AppliedUpdate {
   readonly topic: RoutingTopic;
   readonly update: RoutingUpdate;
@@ -28,7 +29,7 @@
 
 /** Where an update comes from. */
 export interface UpdateOrigin {
-  /** Revision after which the changes were asked for; ignored for a complete update. */
+  /** Revision after which the changes were requested; ignored for a complete update. */
   readonly since: number;
   /** Monotonic ms at which nothing newer than the update existed. */
   readonly confirmedAtMs: number;
@@ -56,14 +57,16 @@
   confirmedAtMs: Number.NEGATIVE_INFINITY,
 };
 
-/** The routing knowledge of one daemon. Updates may come in any order and more than once; nothing older is ever applied. */
+/**
+ * The routing knowledge of one daemon. Updates may come in any order and more than once; nothing older is ever applied.
+ */
 export class RoutingKnowledge {
   readonly backends: BackendRegistry;
   readonly cordons: ZoneCordons;
   /** What is followed; the topics of a source that are not among these are ignored. */
   readonly topics: readonly RoutingTopic[];
   private index: RouteIndex | undefined;
-  /** A change that was made for the table in force did not lead to the table that it should. */
+  /** True after a change for the table in force led to another table than its digest says. */
   private isTableDoubted = false;
   private readonly progress: Record<RoutingTopic, TopicConfirmation> = {
     routes: NOTHING_KNOWN,
@@ -113,7 +116,7 @@
     return Math.max(...this.topics.map((topic) => this.ageOf(topic)));
   }
 
-  /** How far a topic is known, to be told to others. */
+  /** The freshness confirmation of a topic, as it is gossiped. */
   confirmationOf(topic: RoutingTopic): TopicConfirmation {
     return this.progress[topic];
   }
@@ -124,8 +127,8 @@
   }
 
   /**
-   * Applies an update. Changes since a later revision than the known one leave a gap: their records are applied, but the topic does not
-   * count as known up to them.
+   * Applies an update. Changes since a later revision than the known one leave a gap: their records are applied, but
+   * the topic does not count as known up to them.
    *
    * @returns false when there is a gap, so that everything should be read
    */
@@ -157,7 +160,10 @@
     return true;
   }
 
-  /** One revision counts the changes of all topics: where nothing newer existed, each topic known up to there is current. */
+  /**
+   * One revision counts the changes of all topics: where nothing newer existed, each topic known up to there is
+   * current.
+   */
   private confirmUpTo(revision: number, confirmedAtMs: number): void {
     for (const topic of this.topics) {
       const known = this.progress[topic];
@@ -165,7 +171,7 @@
     }
   }
 
-  /** Nothing goes back: an older confirmation changes nothing. */
+  /** Never goes back: an older confirmation changes nothing. */
   private advance(topic: RoutingTopic, confirmation: TopicConfirmation): void {
     const known = this.progress[topic];
     if (confirmation.revision < known.revision) return;
@@ -210,7 +216,7 @@
     return changed !== undefined;
   }
 
-  /** The whole table is fetched then; until it comes, this one stays in force. */
+  /** Marks the table as doubtful, so that the whole one is fetched; until it comes, this one stays in force. */
   private doubtTable({ version, revision }: RouteTable, change: RouteTableChange): void {
     this.isTableDoubted = true;
     this.options.events.emit(ROUTING_EVENTS.tableDoubted, { version, revision, changeTo: change.revision });
--- a/src/cookie-edge/routing/problem-log.ts
+++ b/src/cookie-edge/routing/problem-log.ts
@@ -1,9 +1,15 @@
-/** Logs what is wrong with records of the source, each once for a revision of the record, and counts it. */
+/**
+ * Logs and counts faults in records of the source, each once for a revision of the record. Owns the set of logged
+ * faults; relies on the source to name them.
+ */
 import type { EventLog } from '../../observability/event.js';
 import { ROUTING_EVENTS } from './events.js';
 import type { RecordProblem, RoutingTopic } from './types.js';
 
-/** Problems remembered, so that reading the same records again logs nothing; beyond, all are forgotten. Not measured; chosen to bound memory. */
+/**
+ * Problems remembered, so that reading the same records again logs nothing; beyond, all are forgotten. Not measured;
+ * chosen to bound memory.
+ */
 const MAX_REMEMBERED = 1_000;
 
 /** The problems of one daemon's source. */
--- a/src/cookie-edge/routing/route-table-change.ts
+++ b/src/cookie-edge/routing/route-table-change.ts
@@ -1,4 +1,7 @@
-/** Computes, applies and joins changes of the route table, so that gossip carries only the routes that differ. Does no input or output. */
+/**
+ * Computes, applies and joins changes of the route table, so that gossip carries only the routes that differ. Does no
+ * input or output.
+ */
 import { combine32, hashString } from '../../common/hash.js';
 import type { Route, RouteTable, RouteTableChange } from './types.js';
 
@@ -23,7 +26,8 @@
 
 /**
  * The table that a change leads to; undefined when the change was not made for this table, or leads to another one than
- * it was made from. A table between two that were compared does not do: what changed there and back is not in the change.
+ * it was made from. A table between two that were compared does not do: what changed there and back is not in the
+ * change.
  */
 export function applyTableChange(table: RouteTable, change: RouteTableChange): RouteTable | undefined {
   if (table.revision === change.revision) return table;
--- a/src/cookie-edge/routing/source-availability.ts
+++ b/src/cookie-edge/routing/source-availability.ts
@@ -1,6 +1,7 @@
 /**
- * Tracks whether the source answers, over all calls of this daemon together, and paces the retries; `source-retry.ts` and
- * `lapsed-records.ts` decide. Owns the outage state. Relies on each follower to report its responses and failures.
+ * Tracks whether the source responds, over all calls of this daemon together, and computes the delay of retries. It
+ * never stops calls. Owns the outage state and the count of failed calls; `source-retry.ts` and `lapsed-records.ts`
+ * decide. Relies on each follower to report its responses and failures.
  */
 import type { Clock } from '../../common/clock.js';
 import { jitter, type RandomSource } from '../../common/random.js';
@@ -28,7 +29,10 @@
     this.lastResponseMs = clock.now();
   }
 
-  /** Sets the source of the shortest delay after a failed call, in ms without jitter; it is asked at each failure. */
+  /**
+   * Sets the function that returns the shortest delay after a failed call, in ms without jitter; called at each
+   * failure.
+   */
   setMinimumRetryDelay(minimumRetryDelayMs: () => number): void {
     this.minimumRetryDelayMs = minimumRetryDelayMs;
   }
--- a/src/cookie-edge/routing/source-follower.ts
+++ b/src/cookie-edge/routing/source-follower.ts
@@ -1,7 +1,7 @@
 /**
- * The task in which a reader follows one topic of the source: reads it once, which may return a state some seconds old, then watches for
- * changes, and reads it again after a gap. Owns the call under way. Relies on `SourceAvailability` for retries, on `watch-wait.ts` for the
- * length of a watch, and on `RoutingKnowledge` to apply what comes.
+ * The task in which a reader follows one topic of the source: reads it once, which may return a state some seconds old,
+ * then watches for changes, and reads it again after a gap. Owns the call under way. Relies on `SourceAvailability` for
+ * retries, on `watch-wait.ts` for the length of a watch, and on `RoutingKnowledge` to apply what comes.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
@@ -22,7 +22,7 @@
   readonly availability: SourceAvailability;
   readonly timings: FreshnessTimings;
   readonly problems: ProblemLog;
-  /** False: every topic is watched as often as the one that changes most. True unless given. */
+  /** False: the cordons are watched as often as the other topics. True unless given. */
   readonly usesLongWatches?: boolean;
   /** Called after each response that confirmed something. */
   readonly onConfirmation?: () => void;
@@ -32,9 +32,10 @@
 const CONFIRMS_NOTHING_MS = Number.NEGATIVE_INFINITY;
 
 /**
- * The topic that changes least is watched with long waits: the answers about the others confirm it, too. All three alike would
- * cost half as many calls again as the other two. These are not watched longer, since a reader lets itself be heard of with each
- * of its answers: with half of them, surplus readers stop later (4 in place of 2 of 30 simulated daemons, 4 s after an outage).
+ * The topic that changes least is watched with long waits, because responses about the others confirm it, too. Watching
+ * all three alike would cost half as many calls again as the other two. The others keep short waits, because each of a
+ * reader's responses shows that it reads: with half as many, surplus readers stand down later (4 in place of 2 of 30
+ * simulated daemons, 4 s after an outage).
  */
 const LONG_WATCHED_TOPIC: RoutingTopic = 'cordons';
 
@@ -57,7 +58,7 @@
     return this.reads + this.watches;
   }
 
-  /** Reads everything once, unless it becomes known otherwise, as of some seconds ago at the worst. Never throws. */
+  /** Reads the topic once unless gossip brings it first; the response may be some seconds old. Never throws. */
   readFirst(signal: AbortSignal): Promise<void> {
     this.firstReading ??= this.readUntilKnown(signal);
     return this.firstReading;
@@ -147,7 +148,7 @@
     return { ageMs, isLongWatched: this.isLongWatched, isSourceCalm: this.isSourceCalm };
   }
 
-  /** True where the other followers' answers are about to bring the first confirmation of this topic. */
+  /** True where the other followers' responses are about to bring the first confirmation of this topic. */
   private get startsLate(): boolean {
     const wasConfirmed = Number.isFinite(this.options.knowledge.ageOf(this.topic));
     return this.isLongWatched && !wasConfirmed;
--- a/src/cookie-edge/routing/source-retry.ts
+++ b/src/cookie-edge/routing/source-retry.ts
@@ -1,9 +1,10 @@
 /**
- * Decides how long to wait after a failed call to the source, and when the source counts as lost. Prevents that a fleet keeps a source busy
- * that is overloaded or away, and that one failed call counts as an outage. Does no input or output; times are ms.
+ * Rule: how long to wait after a failed call to the source, and when the source counts as lost. Prevents that a fleet
+ * overloads a source that is slow or unreachable, and that one failed call counts as an outage. Does no input or
+ * output; times are ms.
  *
- * The delay doubles with each failed call in a row up to `RETRY_MAX_MS`. A larger minimum wins over that bound, because it grows with
- * the number of daemons that may read the source at the same time. The caller adds the jitter.
+ * The delay doubles with each failed call in a row up to `RETRY_MAX_MS`. A larger minimum wins over that bound, because
+ * it grows with the number of daemons that may read the source at the same time. The caller adds the jitter.
  */
 import { OUTAGE_AFTER_MS, RETRY_MAX_DOUBLINGS, RETRY_MAX_MS, RETRY_MIN_MS } from './constants.js';
 
--- a/src/cookie-edge/routing/types.ts
+++ b/src/cookie-edge/routing/types.ts
@@ -1,6 +1,6 @@
 /**
- * What a daemon of the cookie edge knows: routes, the back ends that serve them, and zones that get no new flows. All of it
- * comes from a `RoutingSource` or from other daemons that read it there; the source's revisions order everything.
+ * What a daemon of the cookie edge knows: routes, the back ends that serve them, and zones that get no new flows. All
+ * of it comes from a `RoutingSource` or from other daemons that read it there; the source's revisions order everything.
  */
 import type Result from 'true-myth/result';
 import type { Endpoint } from '../../common/types.js';
@@ -111,7 +111,7 @@
   readonly revision: number;
 }
 
-/** Something in a record of the source that could not be understood. */
+/** A fault in a record of the source. */
 export interface RecordProblem {
   /** Name of the record, and the revision of its last change. */
   readonly name: string;
@@ -120,14 +120,14 @@
   readonly problem: string;
 }
 
-/** What a source tells separately. Cordons are followed only where the deployment has them. */
+/** What a source is read and watched for separately. Cordons are followed only where the deployment has them. */
 export type RoutingTopic = 'routes' | 'backends' | 'cordons';
 
 /** What a source says about a topic, complete up to `revision`. */
 export interface RoutingUpdate {
   /** Everything of the topic up to this revision of the source is in here or was before. */
   readonly revision: number;
-  /** True: back ends and cordons that are not listed are gone. False: the changes since the revision asked for. */
+  /** True: back ends and cordons that are not listed are gone. False: the changes since the requested revision. */
   readonly complete: boolean;
   readonly routes: readonly RouteTable[];
   /** What changed in the table, in place of a whole one; only from other daemons. */
@@ -139,7 +139,7 @@
   readonly cordonRemovals?: readonly CordonRemoval[];
   /** Last records of back ends that left, for daemons that never knew them; only from other daemons. */
   readonly departed?: readonly DepartedBackend[];
-  /** What could not be understood, and so is not in here; only from the source. */
+  /** Faults in records, which are left out here or corrected; only from the source. */
   readonly problems?: readonly RecordProblem[];
 }
 
@@ -164,7 +164,7 @@
     freshness: ReadFreshness,
     signal: AbortSignal,
   ): Promise<Result<RoutingUpdate, RoutingSourceError>>;
-  /** Waits up to `waitMs` for changes after `revision`; an update without changes says that there were none. */
+  /** Waits up to `waitMs` for changes after `revision`; an update without changes confirms that there were none. */
   watch(
     topic: RoutingTopic,
     revision: number,
--- a/src/cookie-edge/routing/watch-wait.ts
+++ b/src/cookie-edge/routing/watch-wait.ts
@@ -1,11 +1,11 @@
 /**
- * Decides how long the source may hold a watch back. Prevents both calls that bring nothing and knowledge that is older than the freshness
- * bound. Does no input or output; times are ms.
+ * Rule: the longest wait of a watch, the time that the source may hold its response back. Prevents both calls that
+ * bring nothing and knowledge that is older than the freshness bound. Does no input or output; times are ms.
  *
- * Order: a topic without any confirmation is asked for at once, because the first confirmation tells others that this daemon reads. A
- * topic that seldom changes comes next, since confirmations by other topics make its own age irrelevant. Any other watch waits until the
- * topic's age reaches `readerAgeMs`: a response with changes may have been under way for long, so it confirms no more than that
- * nothing newer existed when it was asked for.
+ * Order: a topic without any confirmation is watched with practically no wait, because the first confirmation shows
+ * others that this daemon reads. A topic that seldom changes comes next, since confirmations by other topics make its
+ * own age irrelevant. Any other watch waits until the topic's age reaches `readerAgeMs`: a response with changes may
+ * have been under way for long, so it confirms no more than that nothing newer existed when it was requested.
  */
 import { FIRST_WATCH_WAIT_MS } from './constants.js';
 import type { FreshnessTimings } from './freshness.js';
@@ -25,7 +25,10 @@
   return ageMs >= confirmAfterMs;
 }
 
-/** While the source's revision moves, responses about other topics do not confirm this one, so that it is watched with short waits. */
+/**
+ * While the source's revision moves, responses about other topics do not confirm this one, so that it is watched with
+ * short waits.
+ */
 export function mayWatchLong(request: WatchRequest, timings: FreshnessTimings): boolean {
   return request.isLongWatched && request.isSourceCalm && !isUnconfirmed(request.ageMs, timings);
 }
--- a/src/cookie-edge/routing/zone-cordons.test.ts
+++ b/src/cookie-edge/routing/zone-cordons.test.ts
@@ -52,7 +52,9 @@
   t.false(knowledge.cordons.has('north'));
 });
 
-/** Updates in the order in which they come, each with the revision it starts from, and whether `north` is cordoned then. */
+/**
+ * Updates in the order in which they come, each with the revision it starts from, and whether `north` is cordoned then.
+ */
 const CASES: readonly (readonly [string, readonly (readonly [RoutingUpdate, number])[], boolean])[] = [
   [
     'cordoned',
--- a/src/cookie-edge/routing/zone-cordons.ts
+++ b/src/cookie-edge/routing/zone-cordons.ts
@@ -1,6 +1,7 @@
 /**
- * Zones that an operator has cordoned: back ends there get no new flows, open flows stay. Records and removals may come from
- * several sides and in any order; the one with the higher revision wins, a removal before a record of the same revision.
+ * The zones that an operator has cordoned: back ends there get no new flows, open flows stay. Owns the newest record
+ * and removal of each zone. Both may come from the source and from peers, in any order: the higher revision wins, and a
+ * removal wins over a record of the same revision.
  */
 import type { EventLog } from '../../observability/event.js';
 import { ROUTING_EVENTS } from './events.js';
