--- a/src/cookie-edge/spreading/bad-answer-outbox.ts
+++ b/src/cookie-edge/spreading/bad-answer-outbox.ts
@@ -1,7 +1,7 @@
 /**
- * Bad answers to be gossiped. Each daemon sends each report that is new to it in `BAD_ANSWER_PUSHES` pushes, which
- * reaches a whole fleet; reports that do not fit into one message wait for the next, the newest first. So the bytes
- * are bounded at any rate of reports.
+ * Queue of the bad answers to be gossiped. Each daemon sends each report that is new to it in `BAD_ANSWER_PUSHES`
+ * pushes, which reaches a whole fleet. Reports that do not fit into one message wait for the next, the newest first, so
+ * that the bytes are bounded at any rate of reports. Owns the queue; `gossip-rule.ts` orders it.
  */
 import type { BadAnswerReport } from '../outliers/index.js';
 import { BAD_ANSWERS_PER_MESSAGE, BAD_ANSWER_GOSSIP_MS, BAD_ANSWER_PUSHES } from './constants.js';
--- a/src/cookie-edge/spreading/constants.ts
+++ b/src/cookie-edge/spreading/constants.ts
@@ -1,6 +1,6 @@
-/** Times, sizes and counts of gossip between daemons. Each names its source. */
+/** Durations, sizes and counts of gossip between daemons. */
 
-/** Revision of a topic, or of the table of routes, of which nothing is known. */
+/** Revision of a topic, or of the table of routes, of which nothing is known. Derived: below 0, the lowest revision. */
 export const NOTHING_KNOWN = -1;
 
 /**
@@ -23,7 +23,8 @@
 export const VOLUNTEER_SECOND_MS = 3_000;
 
 /**
- * Longest such delay in ms just after a start: when all daemons start together, the first readers must be heard of.
+ * Longest such delay in ms just after a start. When all daemons start together, the first readers need time to become
+ * known.
  * Measured together with waiting by rank: 60 simulated daemons made 316 calls until 4 s after their start without
  * these waits and 196 with them.
  */
@@ -85,8 +86,8 @@
 export const CHANGE_GATHER_MS = 100;
 
 /**
- * Time-out of a pull for missing changes, in ms; then another peer is asked. Not measured; chosen because a round
- * trip takes less.
+ * Time-out of a pull for missing changes, in ms; then the request goes to another peer. Not measured; chosen because a
+ * round trip takes less.
  */
 export const RESPONSE_TIMEOUT_MS = 100;
 
@@ -122,8 +123,8 @@
 export const BAD_ANSWERS_PER_MESSAGE = 8;
 
 /**
- * Pushes, to three peers each, in which a daemon gossips a bad answer that is new to it. Derivation: with six peers,
- * one in 400 daemons misses it (e^-6).
+ * Pushes, to three peers each, in which a daemon gossips a bad answer that is new to it. Derived: with two pushes of 3
+ * peers, six in all, one in 400 daemons misses it (e^-6).
  */
 export const BAD_ANSWER_PUSHES = 2;
 
@@ -167,8 +168,8 @@
 export const SIZE_SAMPLE_FORGET_MS = 30_000;
 
 /**
- * Time in ms after which a peer is forgotten that nobody mentioned. Not measured; chosen because a live peer
- * is mentioned many times within it.
+ * Lifetime in ms of a peer that no message mentions. Not measured; chosen because a live peer is mentioned many times
+ * within it.
  */
 export const PEER_FORGET_MS = 15_000;
 
--- a/src/cookie-edge/spreading/errors.ts
+++ b/src/cookie-edge/spreading/errors.ts
@@ -1,4 +1,4 @@
-/** Errors of gossip: a socket that cannot be bound, a peer that cannot be read. */
+/** Errors of gossip: a socket that cannot be bound, a state that cannot be fetched. */
 import { formatEndpoint, SailquayError, type Endpoint } from '../../common/types.js';
 
 type SpreadingErrorKind = 'spreading.bind' | 'spreading.fetch';
--- a/src/cookie-edge/spreading/fleet-size.ts
+++ b/src/cookie-edge/spreading/fleet-size.ts
@@ -1,7 +1,7 @@
 /**
  * Estimates the number of daemons by a k-minimum-values sketch. A daemon remembers only some of its peers, but all
  * daemons can remember the same few: those whose addresses have the smallest hashes. The smaller the k-th smallest
- * hash, the more daemons there are.
+ * hash, the more daemons there are. Owns the sketch; relies on `PeerView` to report whom it hears of.
  */
 import { combine32, hashString } from '../../common/hash.js';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
--- a/src/cookie-edge/spreading/gossip-rule.ts
+++ b/src/cookie-edge/spreading/gossip-rule.ts
@@ -1,19 +1,19 @@
 /**
- * Rule: what is gossiped, how soon, and to how many peers. Pure; `UpdateSender` keeps the timers, `MessageComposer`
- * fills the messages.
+ * Rule: what is gossiped, how soon, and to how many peers. Does no input or output; `UpdateSender` keeps the timers,
+ * `MessageComposer` fills the messages.
  *
  * Prevents two failures: changes and reports that reach the fleet too late, and a fleet whose messages grow with the
- * number of events. A simulated daemon that finds 100 back ends dead within 2 s sends at most 33 messages more than
- * in a calm time, against 96 without the gather time of ejections.
+ * number of events. A simulated daemon that finds 100 back ends dead within 2 s sends at most 33 messages more than in
+ * a calm time, against 96 without the gather time of ejections.
  *
  * Each trigger has its own delay. A change is sent at once unless another one was sent a moment ago; it must be in
  * force everywhere within the freshness bound. Confirmations are sent again after a change, since a peer that a push
- * missed pulls the change when it hears of the newer revision. The first ejection goes out with the next
- * confirmation, further ones are gathered. Bad answers travel in messages of their own. A load report causes no push:
- * the next one without changes carries it, since it may be late.
+ * missed pulls the change when it hears of the newer revision. The first ejection goes out with the next confirmation,
+ * further ones are gathered. Bad answers travel in messages of their own. A load report causes no push: the next one
+ * without changes carries it, since it may be late.
  *
- * Among reports that do not fit into a message the newest go first; reports of equal age keep their order of arrival.
- * A report whose lifetime has passed is not gossiped, since receivers would not act on it.
+ * Among reports that do not fit into a message the newest go first; reports of equal age keep their order of arrival. A
+ * report whose lifetime has passed is not gossiped, since receivers would not act on it.
  */
 import {
   BAD_ANSWER_GATHER_MS,
--- a/src/cookie-edge/spreading/index.ts
+++ b/src/cookie-edge/spreading/index.ts
@@ -1,6 +1,7 @@
 /**
- * Gossip between daemons: spreads routes, back ends, cordons and freshness confirmations, so that few daemons read the source. Owns the
- * reader role, the view of peers and the update log; relies on `routing` for knowledge and on a transport for datagrams.
+ * Gossip between daemons: spreads routes, back ends, cordons and freshness confirmations, so that few daemons read the
+ * source. Owns the reader role, the view of peers and the update log; relies on `routing` for knowledge and on a
+ * transport for datagrams.
  *
  * ```ts
  * const transport = await NetworkTransport.open(control, events);
--- a/src/cookie-edge/spreading/message-channel.ts
+++ b/src/cookie-edge/spreading/message-channel.ts
@@ -1,4 +1,7 @@
-/** Sends and receives messages between daemons: encodes, decodes, bounds the size of datagrams, and counts. */
+/**
+ * Sends and receives messages between daemons: encodes, decodes, bounds the size of datagrams, and counts. Owns the
+ * counters; relies on the transport for the sockets.
+ */
 import type { Clock } from '../../common/clock.js';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import type { EventLog } from '../../observability/event.js';
--- a/src/cookie-edge/spreading/message-codec.test.ts
+++ b/src/cookie-edge/spreading/message-codec.test.ts
@@ -1,5 +1,5 @@
 /**
- * What a message says arrives as it was said: regions of routes, rates of cold back ends, cordons and their removals.
+ * Round trips of message fields: regions of routes, rates of cold back ends, cordons and their removals.
  */
 import test from 'ava';
 import type { RouteTable, RoutingUpdate } from '../routing/index.js';
--- a/src/cookie-edge/spreading/peer-choice.ts
+++ b/src/cookie-edge/spreading/peer-choice.ts
@@ -1,15 +1,16 @@
 /**
- * Rule: which peers get a push, and which daemons own a key. Does no input or output; `PeerView` keeps the peers and their turns.
+ * Rule: which peers get a push, and which daemons own a key. Does no input or output; `PeerView` keeps the peers and
+ * their turns.
  *
- * Prevents that a push misses the same peers again and again, as choices by chance do, and that a daemon which is alone in its zone
- * hears of little. Bytes between zones cost more than others, so most of a push stays in the zone.
+ * Prevents that a push misses the same peers again and again, as choices by chance do, and that a daemon which is alone
+ * in its zone hears of little. Bytes between zones cost more than others, so most of a push stays in the zone.
  *
- * Order of a push: the peers of the own zone first, then those of other zones, who also get the places that the own zone leaves
- * empty; within each, the peers that were not chosen for longest. Equal turns do not occur, since each has a random part.
- * Without any peer nobody is chosen.
+ * Order of a push: the peers of the own zone first, then those of other zones, who also get the places that the own
+ * zone leaves empty; within each, the peers that were not chosen for longest. Equal turns do not occur, since each has
+ * a random part. Without any peer the push goes to none.
  *
- * Ownership is by rendezvous hashing: daemons that know the same peers agree without a message. Equal ranks do not outrank each
- * other, so that both own the key. A daemon that is no candidate itself owns nothing.
+ * Ownership is by rendezvous hashing: daemons that know the same peers agree without a message. Equal ranks do not
+ * outrank each other, so that both own the key. A daemon that is no candidate itself owns nothing.
  */
 import { combine32 } from '../../common/hash.js';
 import type { Peer } from './types.js';
--- a/src/cookie-edge/spreading/peer-view.ts
+++ b/src/cookie-edge/spreading/peer-view.ts
@@ -1,7 +1,7 @@
 /**
- * The peers that this daemon knows: all of them in a small fleet, a random part in a large one, and the estimated
- * size of the fleet. Owns the turns of peers and the random draws; `peer-choice.ts` decides who gets a push and who owns
- * a key. Relies on `Spreader` to report whom it hears of.
+ * The peers that this daemon knows: all of them in a small fleet, a random part in a large one, and the estimated size
+ * of the fleet. Owns the turns of peers and the random draws; `peer-choice.ts` decides who gets a push and who owns a
+ * key. Relies on `Spreader` to report whom it hears of.
  */
 import { hashString } from '../../common/hash.js';
 import { pick, type RandomSource } from '../../common/random.js';
--- a/src/cookie-edge/spreading/pull-rule.ts
+++ b/src/cookie-edge/spreading/pull-rule.ts
@@ -1,5 +1,6 @@
 /**
- * Rule: what a daemon that lags behind a peer pulls, and how. Pure; `CatchUp` carries the outcomes out.
+ * Rule: what a daemon that lags behind a peer pulls, and how. Does no input or output; `CatchUp` carries
+ * the outcomes out.
  *
  * Prevents a fleet that transfers the whole state whenever a push is lost, and expensive bytes between zones. A small
  * gap is closed by a request that the peer answers from its update log in one datagram; the whole state comes over a
@@ -9,7 +10,7 @@
  * that still lacks something after a response, since the log of that peer does not reach back far enough. Otherwise
  * it sends one request at a time: many peers announce the same change at once. A peer of the own zone is used at
  * once, one of another zone only if no nearer peer closes the gap meanwhile. A response that is lost counts as
- * missing after `RESPONSE_TIMEOUT_MS`; then the next peer that announces the change is asked.
+ * missing after `RESPONSE_TIMEOUT_MS`; then the request goes to the next peer that announces the change.
  */
 import { FETCH_INTERVAL_MS, PULL_INTERVAL_MS, RESPONSE_TIMEOUT_MS } from './constants.js';
 
--- a/src/cookie-edge/spreading/reader-role.ts
+++ b/src/cookie-edge/spreading/reader-role.ts
@@ -1,7 +1,7 @@
 /**
  * Role of this daemon towards the source. Carries out the rule in `reader-rule.ts`: owns the sightings of other
- * readers, the rank and the random positions. Relies on `Spreader`, which asks at each tick and starts or stops the
- * calls.
+ * readers, the rank and the random positions. Relies on `Spreader` to call it at each tick and to start or
+ * stop the calls.
  */
 import { hashString } from '../../common/hash.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
--- a/src/cookie-edge/spreading/reader-rule.ts
+++ b/src/cookie-edge/spreading/reader-rule.ts
@@ -1,21 +1,21 @@
 /**
- * Rule: whether this daemon reads the source ("is a reader"). Pure; `ReaderRole` keeps the state and draws the random
- * numbers.
+ * Rule: whether this daemon reads the source ("is a reader"). Does no input or output; `ReaderRole` keeps the state and
+ * draws the random numbers.
  *
  * Prevents a load on the source that grows with the fleet, and a fleet that no daemon keeps current. There is no
  * election: extra readers only cost calls, so no agreement is needed.
  *
- * A reader stands down only while its own knowledge is current and enough fresh readers outrank it. Staleness is
- * tested before rank, because the readers that it hears of may be the ones that the source does not answer.
+ * A reader stands down only while its own knowledge is current and enough fresh readers outrank it. Staleness is tested
+ * before rank, because the readers that it hears of may be the ones that the source does not answer.
  *
- * For a daemon that does not read, an overdue confirmation comes first: it reads whatever readers exist, after a
- * delay that depends on the fleet's size alone, so that a source that refuses some daemons is tried by others. Next,
- * a daemon that has not received both lists yet is reading them already; following them as well would only add calls,
- * since all daemons that started with it are in the same state. Last comes the number of readers: below the target it
- * volunteers after a delay that is shorter the higher its rank.
+ * For a daemon that does not read, an overdue confirmation comes first: it reads whatever readers exist, after a delay
+ * that depends on the fleet's size alone, so that a source that refuses some daemons is tried by others. Next, a daemon
+ * that has not received both lists yet is reading them already; following them as well would only add calls, since all
+ * daemons that started with it are in the same state. Last comes the number of readers: below the target it volunteers
+ * after a delay that is shorter the higher its rank.
  *
- * Equal ranks do not outrank each other, so that both keep reading. Readers not heard of count as absent; a daemon
- * that has heard of none since its start waits longer, because all daemons may have started together.
+ * Equal ranks do not outrank each other, so that both keep reading. Readers not heard of count as absent; a daemon that
+ * has heard of none since its start waits longer, because all daemons may have started together.
  */
 import type { FreshnessTimings } from '../routing/index.js';
 import {
--- a/src/cookie-edge/spreading/recent-ejections.ts
+++ b/src/cookie-edge/spreading/recent-ejections.ts
@@ -1,6 +1,6 @@
 /**
- * Back ends that this daemon or others ejected a moment ago. Every message carries them while other daemons act on
- * them, so that daemons learn of them that missed the first push or have just started.
+ * Ejection reports of the last moments, of this daemon and of others. Every message carries them while other daemons
+ * act on them, for daemons that missed the first push or have just started. Owns the newest report of each back end.
  */
 import { EJECTIONS_PER_MESSAGE, EJECTION_GOSSIP_MS } from './constants.js';
 import { newestReports } from './gossip-rule.js';
--- a/src/cookie-edge/spreading/simulated-peer-network.ts
+++ b/src/cookie-edge/spreading/simulated-peer-network.ts
@@ -1,4 +1,4 @@
-/** A network between daemons on a virtual clock, for tests: delays, losses and cuts. */
+/** Simulates the network between daemons on a virtual clock, for tests: delays, losses and cuts. */
 import Result from 'true-myth/result';
 import type { Clock } from '../../common/clock.js';
 import type { RandomSource } from '../../common/random.js';
@@ -11,7 +11,7 @@
 /** Transports between daemons, with loss, and cuts between two groups. */
 export class SimulatedPeerNetwork {
   lossRate = 0;
-  /** Daemons (`host:port`) that reach nobody and are reached by nobody. */
+  /** Daemons (`host:port`) that are cut off from all others. */
   readonly cut = new Set<string>();
   bytes = 0;
   /** Bytes of states that were fetched. */
--- a/src/cookie-edge/spreading/simulated-source.ts
+++ b/src/cookie-edge/spreading/simulated-source.ts
@@ -1,6 +1,6 @@
 /**
- * A source of routes, back ends and cordons on a virtual clock, for tests: one counter of revisions, watches, and
- * faults.
+ * Simulates a source of routes, back ends and cordons on a virtual clock, for tests: one counter of revisions, watches,
+ * and faults.
  */
 import Result from 'true-myth/result';
 import type { Clock } from '../../common/clock.js';
@@ -45,7 +45,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** The operator has not written any routes yet. */
+  /** Removes the routes, as before the operator has written any. */
   withoutRoutes(): void {
     this.table = undefined;
   }
@@ -84,7 +84,7 @@
     return this.recordChange({ revision: this.revision, topic: 'cordons', uncordoned: zone });
   }
 
-  /** Forgets every change so far; watches that ask for them are told so. */
+  /** Forgets every change so far; watches from an earlier revision fail with `history-gone`. */
   forgetHistory(): void {
     this.historyFrom = this.revision;
     this.changes = [];
--- a/src/cookie-edge/spreading/source-read-pacing.ts
+++ b/src/cookie-edge/spreading/source-read-pacing.ts
@@ -1,5 +1,5 @@
 /**
- * Rule: how soon, and how often, a daemon without a confirmation calls the source. Pure.
+ * Rule: how soon, and how often, a daemon without a confirmation calls the source. Does no input or output.
  *
  * Prevents an outage in which every daemon calls the source at once and goes on calling it. One response is enough,
  * because it is gossiped to all. So a few daemons read first, more follow while there is no response, and after
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -1,5 +1,6 @@
 /**
- * Gossip of one daemon: the few readers push changes and freshness confirmations to some peers, which pass them on. A
+ * Gossip of one daemon: the few readers push changes and freshness confirmations to some peers, which gossip them
+ * further. A
  * daemon that lags pulls what it lacks, and one without a confirmation for too long reads the source itself. Owns the
  * tick and the application of messages; the rules stand in `reader-rule.ts`, `gossip-rule.ts`, `pull-rule.ts` and
  * `source-read-pacing.ts`.
@@ -31,7 +32,7 @@
 interface SpreaderOptions {
   readonly selfId: string;
   readonly zone: string;
-  /** Asked at each greeting, since a reread of the configuration may change them. */
+  /** Called at each greeting, since a reread of the configuration may change the seeds. */
   readonly seeds: () => readonly Endpoint[];
   readonly transport: PeerTransport;
   readonly knowledge: RoutingKnowledge;
--- a/src/cookie-edge/spreading/spreading.test.ts
+++ b/src/cookie-edge/spreading/spreading.test.ts
@@ -283,7 +283,10 @@
   t.true(busy - calm <= 11 * (FANOUT_IN_ZONE + FANOUT_ELSEWHERE), `${calm} calm, ${busy} busy`);
 });
 
-/** A model check: random faults, cuts and changes; no version goes back, and nobody who can reach the source is old. */
+/**
+ * A model check: random faults, cuts and changes; no version goes back, and no daemon that can reach the source is
+ * stale.
+ */
 for (let seed = 1; seed <= 12; seed += 1) {
   test(`random faults: no version goes back, and whoever has a path is current, seed ${seed}`, async (t) => {
     const cluster = await settled(8, seed);
--- a/src/cookie-edge/spreading/table-consistency.test.ts
+++ b/src/cookie-edge/spreading/table-consistency.test.ts
@@ -11,8 +11,8 @@
 const SEED = 20_261_202;
 
 /**
- * One step of a history: the source changes, a daemon reads it, or a daemon tells another what a third one lacks, as
- * one does that sends its news unasked.
+ * One step of a history: the source changes, a daemon reads it, or a daemon gossips to another what a third one lacks,
+ * as an unrequested push does.
  */
 type Step =
   | { readonly kind: 'change'; readonly routes: readonly Route[] }
--- a/src/cookie-edge/spreading/types.ts
+++ b/src/cookie-edge/spreading/types.ts
@@ -1,4 +1,7 @@
-/** Messages between daemons and the transport that carries them. */
+/**
+ * Messages between daemons, and the interface of the transport that carries them. Times are monotonic ms of this
+ * process.
+ */
 import type Result from 'true-myth/result';
 import type { Endpoint } from '../../common/types.js';
 import type { LoadReport } from '../load/index.js';
@@ -14,7 +17,7 @@
   heardAtMs: number;
 }
 
-/** A daemon that reads the source. */
+/** A reader, as a message names it. */
 export interface ReaderSighting {
   readonly id: string;
   /** Monotonic ms at which it last confirmed something. */
@@ -37,7 +40,7 @@
 
 /** Content of a message; times are monotonic ms of this process. */
 export interface PeerMessage {
-  /** `news` is a push or the response to a pull, `pull` a request, `state` the response to a fetch, as on the wire. */
+  /** As on the wire. `news`: a push or the response to a pull. `pull`: a request. `state`: the response to a fetch. */
   readonly type: 'news' | 'pull' | 'state';
   readonly senderId: string;
   readonly senderZone: string;
--- a/src/cookie-edge/spreading/update-codec.ts
+++ b/src/cookie-edge/spreading/update-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Encodes and decodes the updates inside messages: routes, back ends and cordons. A field that is missing on the wire
- * gets the default of its type, since a sender may be older than this build.
+ * Encodes and decodes the updates inside messages: routes, back ends and cordons. Does no input or output. A field that
+ * is missing on the wire gets the default of its type, since a sender may be older than this build.
  */
 import type {
   Route,
--- a/src/cookie-edge/spreading/wire-values.ts
+++ b/src/cookie-edge/spreading/wire-values.ts
@@ -1,6 +1,6 @@
 /**
- * Values that several parts of a message share on the wire: ages, endpoints, topics. Ages travel, since clocks of
- * daemons differ.
+ * Codec of the values that several parts of a message share: ages, endpoints, topics. Messages carry ages and no times,
+ * since clocks of daemons differ. Does no input or output.
  */
 import type { Endpoint } from '../../common/types.js';
 import { formatIpv4, parseIpv4 } from '../../fabric/ipv4-address.js';
@@ -15,8 +15,8 @@
 } as const;
 
 /**
- * Largest age in ms, that of 32 bits; older ages are encoded as this one, and a confirmation of this age does not
- * exist yet.
+ * Largest age in ms; greater ages are encoded as this one, and a confirmation of this age stands for none. Derived:
+ * 2^32 - 1, the largest value of the field.
  */
 export const MAX_AGE_MS = 0xffff_ffff;
 
