--- a/src/cookie-edge/load/busy-backends.ts
+++ b/src/cookie-edge/load/busy-backends.ts
@@ -1,10 +1,12 @@
 /**
- * Decides which back ends are busy. Prevents that daemons that place one flow in a hundred pile theirs up where others' flows already are:
- * with reports busiest/mean fell from 2.4 to 1.66 (simulation of 164 back ends and 195 daemons). Does no input or output.
+ * Decides which back ends are busy. Prevents that daemons that place one flow in a hundred pile theirs up where others'
+ * flows already are: with reports busiest/mean fell from 2.4 to 1.66 (simulation of 164 back ends and 195 daemons).
+ * Does no input or output.
  *
- * Inputs: rates in calls a second for each unit of capacity. A back end without a rate yet counts neither as busy nor towards the mean. A
- * service without any calls has no busy back end, which is tested before the division by the mean. Of equally busy ones the first
- * listed is reported first. Nothing follows from a low rate: a back end that answers slowly or not at all gets few calls.
+ * Inputs: rates in calls a second for each unit of capacity. A back end without a rate yet counts neither as busy nor
+ * towards the mean. A service without any calls has no busy back end, which is tested before the division by the mean.
+ * Of equally busy ones the first listed is reported first. Nothing follows from a low rate: a back end that answers
+ * slowly or not at all gets few calls.
  */
 import { hashString } from '../../common/hash.js';
 import { BUSY_LEVEL, MAX_REPORTED, TAG_MASK } from './constants.js';
--- a/src/cookie-edge/load/call-rates.ts
+++ b/src/cookie-edge/load/call-rates.ts
@@ -1,6 +1,6 @@
 /**
- * Computes rates of calls from the counts that back ends write to the source about once a second. Owns the last count and the moving
- * average of each back end of one page; `busy-backends.ts` decides what the rates mean.
+ * Computes rates of calls from the counts that back ends write to the source about once a second. Owns the last count
+ * and the moving average of each back end of one page; `busy-backends.ts` decides what the rates mean.
  */
 import { busyBackends } from './busy-backends.js';
 import { RATE_SHARE } from './constants.js';
@@ -29,7 +29,9 @@
     this.known = known;
   }
 
-  /** Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, `MAX_REPORTED` at the most. */
+  /**
+   * Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, `MAX_REPORTED` at the most.
+   */
   busy(): BusyBackend[] {
     return busyBackends(
       [...this.known.values()].map(({ count, rate }) => ({ id: count.id, service: count.service, rate })),
--- a/src/cookie-edge/load/index.ts
+++ b/src/cookie-edge/load/index.ts
@@ -1,6 +1,7 @@
 /**
- * Load reports: which back ends get more calls than others, by their own counts. The few daemons that watch the source read the
- * counts and gossip the busy ones, so that a daemon that assigns one flow in a hundred also knows of the other flows.
+ * Load reports: which back ends get more calls than others, by their own counts. The readers of the source read the
+ * counts and gossip the busy back ends, so that a daemon that places one flow in a hundred also knows of the other
+ * flows. Owns the rates and the reports in use; relies on `spreading` to gossip reports.
  */
 export type * from './types.js';
 export { LOAD_MIN_DAEMONS } from './constants.js';
--- a/src/cookie-edge/load/load-reader.ts
+++ b/src/cookie-edge/load/load-reader.ts
@@ -1,7 +1,8 @@
 /**
- * The task in which a reader of the source finds the busy back ends: it reads one page of call counts at a time, which may be some seconds
- * old, and reports that page. A failed call is logged and not retried, because the next one follows after `LOAD_READ_INTERVAL_MS`. Owns
- * the rates of each page and the position in the list; relies on `CallRates` to judge them.
+ * The task in which a reader of the source finds the busy back ends: it reads one page of call counts at a time, which
+ * may be some seconds old, and reports that page. A failed call is logged and not retried, because the next one follows
+ * after `LOAD_READ_INTERVAL_MS`. Owns the rates of each page and the position in the list; relies on `CallRates` to
+ * judge them.
  */
 import type { Clock } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
--- a/src/cookie-edge/load/load.test.ts
+++ b/src/cookie-edge/load/load.test.ts
@@ -1,4 +1,4 @@
-/** Load reports: rates from counts, the task that reads them, and what placement is told. */
+/** Load reports: rates from counts, the task that reads them, and what placement reads. */
 import test from 'ava';
 import Result from 'true-myth/result';
 import { VirtualClock } from '../../common/clock.js';
--- a/src/cookie-edge/load/types.ts
+++ b/src/cookie-edge/load/types.ts
@@ -1,8 +1,8 @@
-/** Call counts of back ends, and the reports of busy ones that daemons gossip. */
+/** Call counts of back ends, as the source has them, and the reports of busy back ends that daemons gossip. */
 import type Result from 'true-myth/result';
 import type { RoutingSourceError } from '../routing/index.js';
 
-/** How many calls a back end had answered when it last wrote to the source. */
+/** A back end's count of answered calls, as it last wrote it to the source. */
 export interface BackendCallCount {
   readonly id: string;
   readonly service: string;
@@ -36,7 +36,7 @@
   readonly level: number;
 }
 
-/** What a reader of the source found out about one page of the back ends. */
+/** The busy back ends of one page, as a reader of the source found them. */
 export interface LoadReport {
   /** Number of the page, from 0. Reports of different pages stand beside each other. */
   readonly page: number;
