--- a/src/cookie-edge/outliers/answer-baseline.ts
+++ b/src/cookie-edge/outliers/answer-baseline.ts
@@ -1,4 +1,8 @@
-/** Estimates the median time and the least usual length of one route's answers in constant space. Does no input or output. */
+/**
+ * Rule: whether an answer is slow or short for its route. Estimates the median time and the least usual length of one
+ * route's answers in constant space, and owns these estimates. Does no input or output. Before enough answers were seen
+ * none is slow or short.
+ */
 import {
   FIRST_ANSWERS,
   LENGTH_RISE,
@@ -10,7 +14,7 @@
   SLOW_MIN_MS,
 } from './constants.js';
 
-/** The usual answers of one route. */
+/** Baseline of one route's answers. */
 export class AnswerBaseline {
   private count = 0;
   private estimateMs = 0;
@@ -37,12 +41,12 @@
     return this.count >= MIN_ANSWERS ? this.estimateMs : undefined;
   }
 
-  /** True for a time that is `factor` times the usual one. */
+  /** True for a time, in ms, of at least `SLOW_MIN_MS` and `factor` times the median. */
   isSlow(tookMs: number, factor: number): boolean {
     return tookMs >= SLOW_MIN_MS && this.medianMs !== undefined && tookMs >= this.medianMs * factor;
   }
 
-  /** True for an answer much shorter than any usual one: errors are, where answers carry something. */
+  /** True for an answer much shorter than any usual one, as errors are where answers carry data. */
   isShort(bytes: number): boolean {
     return this.count >= MIN_ANSWERS_FOR_LENGTH && bytes < this.leastBytes * SHORT_SHARE;
   }
--- a/src/cookie-edge/outliers/answer-tracker.ts
+++ b/src/cookie-edge/outliers/answer-tracker.ts
@@ -1,8 +1,9 @@
 /**
- * Follows requests from their first packet to the caller's first acknowledgement of answer data. Answers go from back ends to callers
- * directly, but callers acknowledge them through a daemon at once, so the two times differ by the network alone, and the bytes
- * acknowledged first are all of a short answer. Reports each bad answer: one that is unusually late for its route, as soon as it is, whether
- * it comes later or not; and one much shorter than the route's answers are, as errors are.
+ * Follows requests from their first packet to the caller's first acknowledgement of answer data. Answers go from back
+ * ends to callers directly, but callers acknowledge them through a daemon at once: the two times differ by the network
+ * alone, and the first acknowledgement covers all bytes of a short answer. Reports each bad answer: one that is late
+ * for its route, as soon as it is late, and one much shorter than the route's other answers, as errors are. Owns the
+ * outstanding requests and each route's baseline; relies on forwarding to report requests and acknowledgements.
  */
 import { LatencyHistogram } from '../../observability/latency-histogram.js';
 import { AnswerBaseline } from './answer-baseline.js';
@@ -12,7 +13,7 @@
 /** Counters since start. */
 interface AnswerStatistics {
   answered: number;
-  /** Requests that took unusually long, answered later or not. */
+  /** Requests that were late, whether they were answered in the end or not. */
   slow: number;
   /** Requests whose answer was unusually short. */
   short: number;
@@ -51,7 +52,7 @@
     else this.statistics.untracked += 1;
   }
 
-  /** Notes that the first `bytes` of the answer to a request were acknowledged. */
+  /** Records that the first `bytes` of the answer to a request were acknowledged. */
   recordAnswer(request: OutstandingRequest, bytes: number, nowMs: number): void {
     const tookMs = nowMs - request.sentAtMs;
     const baseline = this.baselineOf(request.routeKey);
@@ -65,7 +66,9 @@
     else if (isSlow) this.report(request, 'slow', nowMs);
   }
 
-  /** Notes that the caller closed the flow of a request before any answer. That says nothing of the back end. */
+  /**
+   * Records that the caller closed the flow of a request before any answer, which is no evidence against the back end.
+   */
   abandon(request: OutstandingRequest): void {
     if (this.outstanding.delete(request)) this.statistics.abandoned += 1;
   }
--- a/src/cookie-edge/outliers/index.ts
+++ b/src/cookie-edge/outliers/index.ts
@@ -1,6 +1,8 @@
 /**
- * Outlier detection: back ends that answer unusually late, not at all, or with errors, although connections to them open, get no new
- * flows. It covers slow, hanging, mute and failing back ends; `backend-health` covers those that cannot be reached.
+ * Outlier detection: back ends that answer unusually late, not at all, or with errors, although connections to them
+ * open, get no new flows. Owns the outstanding requests and the reports; relies on forwarding to report requests and
+ * acknowledgements, and on `spreading` to gossip reports. Covers slow, hanging, mute and failing back ends;
+ * `backend-health` covers those that cannot be reached.
  *
  * ```ts
  * const detector = new OutlierDetector({ ...DEFAULT_OUTLIER_OPTIONS, self, events, serviceOf, countBackends, onReport });
--- a/src/cookie-edge/outliers/outlier-detector.test.ts
+++ b/src/cookie-edge/outliers/outlier-detector.test.ts
@@ -20,7 +20,7 @@
 const NOW_MS = 60_000;
 const { quorum, maxAvoidedShare } = DEFAULT_OUTLIER_OPTIONS;
 
-/** A detector for `alpha` with the back ends b0, b1, ... and what it logs and tells. */
+/** A detector for `alpha` with the back ends b0, b1, ... and what it logs and gossips. */
 class DetectorHarness {
   readonly told: BadAnswerReport[] = [];
   readonly logged: number[] = [];
--- a/src/cookie-edge/outliers/outlier-detector.ts
+++ b/src/cookie-edge/outliers/outlier-detector.ts
@@ -1,11 +1,11 @@
 /**
- * Decides which back ends are outliers: they answer requests late, not at all or with errors, and get no new flows. One daemon sees too few
- * requests at each back end, so daemons gossip their bad answers, and each decides by what it knows of the whole fleet. There is
- * no agreement and nothing stored: reports expire after seconds, and a daemon without any treats all back ends alike. Owns the
- * `OutlierRecord` of each back end with reports; logs each change of phase.
+ * Decides which back ends are outliers: they answer requests late, not at all or with errors, and get no new flows. One
+ * daemon sees too few requests at each back end, so daemons gossip their bad answers, and each decides by what it knows
+ * of the whole fleet. There is no agreement and nothing stored: reports expire after seconds, and a daemon without any
+ * treats all back ends alike. Owns the `OutlierRecord` of each back end with reports; logs each change of phase.
  *
- * Order of `judge`: enough reports at all; enough more than the mean of the service, because an overload makes all of it late; and no
- * more outliers than `maxAvoidedShare`, because avoiding many makes the others late.
+ * Order of `judge`: enough reports at all; enough more than the mean of the service, because an overload makes all of
+ * it late; and no more outliers than `maxAvoidedShare`, because avoiding many makes the others late.
  */
 import { combine32 } from '../../common/hash.js';
 import type { EventLog } from '../../observability/event.js';
@@ -78,8 +78,8 @@
   }
 
   /**
-   * True when a flow should go elsewhere if it can. In an outlier trial a back end takes a fixed part of the flows, chosen by their
-   * hashes, so that a retransmission of a SYN meets the same decision.
+   * True when a flow should go elsewhere if it can. In an outlier trial a back end takes a fixed part of the flows,
+   * chosen by their hashes, so that a retransmission of a SYN meets the same decision.
    */
   isAvoided(backendId: string, idHash: number, flowHash: number, nowMs: number): boolean {
     const phase = this.phaseOf(backendId, nowMs);
@@ -173,7 +173,9 @@
     return phase === 'trial' ? 1 : this.options.quorum;
   }
 
-  /** True when this daemon noticed bad answers at so many back ends of a service that it is rather itself that is slow. */
+  /**
+   * True when this daemon noticed bad answers at so many back ends of a service that the daemon itself is likely slow.
+   */
   private isMostlyReporting(service: string, nowMs: number): boolean {
     let reported = 0;
     for (const record of this.records.values()) {
@@ -212,7 +214,7 @@
   }
 }
 
-/** Back ends of a service that one daemon may report at once; with more its reports do not count. */
+/** Back ends of a service that one daemon may report at once; the reports of a daemon with more do not count. */
 function mostReportable(backends: number): number {
   return Math.max(1, backends * MAX_REPORTED_SHARE);
 }
--- a/src/cookie-edge/outliers/outlier-record.ts
+++ b/src/cookie-edge/outliers/outlier-record.ts
@@ -1,6 +1,7 @@
 /**
  * Holds the reports on one back end, and derives its phase: avoided, in an outlier trial, or normal. Does no input or
- * output. The avoidance doubles with each relapse; `FORGIVE_MS` after a trial without one it starts from the shortest again.
+ * output. The avoidance doubles with each relapse; `FORGIVE_MS` after a trial without one it starts from the shortest
+ * again.
  */
 import {
   AVOID_MAX_MS,
@@ -36,8 +37,9 @@
   }
 
   /**
-   * Stores a report; returns false for one that changes nothing, which must not be gossiped further. Each other daemon counts once,
-   * because its link to the back end may be what is slow. Own reports count each, because this daemon decides by them.
+   * Stores a report; returns false for one that changes nothing, which must not be gossiped further. Each other daemon
+   * counts once, because its link to the back end may be what is slow. Own reports count each, because this daemon
+   * decides by them.
    */
   record(report: RecordedReport, isOwn: boolean, nowMs: number): boolean {
     if (nowMs - report.atMs >= REPORT_VALID_MS || this.isSettledAt(nowMs)) return false;
@@ -66,7 +68,9 @@
     return this.reports.map(({ observer }) => observer);
   }
 
-  /** Avoids the back end from now on; longer after each relapse. A further detection while it is avoided prolongs that. */
+  /**
+   * Avoids the back end from now on; longer after each relapse. A further detection while it is avoided prolongs that.
+   */
   avoid(nowMs: number): void {
     const wasAvoided = nowMs < this.avoidedUntilMs;
     if (nowMs >= this.trialUntilMs + FORGIVE_MS) this.avoidForMs = AVOID_MIN_MS;
@@ -75,12 +79,12 @@
     this.trialUntilMs = this.avoidedUntilMs + OUTLIER_TRIAL_MS;
   }
 
-  /** True while the back end is avoided for some time to come, so that reports would change nothing. */
+  /** True while the back end stays avoided for longer than `RENEWAL_MS`, so that reports change nothing. */
   private isSettledAt(nowMs: number): boolean {
     return nowMs < this.avoidedUntilMs - RENEWAL_MS;
   }
 
-  /** True when nothing in it matters any more. */
+  /** True when neither reports nor phases affect a decision any more. */
   isSpent(nowMs: number): boolean {
     this.dropOld(nowMs);
     return this.reports.length === 0 && nowMs >= this.trialUntilMs + FORGIVE_MS;
--- a/src/cookie-edge/outliers/types.ts
+++ b/src/cookie-edge/outliers/types.ts
@@ -1,4 +1,4 @@
-/** Requests, bad answers, and the reports of them that daemons gossip. */
+/** Requests, bad answers, and the reports of bad answers that daemons gossip. */
 
 /** A request of which a packet was forwarded and no answer has been acknowledged yet. */
 export interface OutstandingRequest {
@@ -11,7 +11,7 @@
   readonly sentAtMs: number;
 }
 
-/** An answer that came unusually late, or not so far, or that was unusually short. */
+/** An answer that was late or has not come yet, or that was unusually short. */
 export interface BadAnswer {
   readonly backendId: string;
   readonly service: string;
@@ -38,5 +38,8 @@
   readonly maxAvoidedShare: number;
 }
 
-/** Where a back end stands. `trial`: an outlier trial; it was avoided until a moment ago and gets a few flows. */
+/**
+ * Phase of a back end. `avoided`: an outlier without new flows. `trial`: an outlier trial, in which it gets a few
+ * flows.
+ */
 export type OutlierPhase = 'normal' | 'avoided' | 'trial';
