--- a/src/common/drain.ts
+++ b/src/common/drain.ts
@@ -1,16 +1,17 @@
 /**
  * Rule: how long a stopping daemon waits for its packets to end, and the wait that carries it out.
  *
- * Prevents two failures: packets that reach a closed socket because routers still send them, and a daemon that never ends because
- * some caller does not stop. `judgeDrain` does no input or output; `waitUntilQuiet` counts packets at intervals and owns the timer.
+ * Prevents two failures: packets that reach a closed socket because routers still send them, and a daemon that never
+ * ends because some caller does not stop. `judgeDrain` does no input or output; `waitUntilQuiet` counts packets at
+ * intervals and owns the timer.
  *
  * Order: silence is tested before the longest time, so that a daemon which becomes quiet just then counts as drained.
  */
 import type { Clock } from './clock.js';
 
 /**
- * Interval in ms at which a stopping daemon counts packets; silence is recognized up to this much late. Not measured, and
- * no reason is recorded.
+ * Interval in ms at which a stopping daemon counts packets; silence is recognized up to this much late. Not measured,
+ * and no reason is recorded.
  */
 const DRAIN_POLL_INTERVAL_MS = 100;
 
@@ -47,7 +48,9 @@
   return sinceStartMs >= maxMs ? 'timed-out' : 'wait';
 }
 
-/** Resolves to true when it became quiet, to false when the longest time passed first; at once where that is 0 or less. */
+/**
+ * Resolves to true when it became quiet, to false when the longest time passed first; at once where that is 0 or less.
+ */
 export async function waitUntilQuiet(options: DrainOptions): Promise<boolean> {
   const { clock, packetsReceived, maxMs } = options;
   if (maxMs <= 0) return false;
