--- a/src/common/pause-detector.ts
+++ b/src/common/pause-detector.ts
@@ -1,12 +1,12 @@
 /**
  * Rule: whether a datagram that is read now may have waited through a pause of the process.
  *
- * Prevents that a queued SYN is placed whose retransmission has opened the flow through another balancer, and that a queued message
- * between daemons counts as newer than it is. Does no input or output; owns the time of the last tick and the reads of the current
+ * Prevents two failures: a queued SYN is placed although its retransmission has opened the flow through another balancer, and
+ * a queued message between daemons counts as newer than it is. Does no input or output; owns the time of the last tick and the reads of the current
  * turn of the event loop.
  *
  * Inputs: monotonic ms of the housekeeping's ticks, and the reads of each socket. Order: a pause is recognized by a late tick, also
- * before that tick has run; from then on everything may be old until one turn has read both sockets empty. That end does not depend
+ * before that tick has run; from then on any datagram may have waited until one turn has read both sockets empty. That end does not depend
  * on time, because a backlog may take any time to read.
  */
 
@@ -45,7 +45,7 @@
     this.lastTickMs = nowMs;
   }
 
-  /** Notes a tick of the housekeeping timer; returns the length of the pause before it, or 0. */
+  /** Records a tick of the housekeeping timer; returns the length of the pause before it, or 0. */
   recordTick(nowMs: number): number {
     const pausedMs = this.pausedFor(nowMs);
     this.lastTickMs = nowMs;
@@ -53,7 +53,7 @@
     return pausedMs;
   }
 
-  /** Notes that a datagram was read. */
+  /** Records that a datagram was read. */
   recordRead(socket: PausedSocket): void {
     if (this.isCatchingUp) this.reads[socket] += 1;
   }
--- a/src/cookie-edge/backend-health/constants.ts
+++ b/src/cookie-edge/backend-health/constants.ts
@@ -50,7 +50,7 @@
 
 /**
  * Delay of the second probe after the first. Both must stay unanswered: with a loss of 3% in each direction one probe
- * is lost in 6% of the cases and both in 0.4%. Derived: overlapping probes take 800 ms in place of 1,200 ms one after
+ * is lost in 6% of the cases and both in 0.4%. Derived: overlapping probes take 800 ms instead of 1,200 ms one after
  * the other.
  */
 export const PROBE_SPACING_MS = 200;
@@ -86,7 +86,8 @@
 /**
  * Delay after which a back end with a dead verdict is probed again. Without it each daemon tries every dead back end
  * with callers' flows when its verdict ends: on a day of 34 s on which 35 back ends of a zone crashed, tries that ended
- * with a reset fell from 834 to 280, together with taking a refusal for a proof by itself (74 daemons, one run each).
+ * with a reset fell from 834 to 280, together with the change that a refusal alone is a proof (74 daemons, one run
+ * each).
  */
 export const DEAD_RECHECK_MS = 1_000;
 
--- a/src/cookie-edge/backend-health/dead-verdict.ts
+++ b/src/cookie-edge/backend-health/dead-verdict.ts
@@ -1,7 +1,7 @@
 /**
- * Decides when a back end is probed, when it is proved dead, and how long that verdict lasts. Prevents that each
- * request on an open flow there waits for its caller's deadline: on a day with failing back ends the verdicts cut
- * failed requests from 401 to 95 (one run each, then with two probes of 400 ms). Does no input or output. Times are
+ * Rule: when a back end is probed, when it is proved dead, and how long that verdict lasts. Without it each request on
+ * an open flow at a dead back end would wait for its caller's deadline: on a day with failing back ends the verdicts
+ * cut failed requests from 401 to 95 (one run each, then with two probes of 400 ms). Does no input or output. Times are
  * monotonic ms.
  *
  * Missing answers to callers' packets are no proof, because a busy back end acknowledges late. Proofs are a refused
--- a/src/cookie-edge/backend-health/ejection-report.ts
+++ b/src/cookie-edge/backend-health/ejection-report.ts
@@ -1,6 +1,6 @@
 /**
- * Decides how long another daemon's ejection of a back end makes it suspect here. Prevents that each daemon finds a
- * dead back end only by losing openings of its own callers. A report only makes suspect and never ejects, because the
+ * Rule: how long another daemon's ejection of a back end makes it suspect here. Spares each daemon from finding a dead
+ * back end by losing openings of its own callers. A report only makes suspect and never ejects, because the
  * reporter's links may be at fault. Does no input or output; owns the time of the last report. Times are monotonic ms
  * of this daemon.
  */
--- a/src/cookie-edge/backend-health/passive-ejection.ts
+++ b/src/cookie-edge/backend-health/passive-ejection.ts
@@ -1,13 +1,13 @@
 /**
- * Decides from missing answers when a back end is ejected, when it is suspect, and when it gets a trial opening.
- * Prevents that a caller's next attempt meets the back end that did not answer the first. Does no input or output.
+ * Rule: when missing answers eject a back end, when it is suspect, and when it gets a trial opening. Keeps a caller's
+ * next attempt away from the back end that did not answer the first. Does no input or output.
  *
  * Inputs: failures (unanswered openings and retransmitted data) with their times, signs of life of this back end and
  * the last one of any other; all times are monotonic ms. A sign of life ends everything, including the backoff.
  *
  * Order of `judge`: the number of failures first, because it is the cheapest test. Then whether another back end gave a
- * sign of life after the first failure began: without one this daemon or its links may be at fault, so without
- * knowledge of other back ends nothing is ejected. Then whether a failure came since the last judgement, so that one
+ * sign of life after the first failure began: without one this daemon or its links may be at fault, so that nothing is
+ * ejected while no other back end is known to answer. Then whether a failure came since the last judgement, so that one
  * failure never ejects twice. A failure during an ejection counts as judged, so that flows that were placed before it
  * do not prolong it.
  */
--- a/src/cookie-edge/backend-health/slow-handshake.ts
+++ b/src/cookie-edge/backend-health/slow-handshake.ts
@@ -1,8 +1,8 @@
 /**
- * Decides when a handshake waits too long. A back end that refuses openings answers its callers directly, which this
- * daemon does not see, and the caller's next attempt follows within milliseconds. Avoiding back ends with a slow
+ * Rule: when a pending handshake counts as slow. A back end that refuses openings answers its callers directly, which
+ * this daemon does not see, and the caller's next attempt follows within milliseconds. Avoiding back ends with a slow
  * handshake keeps that attempt from meeting the same back end, long before the opening counts as unanswered. Does no
- * input or output. Times are ms.
+ * input or output; owns the moving average. Times are ms.
  */
 import {
   HANDSHAKE_AVERAGE_START_MS,
--- a/src/cookie-edge/daemon/constants.ts
+++ b/src/cookie-edge/daemon/constants.ts
@@ -1,7 +1,7 @@
 /** Defaults and bounds of a daemon on a cookie edge. */
 
 /**
- * Shortest time in ms for which a stopping daemon goes on forwarding. Bound of the platform: its routers need two
+ * Shortest time in ms for which a stopping daemon keeps forwarding. Bound of the platform: its routers need two
  * missed readiness probes to turn away.
  */
 export const DEFAULT_DRAIN_MIN_MS = 1_300;
@@ -67,7 +67,7 @@
 /**
  * How many times the load of a back end of another zone counts: the own zone gets up to this many times as much. A
  * balancer with few flows keeps all of them in its zone, so that a cut between zones meets few. Measured: callers got
- * 0.990 in place of 0.962 of the credit during a cut of 5 s, with 0.015 in place of 0.025 GB between zones in 50 s
+ * 0.990 instead of 0.962 of the credit during a cut of 5 s, with 0.015 instead of 0.025 GB between zones in 50 s
  * (74 balancers, 3,600 flows, one run each).
  */
 export const DEFAULT_ZONE_LOAD_FACTOR = 1.5;
--- a/src/cookie-edge/daemon/shutdown.ts
+++ b/src/cookie-edge/daemon/shutdown.ts
@@ -1,5 +1,5 @@
 /**
- * Rule: in which order a daemon stops, and how long it goes on forwarding.
+ * Rule: in which order a daemon stops, and how long it keeps forwarding.
  *
  * Prevents packets that reach a closed socket while routers still send them. The daemon is unready from the request
  * on. It forwards for `minMs` in any case, because routers need failed readiness probes to notice, and then until no
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -193,7 +193,7 @@
   cookie: 0,
 };
 
-/** A request in which nothing but load decides, at time 0, for a flow that is told from others by `flow`. */
+/** A request in which nothing but load decides, at time 0, for a flow that `flow` distinguishes from others. */
 export function placementRequest(
   states: ReadonlyMap<KnownBackend, LocalBackendState>,
   flow: number,
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -122,8 +122,7 @@
 function createSharedParts(environment: CookieForwarderEnvironment): SharedParts {
   const { clock, events, edge, pauses, probe } = environment;
   const isOn = environment.isOn ?? ALL_MECHANISMS_ON;
-  const onEject = isOn('shared-ejections') ? environment.onEject : undefined;
-  const gossipEjection = (backendId: string, nowMs: number): void => onEject?.(backendId, nowMs);
+  const gossipEjection = ejectionGossipOf(environment, isOn);
   const statistics = new CookieStatistics();
   const cookies = new CookieRegistry();
   const cache = new FlowCache(environment.maxFlows);
@@ -154,16 +153,31 @@
     dead,
     outliers,
     pending: new PendingOpenings(),
-    answers: new AnswerTracker({
-      slowFactor: (environment.outliers ?? DEFAULT_OUTLIER_OPTIONS).slowFactor,
-      onBadAnswer: (badAnswer) => outliers.recordOwn(badAnswer),
-    }),
+    answers: createAnswerTracker(environment, outliers),
     failures: new FlowFailures({ states, dead, isOn }),
     sender: new PacketSender({ edge, cookies, statistics }),
     coldAdmission: new ColdAdmission(environment.cold),
   };
 }
 
+/** The function that gossips an ejection, a death or a doubt; does nothing while `shared-ejections` is switched off. */
+function ejectionGossipOf(
+  { onEject }: CookieForwarderEnvironment,
+  isOn: MechanismCheck,
+): (backendId: string, nowMs: number) => void {
+  return onEject && isOn('shared-ejections') ? onEject : () => undefined;
+}
+
+function createAnswerTracker(
+  { outliers = DEFAULT_OUTLIER_OPTIONS }: CookieForwarderEnvironment,
+  detector: OutlierDetector,
+): AnswerTracker {
+  return new AnswerTracker({
+    slowFactor: outliers.slowFactor,
+    onBadAnswer: (badAnswer) => detector.recordOwn(badAnswer),
+  });
+}
+
 function createOutlierDetector(environment: CookieForwarderEnvironment): OutlierDetector {
   const { clock, events, knowledge, observer, outliers, onBadAnswer } = environment;
   const { backends } = knowledge;
--- a/src/cookie-edge/forwarding/flow-expiry-rule.ts
+++ b/src/cookie-edge/forwarding/flow-expiry-rule.ts
@@ -1,8 +1,8 @@
 /**
  * Rule: when a remembered flow is forgotten.
  *
- * Prevents that the cache and the counts of open flows fill with flows that have ended unseen, and that a flow is
- * forgotten which its caller may still use. Does no input or output.
+ * Removes flows that ended unseen, which would fill the cache and the counts of open flows, and keeps flows that their
+ * callers may still use. Does no input or output.
  *
  * Inputs: the phase of the flow, the time since its caller's last packet, and the idle timeout; all in ms. The phase is
  * tested first: an open flow may pause for long, while nothing but stray packets follows in the other phases. Without a
--- a/src/cookie-edge/forwarding/retransmission-rule.ts
+++ b/src/cookie-edge/forwarding/retransmission-rule.ts
@@ -1,7 +1,7 @@
 /**
  * Rule: where a retransmitted SYN goes whose flow is remembered.
  *
- * Prevents both that a flow is opened at two back ends and that a caller spends all its attempts on one that does not
+ * Prevents both a flow that is opened at two back ends and a caller that spends all its attempts on one that does not
  * answer. Does no input or output.
  *
  * Inputs: the phase of the flow, the liveness of its back end, the back end that a new flow would get now. Order: a
--- a/src/cookie-edge/forwarding/syn-rule.ts
+++ b/src/cookie-edge/forwarding/syn-rule.ts
@@ -1,8 +1,9 @@
 /**
  * Rule: what a SYN is to this balancer.
  *
- * Prevents that one flow is opened at two back ends: a SYN that waited in the socket while the process was paused may
- * have been retransmitted meanwhile, and another balancer may have placed the retransmission. Does no input or output.
+ * Prevents one flow from being opened at two back ends: a SYN that waited in the socket while the process was paused
+ * may have been retransmitted meanwhile, and another balancer may have placed the retransmission. Does no input or
+ * output.
  *
  * Inputs: the SYN's retransmission count, the phase of the flow that is remembered with the same addresses, and whether
  * the packet may have waited through a pause (`PauseDetector`). Order: the pause is tested first, since a flow that is
--- a/src/cookie-edge/load/busy-backends.ts
+++ b/src/cookie-edge/load/busy-backends.ts
@@ -1,7 +1,7 @@
 /**
- * Decides which back ends are busy. Prevents that daemons that place one flow in a hundred pile theirs up where others'
- * flows already are: with reports busiest/mean fell from 2.4 to 1.66 (simulation of 164 back ends and 195 daemons).
- * Does no input or output.
+ * Rule: which back ends are busy. Keeps daemons that each place one flow in a hundred from piling them up where other
+ * daemons' flows already are: with reports busiest/mean fell from 2.4 to 1.66 (simulation of 164 back ends and 195
+ * daemons). Does no input or output.
  *
  * Inputs: rates in calls a second for each unit of capacity. A back end without a rate yet counts neither as busy nor
  * towards the mean. A service without any calls has no busy back end, which is tested before the division by the mean.
@@ -19,7 +19,7 @@
   readonly rate: number | undefined;
 }
 
-/** Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, `MAX_REPORTED` at the most. */
+/** Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, at most `MAX_REPORTED`. */
 export function busyBackends(rated: readonly RatedBackend[]): BusyBackend[] {
   const means = meanRates(rated);
   const busy: BusyBackend[] = [];
--- a/src/cookie-edge/load/call-rates.ts
+++ b/src/cookie-edge/load/call-rates.ts
@@ -30,7 +30,7 @@
   }
 
   /**
-   * Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, `MAX_REPORTED` at the most.
+   * Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, at most `MAX_REPORTED`.
    */
   busy(): BusyBackend[] {
     return busyBackends(
@@ -38,7 +38,7 @@
     );
   }
 
-  /** Undefined after one count, and when a count went back because the back end started anew. */
+  /** Undefined after one count, and when a count decreased because the back end restarted. */
   private rateOf({ id, calls, capacity }: BackendCallCount, nowMs: number): number | undefined {
     const before = this.known.get(id);
     if (!before || nowMs <= before.readAtMs || calls < before.count.calls) return undefined;
--- a/src/cookie-edge/load/load-reader.ts
+++ b/src/cookie-edge/load/load-reader.ts
@@ -65,7 +65,7 @@
     this.page = next === undefined ? 0 : this.page + 1;
   }
 
-  /** A page is read anew only after all the others. */
+  /** Lifetime of a report: a page is read again only after all the others. */
   private validMs(): number {
     return this.pages.length * LOAD_READ_INTERVAL_MS * VALID_READINGS;
   }
--- a/src/cookie-edge/outliers/constants.ts
+++ b/src/cookie-edge/outliers/constants.ts
@@ -69,7 +69,7 @@
 
 /**
  * Reports of a back end that is avoided for longer than this, in ms, are neither counted nor gossiped further. Without
- * that a day of 172 daemons with 32 bad back ends took 160 in place of 114 s of processor time.
+ * that a day of 172 daemons with 32 bad back ends took 160 instead of 114 s of processor time.
  */
 export const RENEWAL_MS = 1_000;
 
--- a/src/cookie-edge/placement/backend-eligibility.ts
+++ b/src/cookie-edge/placement/backend-eligibility.ts
@@ -5,9 +5,9 @@
  * overrides this rule. Does no input or output.
  *
  * Order: what the record says comes first, because it needs no state of the back end; `cold` is last among these,
- * because its test is the only one that costs a ranking of the fleet. Then what this balancer has seen: `full`, `dead`.
- * Missing knowledge: a zone without a region is in no allowed region; a service without a limit of connections or a
- * cold rate is not limited.
+ * because only its test costs a ranking of the fleet. Then what this balancer has observed: `full`, `dead`. Missing
+ * knowledge: a zone without a region is in no allowed region; a service without a limit of connections or a cold rate
+ * is not limited.
  *
  * Relies on the routing knowledge for records, cordons and limits, and on the back end's state for open flows and dead
  * verdicts.
--- a/src/cookie-edge/placement/cold-admission.ts
+++ b/src/cookie-edge/placement/cold-admission.ts
@@ -1,13 +1,13 @@
 /**
  * Rule: whether a back end in slow start may get one more new flow from this balancer.
  *
- * Prevents that all balancers together exceed the rate which a cold back end bears, above all when a whole zone comes
- * back and its empty back ends attract every new flow. Does no input or output.
+ * Keeps all balancers together within the rate that a cold back end bears, above all when a whole zone comes back and
+ * its empty back ends attract every new flow. Does no input or output.
  *
  * Each cold back end is assigned to `COLD_OWNERS` balancers by rendezvous hashing; only these send it flows, each at
  * its part of the rate, evenly spaced. No balancer needs to hear what the others sent. Order: the spacing is tested
- * before the ownership, since that costs a ranking of the fleet. A back end without a rate, or past its slow start, is
- * not limited.
+ * before the ownership, since ownership costs a ranking of the fleet. A back end without a rate, or past its slow
+ * start, is not limited.
  */
 import type { KnownBackend } from '../routing/index.js';
 import { COLD_OWNERS, COLD_VIEWS } from './constants.js';
--- a/src/cookie-edge/placement/new-flow-rule.ts
+++ b/src/cookie-edge/placement/new-flow-rule.ts
@@ -1,13 +1,13 @@
 /**
  * Rule: whether a new flow is placed, refused at once, or left to its caller's retransmission.
  *
- * Prevents that a caller which cannot be served waits for its timeout: it is refused with a reset immediately. Does no
+ * Refuses a caller that cannot be served with an immediate reset, instead of letting it wait for its timeout. Does no
  * input or output; the caller carries the outcome out and logs it.
  *
  * Inputs: routing knowledge, and what the rules of placement look at; times are monotonic ms. Order: without complete
  * knowledge neither a refusal nor a choice would be justified, so the SYN is dropped and the retransmission finds this
- * balancer ready or another one; then the route; then the service of its split; then the back end. Old knowledge is
- * used as it is, whatever its age.
+ * balancer ready or another one; then the route; then the service of its split; then the back end. Knowledge of any age
+ * is used.
  */
 import { combine32 } from '../../common/hash.js';
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
--- a/src/cookie-edge/routing/lapsed-records.ts
+++ b/src/cookie-edge/routing/lapsed-records.ts
@@ -1,6 +1,6 @@
 /**
  * Rule: whether a record that vanished from the source may only have lapsed, so that its back end may still live.
- * Prevents that a service loses back ends merely because they could not renew their records in an outage. Does no input
+ * Keeps a service from losing back ends merely because they could not renew their records in an outage. Does no input
  * or output; times are ms.
  *
  * A daemon that has not noticed an outage treats the record as removed. Placement decides for how long, and on which
@@ -16,7 +16,7 @@
   return isSourceLost || sinceRegainedMs < LAPSE_AFTER_OUTAGE_MS;
 }
 
-/** True for a record that may have lapsed; one whose back end said that it is draining was removed on purpose. */
+/** True for a record that may have lapsed; one whose back end was draining was removed on purpose. */
 export function hasLapsed(mayLapse: boolean, draining: boolean): boolean {
   return mayLapse && !draining;
 }
--- a/src/cookie-edge/routing/route-table-change.ts
+++ b/src/cookie-edge/routing/route-table-change.ts
@@ -41,7 +41,7 @@
   return { version, revision, idleTimeoutMs, services, routes: changed };
 }
 
-/** True when `second` goes on from the table that `first` leads to. */
+/** True when `second` starts from the table that `first` leads to. */
 export function isNextChange(first: RouteTableChange, second: RouteTableChange): boolean {
   return second.fromRevisions.includes(first.revision);
 }
--- a/src/cookie-edge/routing/source-availability.ts
+++ b/src/cookie-edge/routing/source-availability.ts
@@ -53,7 +53,7 @@
     this.failedCalls = 0;
   }
 
-  /** Call when this daemon stops reading the source: only readers can see whether an outage goes on. */
+  /** Call when this daemon stops reading the source: only readers can see whether an outage continues. */
   endReading(): void {
     if (this.lost) this.regainedAtMs = this.clock.now();
     this.lost = false;
--- a/src/cookie-edge/routing/source-follower.ts
+++ b/src/cookie-edge/routing/source-follower.ts
@@ -34,8 +34,8 @@
 /**
  * The topic that changes least is watched with long waits, because responses about the others confirm it, too. Watching
  * all three alike would cost half as many calls again as the other two. The others keep short waits, because each of a
- * reader's responses shows that it reads: with half as many, surplus readers stand down later (4 in place of 2 of 30
- * simulated daemons, 4 s after an outage).
+ * reader's responses shows that it reads: with half as many, surplus readers stand down later (4 instead of 2 of 30
+ * simulated daemons still read 4 s after an outage).
  */
 const LONG_WATCHED_TOPIC: RoutingTopic = 'cordons';
 
--- a/src/cookie-edge/routing/source-retry.ts
+++ b/src/cookie-edge/routing/source-retry.ts
@@ -1,6 +1,6 @@
 /**
- * Rule: how long to wait after a failed call to the source, and when the source counts as lost. Prevents that a fleet
- * overloads a source that is slow or unreachable, and that one failed call counts as an outage. Does no input or
+ * Rule: how long to wait after a failed call to the source, and when the source counts as lost. Keeps a fleet from
+ * overloading a source that is slow or unreachable, and one failed call from counting as an outage. Does no input or
  * output; times are ms.
  *
  * The delay doubles with each failed call in a row up to `RETRY_MAX_MS`. A larger minimum wins over that bound, because
--- a/src/cookie-edge/routing/types.ts
+++ b/src/cookie-edge/routing/types.ts
@@ -130,7 +130,7 @@
   /** True: back ends and cordons that are not listed are gone. False: the changes since the requested revision. */
   readonly complete: boolean;
   readonly routes: readonly RouteTable[];
-  /** What changed in the table, in place of a whole one; only from other daemons. */
+  /** The changes of the table instead of the whole one; only from other daemons. */
   readonly routeChange?: RouteTableChange;
   readonly backends: readonly RoutedBackend[];
   readonly removals: readonly BackendRemoval[];
--- a/src/cookie-edge/spreading/constants.ts
+++ b/src/cookie-edge/spreading/constants.ts
@@ -24,9 +24,8 @@
 
 /**
  * Longest such delay in ms just after a start. When all daemons start together, the first readers need time to become
- * known.
- * Measured together with waiting by rank: 60 simulated daemons made 316 calls until 4 s after their start without
- * these waits and 196 with them.
+ * known. Measured together with waiting by rank: 60 simulated daemons made 316 calls until 4 s after their start
+ * without these waits and 196 with them.
  */
 export const VOLUNTEER_AT_START_MS = 1_600;
 
@@ -106,7 +105,7 @@
 /**
  * Gather time in ms of ejections that follow a push; the first one goes out at once. Without it each would be pushed
  * within `CONFIRMATION_GATHER_MS`, 20 times a second. Measured: a simulated daemon that finds 100 back ends dead
- * within 2 s sends 96 messages more than in a calm time without it, and 33 at the most with it.
+ * within 2 s sends 96 messages more than in a calm time without it, and at most 33 more with it.
  */
 export const EJECTION_GATHER_MS = 200;
 
--- a/src/cookie-edge/spreading/message-composer.ts
+++ b/src/cookie-edge/spreading/message-composer.ts
@@ -108,7 +108,7 @@
     };
   }
 
-  /** Adds a report to the next push without changes, in place of an older one of its page. */
+  /** Adds a report to the next push without changes, replacing an older one of its page. */
   addLoadReport(report: LoadReport): void {
     this.loads = [...this.loads.filter(({ page }) => page !== report.page), report].slice(-LOADS_PER_MESSAGE);
   }
--- a/src/cookie-edge/spreading/peer-choice.ts
+++ b/src/cookie-edge/spreading/peer-choice.ts
@@ -2,8 +2,8 @@
  * Rule: which peers get a push, and which daemons own a key. Does no input or output; `PeerView` keeps the peers and
  * their turns.
  *
- * Prevents that a push misses the same peers again and again, as choices by chance do, and that a daemon which is alone
- * in its zone hears of little. Bytes between zones cost more than others, so most of a push stays in the zone.
+ * Prevents pushes that miss the same peers again and again, as random choices do, and a daemon alone in its zone that
+ * gets few messages. Bytes between zones cost more than others, so most of a push stays in the zone.
  *
  * Order of a push: the peers of the own zone first, then those of other zones, who also get the places that the own
  * zone leaves empty; within each, the peers that were not chosen for longest. Equal turns do not occur, since each has
--- a/src/cookie-edge/spreading/source-read-pacing.ts
+++ b/src/cookie-edge/spreading/source-read-pacing.ts
@@ -1,7 +1,7 @@
 /**
  * Rule: how soon, and how often, a daemon without a confirmation calls the source. Does no input or output.
  *
- * Prevents an outage in which every daemon calls the source at once and goes on calling it. One response is enough,
+ * Prevents an outage in which every daemon calls the source at once and keeps calling it. One response is enough,
  * because it is gossiped to all. So a few daemons read first, more follow while there is no response, and after
  * `FIRST_READS` the rest follow at a constant rate: the load on the source in an outage does not grow with the fleet.
  * Measured: in an outage of 6 s 150 simulated daemons made 1,469 calls without this rule and 168 with it.
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -1,9 +1,8 @@
 /**
  * Gossip of one daemon: the few readers push changes and freshness confirmations to some peers, which gossip them
- * further. A
- * daemon that lags pulls what it lacks, and one without a confirmation for too long reads the source itself. Owns the
- * tick and the application of messages; the rules stand in `reader-rule.ts`, `gossip-rule.ts`, `pull-rule.ts` and
- * `source-read-pacing.ts`.
+ * further. A daemon that lags pulls what it lacks, and one without a confirmation for too long reads the source itself.
+ * Owns the tick and the application of messages; the rules stand in `reader-rule.ts`, `gossip-rule.ts`, `pull-rule.ts`
+ * and `source-read-pacing.ts`.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
--- a/src/cookie-edge/spreading/update-log.ts
+++ b/src/cookie-edge/spreading/update-log.ts
@@ -5,8 +5,7 @@
  * Back ends and cordons are records with revisions, so that any start at or before the requester's revision serves,
  * and records that it has are left out. Routes are differences of tables: the chain must start from exactly the
  * requester's table and have no gap. A requester that the log does not reach gets nothing here, and the whole topic
- * when it fetches the state (`completeUpdate`). A complete update starts the log anew.
- */
+ * when it fetches the state (`completeUpdate`). A complete update clears the log. */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import {
   isNextChange,
@@ -30,7 +29,7 @@
 
   constructor(private readonly isOn: MechanismCheck = ALL_MECHANISMS_ON) {}
 
-  /** Records a change that was just applied. A complete update starts the log anew. */
+  /** Records a change that was just applied. A complete update clears the log. */
   record(entry: SpreadUpdate): void {
     const log = this.entries[entry.topic];
     if (entry.update.complete) log.length = 0;
