--- a/src/cookie-edge/backend-health/dead-backends.test.ts
+++ b/src/cookie-edge/backend-health/dead-backends.test.ts
@@ -3,7 +3,7 @@
 import { VirtualClock } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
 import type { Endpoint } from '../../common/types.js';
-import { TICK_MS } from '../forwarding/constants.js';
+import { HOUSEKEEPING_TICK_MS } from '../forwarding/constants.js';
 import { backends, ForwarderHarness, type HarnessSurroundings } from '../forwarding/cookie-test-support.js';
 import { backendAt, updateAt } from '../routing/routing-test-support.js';
 import type { ProbeOutcome } from './backend-prober.js';
@@ -227,7 +227,7 @@
 test('probes that end late prove nothing: this process stood still', async (t) => {
   const { harness } = setUp(2, {
     probe: () => {
-      harness.clock.advance(PROBE_TIMEOUT_MS + 10 * TICK_MS);
+      harness.clock.advance(PROBE_TIMEOUT_MS + 10 * HOUSEKEEPING_TICK_MS);
       return Promise.resolve('silent');
     },
   });
--- a/src/cookie-edge/daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -11,7 +11,7 @@
 import type { RandomSource } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
 import type { EventLog } from '../../observability/event.js';
-import { createCookieForwarder, TICK_MS, type CookieForwarder } from '../forwarding/index.js';
+import { createCookieForwarder, HOUSEKEEPING_TICK_MS, type CookieForwarder } from '../forwarding/index.js';
 import { LOAD_MIN_DAEMONS, LoadReader, LoadView } from '../load/index.js';
 import { freshnessTimings, ProblemLog, RoutingKnowledge, SourceAvailability } from '../routing/index.js';
 import { NetworkTransport, Spreader } from '../spreading/index.js';
@@ -66,7 +66,7 @@
   const { clock, events, adapters } = environment;
   const isOn = allBut(config().switchedOff);
   const buffer = new StartupBuffer({ clock, events, isOn });
-  const pauses = new PauseDetector(clock.now(), TICK_MS);
+  const pauses = new PauseDetector(clock.now(), HOUSEKEEPING_TICK_MS);
   const edge = await adapters.openEdge({ data: config().data, handler: buffer, events, clock });
   buffer.attach(edge);
   const wiring: Wiring = {
--- a/src/cookie-edge/forwarding/constants.ts
+++ b/src/cookie-edge/forwarding/constants.ts
@@ -4,7 +4,7 @@
  * Period of the housekeeping, in ms: pending openings, pauses, ejections and expiry. Not measured; chosen to be at most
  * the 150 ms after which an opening is unanswered.
  */
-export const TICK_MS = 150;
+export const HOUSEKEEPING_TICK_MS = 150;
 
 /**
  * Data repeated sooner than this, in ms, is a duplicate made by the network. Source: callers retransmit after 200 ms at
--- a/src/cookie-edge/forwarding/cookie-forwarder.test.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.test.ts
@@ -2,7 +2,7 @@
 import { READS_A_TURN } from '../../common/pause-detector.js';
 import { LAPSED_RECORD_MS } from '../placement/constants.js';
 import { backendAt, SERVICE_PORT } from '../routing/routing-test-support.js';
-import { TICK_MS } from './constants.js';
+import { HOUSEKEEPING_TICK_MS } from './constants.js';
 import { backends, failOpenings, ForwarderHarness } from './cookie-test-support.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 
@@ -98,7 +98,7 @@
 
 test('a late tick opens a short time in which SYNs are too old, and then it is over', (t) => {
   const harness = new ForwarderHarness().know(backends(3));
-  harness.clock.advance(3 * TICK_MS);
+  harness.clock.advance(3 * HOUSEKEEPING_TICK_MS);
   t.truthy(harness.open(1), 'ticks in time are no pause');
 });
 
@@ -163,7 +163,7 @@
   const [first] = failOpenings(harness, 'a', 2, 100);
   harness.clock.advance(300);
   harness.establish(500);
-  harness.clock.advance(TICK_MS);
+  harness.clock.advance(HOUSEKEEPING_TICK_MS);
   t.true(harness.events().includes(COOKIE_FLOW_EVENTS.backendEjected.number));
   for (let port = 600; port < 620; port += 1) t.not(harness.establish(port).backend, 'a');
   const again = harness.open(first!, 1);
@@ -187,7 +187,7 @@
   failOpenings(harness, 'a', 2, 100);
   harness.clock.advance(200);
   harness.establish(500);
-  harness.clock.advance(TICK_MS);
+  harness.clock.advance(HOUSEKEEPING_TICK_MS);
   t.is(harness.forwarder.ejections, 1);
   harness.clock.advance(1_100);
   const placed = Array.from({ length: 6 }, (_unused, index) => harness.establish(700 + index).backend);
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -24,7 +24,7 @@
   tableAt,
   updateAt,
 } from '../routing/routing-test-support.js';
-import { TICK_MS } from './constants.js';
+import { HOUSEKEEPING_TICK_MS } from './constants.js';
 import type { CookieForwarder } from './cookie-forwarder.js';
 import { createCookieForwarder } from './create-cookie-forwarder.js';
 
@@ -94,7 +94,7 @@
       probe: surroundings.probe ?? (() => Promise.resolve('answered')),
       cold: { overage: 1.5, slack: 5, isOwner: surroundings.isOwner ?? (() => true) },
       random: seededRandom(seed),
-      pauses: new PauseDetector(clock.now(), TICK_MS, (callback) => this.turns.push(callback)),
+      pauses: new PauseDetector(clock.now(), HOUSEKEEPING_TICK_MS, (callback) => this.turns.push(callback)),
       maxFlowAgeMs: 60_000,
       maxFlows: () => 1_000,
       observer: surroundings.observer,
@@ -110,7 +110,7 @@
     this.clock.advance(milliseconds);
     this.abort = new AbortController();
     this.forwarder.start(this.abort.signal);
-    this.clock.advance(TICK_MS);
+    this.clock.advance(HOUSEKEEPING_TICK_MS);
   }
 
   /** Ends a turn of the event loop. */
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -7,7 +7,7 @@
 import type { EventLog } from '../../observability/event.js';
 import type { LocalBackendStates, PendingOpenings } from '../backend-health/index.js';
 import type { AnswerTracker, OutlierDetector } from '../outliers/index.js';
-import { TICK_MS } from './constants.js';
+import { HOUSEKEEPING_TICK_MS } from './constants.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 import type { FlowExpiry } from './flow-expiry.js';
 import type { FlowFailures } from './flow-failures.js';
@@ -25,7 +25,7 @@
   readonly expiry: FlowExpiry;
 }
 
-/** Runs every `TICK_MS`. Times are monotonic ms. */
+/** Runs every `GOSSIP_TICK_MS`. Times are monotonic ms. */
 export class Housekeeping {
   constructor(private readonly options: HousekeepingOptions) {}
 
@@ -33,7 +33,7 @@
   start(signal: AbortSignal): void {
     let timer: TimerHandle;
     const arm = (): void => {
-      timer = this.options.clock.schedule(TICK_MS, () => {
+      timer = this.options.clock.schedule(HOUSEKEEPING_TICK_MS, () => {
         this.tick();
         arm();
       });
--- a/src/cookie-edge/forwarding/index.ts
+++ b/src/cookie-edge/forwarding/index.ts
@@ -3,7 +3,7 @@
  * counters. Relies on `placement` for new flows, on `backend-health` and `outliers` for what packets say of back ends,
  * on `routing` for routes and records, and on the edge of `fabric` for sending.
  */
-export { TICK_MS } from './constants.js';
+export { HOUSEKEEPING_TICK_MS } from './constants.js';
 export type { CookieForwarder } from './cookie-forwarder.js';
 export type { CookieStatistics } from './cookie-statistics.js';
 export { createCookieForwarder } from './create-cookie-forwarder.js';
--- a/src/cookie-edge/forwarding/switched-off.test.ts
+++ b/src/cookie-edge/forwarding/switched-off.test.ts
@@ -1,7 +1,7 @@
 /** What a forwarder does without one of its mechanisms, as the ablation switches them off. */
 import test from 'ava';
 import type { Mechanism } from '../../common/mechanisms.js';
-import { TICK_MS } from './constants.js';
+import { HOUSEKEEPING_TICK_MS } from './constants.js';
 import { backends, failOpenings, ForwarderHarness } from './cookie-test-support.js';
 
 function harnessWithout(mechanism: Mechanism): ForwarderHarness {
@@ -15,7 +15,7 @@
   failOpenings(harness, id, 2, 100);
   harness.clock.advance(200);
   harness.establish(900);
-  harness.clock.advance(TICK_MS);
+  harness.clock.advance(HOUSEKEEPING_TICK_MS);
 }
 
 test('with all mechanisms a back end that does not answer is ejected', (t) => {
--- a/src/cookie-edge/routing/constants.ts
+++ b/src/cookie-edge/routing/constants.ts
@@ -10,7 +10,7 @@
  * Delay of the next watch after a response with changes, so that one response brings several changes. Not measured, and
  * no reason is recorded for the size.
  */
-export const CHANGE_GATHER_MS = 120;
+export const CHANGE_WATCH_DELAY_MS = 120;
 
 /**
  * Delay before a new reader watches the topic with long watches. Most daemons that begin to read together stand down
--- a/src/cookie-edge/routing/source-follower.test.ts
+++ b/src/cookie-edge/routing/source-follower.test.ts
@@ -2,7 +2,7 @@
 import { VirtualClock } from '../../common/clock.js';
 import { seededRandom } from '../../common/random.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
-import { CHANGE_GATHER_MS, FIRST_WATCH_WAIT_MS, RETRY_MAX_MS } from './constants.js';
+import { CHANGE_WATCH_DELAY_MS, FIRST_WATCH_WAIT_MS, RETRY_MAX_MS } from './constants.js';
 import type { RoutingSourceErrorKind } from './errors.js';
 import { freshnessTimings } from './freshness.js';
 import { RoutingKnowledge } from './knowledge.js';
@@ -64,7 +64,7 @@
   t.is(waits[0], FIRST_WATCH_WAIT_MS);
   t.is(waits[1], TIMINGS.watchWaitMs);
   const lefts = [1_000, 500, 100].map((ms) =>
-    Math.min(TIMINGS.watchWaitMs, TIMINGS.readerAgeMs - ms - CHANGE_GATHER_MS),
+    Math.min(TIMINGS.watchWaitMs, TIMINGS.readerAgeMs - ms - CHANGE_WATCH_DELAY_MS),
   );
   waits.slice(2).forEach((waitMs, index) => t.true(Math.abs(waitMs - lefts[index]!) <= 10, waits.join()));
   stop();
@@ -91,7 +91,7 @@
       if (elapsedMs > 500) oldestMs = Math.max(oldestMs, knowledge.ageOf('backends'));
     }
     t.true(oldestMs < TIMINGS.pullAfterMs, `${oldestMs} ms with a change each ${gapMs} ms`);
-    t.true(source.calls.length <= 20_000 / CHANGE_GATHER_MS + 3, `${source.calls.length} calls`);
+    t.true(source.calls.length <= 20_000 / CHANGE_WATCH_DELAY_MS + 3, `${source.calls.length} calls`);
     stop();
   }
 });
--- a/src/cookie-edge/routing/source-follower.ts
+++ b/src/cookie-edge/routing/source-follower.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
-import { CHANGE_GATHER_MS, CONFIRM_CHECK_MS, LONG_WATCH_START_MS } from './constants.js';
+import { CHANGE_WATCH_DELAY_MS, CONFIRM_CHECK_MS, LONG_WATCH_START_MS } from './constants.js';
 import { RoutingSourceError } from './errors.js';
 import type { FreshnessTimings } from './freshness.js';
 import { hasContent, type RoutingKnowledge } from './knowledge.js';
@@ -139,7 +139,7 @@
     this.watchedRevision = response.value.revision;
     const heldMs = broughtChange ? 0 : waitMs;
     const complete = this.apply(response.value, since, Math.min(requestedAtMs + heldMs, clock.now()));
-    if (broughtChange) await pause(clock, CHANGE_GATHER_MS, signal);
+    if (broughtChange) await pause(clock, CHANGE_WATCH_DELAY_MS, signal);
     return complete;
   }
 
--- a/src/cookie-edge/spreading/constants.ts
+++ b/src/cookie-edge/spreading/constants.ts
@@ -7,7 +7,7 @@
  * Interval in ms at which overdue confirmations, the reader role and peers are checked. Not measured; chosen because
  * it is a tenth of the age at which a confirmation is overdue by the default bound.
  */
-export const TICK_MS = 200;
+export const GOSSIP_TICK_MS = 200;
 
 /**
  * Daemons that read the source at the same time. One would do; the second covers the loss of the first. Derived from
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -13,7 +13,13 @@
 import type { BadAnswerReport } from '../outliers/index.js';
 import type { FreshnessTimings, RoutingKnowledge } from '../routing/index.js';
 import { CatchUp } from './catch-up.js';
-import { GREETING_JITTER, GREETING_MAX_MS, GREETING_MIN_MS, PULL_FANOUT, TICK_MS } from './constants.js';
+import {
+  GREETING_JITTER,
+  GREETING_MAX_MS,
+  GREETING_MIN_MS,
+  PULL_FANOUT,
+  GOSSIP_TICK_MS,
+} from './constants.js';
 import { SPREADING_EVENTS } from './events.js';
 import { isConfirmationStep } from './gossip-rule.js';
 import { MessageChannel, type MessageCounts } from './message-channel.js';
@@ -145,7 +151,7 @@
     this.startedAtMs = this.options.clock.now();
     this.greetSeeds(this.startedAtMs);
     const arm = (): void => {
-      this.timer = this.options.clock.schedule(TICK_MS, () => {
+      this.timer = this.options.clock.schedule(GOSSIP_TICK_MS, () => {
         this.tick();
         arm();
       });
