--- a/src/cookie-edge/backend-health/ejection-report.ts
+++ b/src/cookie-edge/backend-health/ejection-report.ts
@@ -1,7 +1,8 @@
 /**
- * Decides how long another daemon's ejection of a back end makes it suspect here. Prevents that each daemon loses callers' openings of its
- * own to find a dead back end. A report only makes suspect and never ejects, because the reporter's links may be at fault. Does no
- * input or output. Times are monotonic ms of this daemon.
+ * Rule: how long another daemon's ejection of a back end makes it suspect here. Spares each daemon from finding a dead
+ * back end by losing openings of its own callers. A report only makes suspect and never ejects, because the
+ * reporter's links may be at fault. Does no input or output; owns the time of the last report. Times are monotonic ms
+ * of this daemon.
  */
 import { SHARED_SUSPECT_MS, SUSPECT_MS } from './constants.js';
 
@@ -13,10 +14,11 @@
   private reportedAtMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * Records an ejection at `atMs`. A sign of life at that time or later disproves it, which is tested first because it is what this
-   * daemon saw itself. A report less than `SUSPECT_MS` after the last one is a duplicate, and so is an older one.
+   * Records an ejection at `atMs`. A sign of life at that time or later disproves it, which is tested first because it
+   * is what this daemon saw itself. A report less than `SUSPECT_MS` after the last one is a duplicate, and so is an
+   * older one.
    */
-  note(atMs: number, lastSignOfLifeMs: number): ReportOutcome {
+  apply(atMs: number, lastSignOfLifeMs: number): ReportOutcome {
     if (lastSignOfLifeMs >= atMs) return 'disproved';
     if (atMs - this.reportedAtMs < SUSPECT_MS) return 'known';
     this.reportedAtMs = atMs;
--- a/src/cookie-edge/backend-health/backend-state.ts
+++ b/src/cookie-edge/backend-health/local-backend-state.ts
@@ -1,6 +1,7 @@
 /**
- * What this daemon knows of one back end: its own flows there and the last sign of life, and from these whether new flows should go
- * there. A caller that continues an opening, or acknowledges new data, proves that its back end lives. The rules stand in
+ * What this daemon itself observed of one back end: its own flows there, failures and the last sign of life, and from
+ * these whether new flows should go there. A sign of life is a caller that continues an opening or acknowledges new
+ * data. Owns the observations of one back end; relies on forwarding to report them. The rules stand in
  * `passive-ejection.ts`, `ejection-report.ts`, `dead-verdict.ts` and `slow-handshake.ts`; this class only orders them.
  */
 import { hashString } from '../../common/hash.js';
@@ -11,11 +12,11 @@
 import { PassiveEjection } from './passive-ejection.js';
 import { hasSlowHandshake } from './slow-handshake.js';
 
-/** Whether a back end should get new flows, as far as packets tell. */
+/** Whether a back end should get new flows, judged by packets alone. `trial`: ejected, and due for a trial opening. */
 export type Liveness = 'alive' | 'suspect' | 'trial' | 'ejected';
 
 /** Passive health and load of one back end. Times are monotonic ms. */
-export class BackendState {
+export class LocalBackendState {
   /** Pending openings, and when the one was placed that began the present unbroken series of them. */
   pendingOpenings = 0;
   pendingSinceMs = 0;
@@ -42,8 +43,8 @@
   }
 
   /** Counts a flow that its caller closed. */
-  noteClosed(nowMs: number): void {
-    this.flows.noteClosed(nowMs);
+  recordClosed(nowMs: number): void {
+    this.flows.recordClosed(nowMs);
   }
 
   /** Flows that are or were recently open there, as a whole number. */
@@ -57,24 +58,28 @@
   }
 
   /** Records a sign of life; returns true when that ends failures, and so perhaps an ejection. */
-  noteSignOfLife(nowMs: number): boolean {
+  recordSignOfLife(nowMs: number): boolean {
     this.lastSignOfLifeMs = nowMs;
     this.verdict.end();
-    return this.ejection.noteSignOfLife();
+    return this.ejection.recordSignOfLife();
   }
 
   /** Records a failure that began at `sinceMs`, unless a sign of life came after that. */
-  noteFailure(nowMs: number, sinceMs: number): void {
-    if (this.lastSignOfLifeMs < sinceMs) this.ejection.noteFailure(nowMs, sinceMs);
+  recordFailure(nowMs: number, sinceMs: number): void {
+    if (this.lastSignOfLifeMs < sinceMs) this.ejection.recordFailure(nowMs, sinceMs);
   }
 
-  /** Ejects the back end where `PassiveEjection.judge` says so; returns true when that begins an ejection. */
+  /**
+   * Ejects the back end where `PassiveEjection.judge` says so; returns true when that begins an ejection.
+   *
+   * @param othersAliveMs time of the last sign of life of any other back end; -Infinity without any
+   */
   tryEject(nowMs: number, othersAliveMs: number): boolean {
     return this.ejection.judge(nowMs, othersAliveMs) === 'eject';
   }
 
-  /** Records a dead verdict and its end. */
-  noteDead(untilMs: number): void {
+  /** Records a dead verdict that ends at `untilMs`; the present time ends one at once. */
+  recordDeadVerdict(untilMs: number): void {
     this.verdict.hold(untilMs);
   }
 
@@ -84,11 +89,14 @@
   }
 
   /** Records an ejection by another daemon at `atMs`; returns false for a report that must not be gossiped further. */
-  noteEjectionReport(atMs: number): boolean {
-    return this.report.note(atMs, this.lastSignOfLifeMs) === 'new';
+  applyEjectionReport(atMs: number): boolean {
+    return this.report.apply(atMs, this.lastSignOfLifeMs) === 'new';
   }
 
-  /** A dead verdict comes first because it is proved; a report counts only where this daemon has seen no failure itself. */
+  /**
+   * Tests a dead verdict first because it is proved, then this daemon's own failures. Another daemon's report counts
+   * only where this daemon has seen no failure itself.
+   */
   liveness(nowMs: number): Liveness {
     if (this.isDead(nowMs)) return 'ejected';
     const phase = this.ejection.phaseAt(nowMs);
@@ -97,13 +105,13 @@
     return this.report.makesSuspect(nowMs, this.lastSignOfLifeMs) ? 'suspect' : 'alive';
   }
 
-  /** True while a handshake there takes longer than `slowAfterMs`. */
-  hasSlowHandshake(nowMs: number, slowAfterMs: number): boolean {
-    return hasSlowHandshake(this.pendingOpenings, this.pendingSinceMs, nowMs, slowAfterMs);
+  /** True while a handshake there takes longer than `slowHandshakeMs`. */
+  hasSlowHandshake(nowMs: number, slowHandshakeMs: number): boolean {
+    return hasSlowHandshake(this.pendingOpenings, this.pendingSinceMs, nowMs, slowHandshakeMs);
   }
 
   /** Records that a trial opening is placed there. */
-  noteTrial(nowMs: number): void {
-    this.ejection.noteTrial(nowMs);
+  recordTrial(nowMs: number): void {
+    this.ejection.recordTrial(nowMs);
   }
 }
--- a/src/cookie-edge/backend-health/own-flows.ts
+++ b/src/cookie-edge/backend-health/own-flows.ts
@@ -1,4 +1,4 @@
-/** Counts the flows that this daemon has placed at one back end, as the load that placement compares. Owns only the counts. */
+/** Counts this daemon's flows at one back end, the load that placement compares. Owns only the counts. */
 import { DecayingRate } from '../../common/decaying-rate.js';
 import { CLOSED_FLOW_COUNTS_MS } from './constants.js';
 
@@ -9,7 +9,7 @@
   private readonly closed = new DecayingRate(CLOSED_FLOW_COUNTS_MS);
 
   /** Counts a flow that its caller closed. */
-  noteClosed(nowMs: number): void {
+  recordClosed(nowMs: number): void {
     this.open -= 1;
     this.closed.count(nowMs);
   }
--- a/src/cookie-edge/daemon/shutdown.ts
+++ b/src/cookie-edge/daemon/shutdown.ts
@@ -1,5 +1,5 @@
 /**
- * Rule: in which order a daemon stops, and how long it goes on forwarding.
+ * Rule: in which order a daemon stops, and how long it keeps forwarding.
  *
  * Prevents packets that reach a closed socket while routers still send them. The daemon is unready from the request
  * on. It forwards for `minMs` in any case, because routers need failed readiness probes to notice, and then until no
@@ -7,8 +7,8 @@
  * gossip; then it announces its leave, cancels its timers, ends the calls to the source, and closes the sockets
  * together.
  */
-import { delay, waitUntilQuiet } from '../../common/drain.js';
 import type { Clock } from '../../common/clock.js';
+import { delay, waitUntilQuiet } from '../../common/drain.js';
 
 /** Times of a stop in ms; see the fields of the configuration. */
 interface DrainTimes {
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -1,13 +1,16 @@
 /** A cookie forwarder on a virtual clock, with an edge that records what is sent. */
-import { allBut, type Mechanism } from '../../common/mechanisms.js';
 import { VirtualClock } from '../../common/clock.js';
 import { combine32 } from '../../common/hash.js';
+import { allBut, type Mechanism } from '../../common/mechanisms.js';
 import { PauseDetector } from '../../common/pause-detector.js';
 import { seededRandom } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
 import type { CookieEdgePort, CookiePacket, ResetTarget } from '../../fabric/cookie-edge.js';
 import type { EventDefinition, EventFields } from '../../observability/event.js';
+import type { ConnectProbe } from '../backend-health/backend-prober.js';
+import type { LocalBackendState } from '../backend-health/local-backend-state.js';
 import type { BadAnswerReport } from '../outliers/index.js';
+import type { PlacementRequest } from '../placement/index.js';
 import {
   RoutingKnowledge,
   type KnownBackend,
@@ -21,12 +24,9 @@
   tableAt,
   updateAt,
 } from '../routing/routing-test-support.js';
-import type { BackendState } from '../backend-health/backend-state.js';
-import { TICK_MS } from './constants.js';
+import { HOUSEKEEPING_TICK_MS } from './constants.js';
 import type { CookieForwarder } from './cookie-forwarder.js';
 import { createCookieForwarder } from './create-cookie-forwarder.js';
-import type { ConnectProbe } from '../backend-health/backend-prober.js';
-import type { PlacementRequest } from '../placement/index.js';
 
 /** What the edge was asked to send. */
 export interface SentPacket {
@@ -56,7 +56,7 @@
   /** Resets of flows other than that of the packet being handled. */
   readonly resets: ResetTarget[] = [];
   /** Back ends that it reported as ejected, dead or in doubt. */
-  readonly told: string[] = [];
+  readonly gossipedEjections: string[] = [];
   readonly logged: { readonly event: EventDefinition; readonly fields: EventFields }[] = [];
   readonly knowledge: RoutingKnowledge;
   readonly forwarder: CookieForwarder;
@@ -94,12 +94,12 @@
       probe: surroundings.probe ?? (() => Promise.resolve('answered')),
       cold: { overage: 1.5, slack: 5, isOwner: surroundings.isOwner ?? (() => true) },
       random: seededRandom(seed),
-      pauses: new PauseDetector(clock.now(), TICK_MS, (callback) => this.turns.push(callback)),
+      pauses: new PauseDetector(clock.now(), HOUSEKEEPING_TICK_MS, (callback) => this.turns.push(callback)),
       maxFlowAgeMs: 60_000,
       maxFlows: () => 1_000,
       observer: surroundings.observer,
       onBadAnswer: surroundings.onBadAnswer,
-      onEject: (backendId) => this.told.push(backendId),
+      onEject: (backendId) => this.gossipedEjections.push(backendId),
     });
     this.forwarder.start(this.abort.signal);
   }
@@ -110,7 +110,7 @@
     this.clock.advance(milliseconds);
     this.abort = new AbortController();
     this.forwarder.start(this.abort.signal);
-    this.clock.advance(TICK_MS);
+    this.clock.advance(HOUSEKEEPING_TICK_MS);
   }
 
   /** Ends a turn of the event loop. */
@@ -193,9 +193,9 @@
   cookie: 0,
 };
 
-/** A request in which nothing but load decides, at time 0, for a flow that is told from others by `flow`. */
+/** A request in which nothing but load decides, at time 0, for a flow that `flow` distinguishes from others. */
 export function placementRequest(
-  states: ReadonlyMap<KnownBackend, BackendState>,
+  states: ReadonlyMap<KnownBackend, LocalBackendState>,
   flow: number,
 ): PlacementRequest {
   return {
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -1,11 +1,16 @@
-/** Wires a cookie forwarder: each part is created after those that it needs. */
+/** Wires a cookie forwarder. Owns the order in which the parts are created: each after those that it needs. */
 import type { Clock } from '../../common/clock.js';
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
 import type { RandomSource } from '../../common/random.js';
 import type { CookieEdgePort } from '../../fabric/cookie-edge.js';
 import type { EventLog } from '../../observability/event.js';
-import { BackendStates, DeadBackends, PendingOpenings, type ConnectProbe } from '../backend-health/index.js';
+import {
+  LocalBackendStates,
+  DeadBackends,
+  PendingOpenings,
+  type ConnectProbe,
+} from '../backend-health/index.js';
 import type { LoadLevels } from '../load/index.js';
 import {
   AnswerTracker,
@@ -43,7 +48,7 @@
   readonly events: EventLog;
   readonly knowledge: RoutingKnowledge;
   readonly edge: CookieEdgePort;
-  /** Ticked by the forwarder every `TICK_MS`. */
+  /** Ticked by the forwarder every `GOSSIP_TICK_MS`. */
   readonly pauses: PauseDetector;
   readonly zone: string;
   /** Flows for each unit of capacity that a back end of another zone must have less. */
@@ -53,7 +58,7 @@
   /** Region of a zone; undefined when it is not configured. */
   readonly regionOf: (zone: string) => string | undefined;
   readonly cold: ColdAdmissionOptions;
-  /** Tries whether a back end can be reached. */
+  /** Opens a connection to a back end to test whether it listens. */
   readonly probe: ConnectProbe;
   /** Longest life of a flow, in ms. */
   readonly maxFlowAgeMs: number;
@@ -78,7 +83,7 @@
   readonly statistics: CookieStatistics;
   readonly cookies: CookieRegistry;
   readonly cache: FlowCache;
-  readonly states: BackendStates;
+  readonly states: LocalBackendStates;
   readonly dead: DeadBackends;
   readonly pending: PendingOpenings;
   readonly answers: AnswerTracker;
@@ -117,16 +122,27 @@
 function createSharedParts(environment: CookieForwarderEnvironment): SharedParts {
   const { clock, events, edge, pauses, probe } = environment;
   const isOn = environment.isOn ?? ALL_MECHANISMS_ON;
-  const onEject = isOn('shared-ejections') ? environment.onEject : undefined;
-  const gossipEjection = (backendId: string, nowMs: number): void => onEject?.(backendId, nowMs);
+  const gossipEjection = ejectionGossipOf(environment, isOn);
   const statistics = new CookieStatistics();
   const cookies = new CookieRegistry();
   const cache = new FlowCache(environment.maxFlows);
-  const states = new BackendStates(events, ({ backend }, nowMs) => gossipEjection(backend.id, nowMs), isOn);
-  const dead = new DeadBackends(
-    { isOn, states, cache, edge, statistics, events },
-    { clock, pauses, probe, onDoubt: gossipEjection },
+  const states = new LocalBackendStates(
+    events,
+    ({ backend }, nowMs) => gossipEjection(backend.id, nowMs),
+    isOn,
   );
+  const dead = new DeadBackends({
+    isOn,
+    states,
+    cache,
+    edge,
+    statistics,
+    events,
+    clock,
+    pauses,
+    probe,
+    onDoubt: gossipEjection,
+  });
   const outliers = createOutlierDetector(environment);
   return {
     isOn,
@@ -137,16 +153,31 @@
     dead,
     outliers,
     pending: new PendingOpenings(),
-    answers: new AnswerTracker({
-      slowFactor: (environment.outliers ?? DEFAULT_OUTLIER_OPTIONS).slowFactor,
-      onBadAnswer: (badAnswer) => outliers.noteOwn(badAnswer),
-    }),
+    answers: createAnswerTracker(environment, outliers),
     failures: new FlowFailures({ states, dead, isOn }),
     sender: new PacketSender({ edge, cookies, statistics }),
     coldAdmission: new ColdAdmission(environment.cold),
   };
 }
 
+/** The function that gossips an ejection, a death or a doubt; does nothing while `shared-ejections` is switched off. */
+function ejectionGossipOf(
+  { onEject }: CookieForwarderEnvironment,
+  isOn: MechanismCheck,
+): (backendId: string, nowMs: number) => void {
+  return onEject && isOn('shared-ejections') ? onEject : () => undefined;
+}
+
+function createAnswerTracker(
+  { outliers = DEFAULT_OUTLIER_OPTIONS }: CookieForwarderEnvironment,
+  detector: OutlierDetector,
+): AnswerTracker {
+  return new AnswerTracker({
+    slowFactor: outliers.slowFactor,
+    onBadAnswer: (badAnswer) => detector.recordOwn(badAnswer),
+  });
+}
+
 function createOutlierDetector(environment: CookieForwarderEnvironment): OutlierDetector {
   const { clock, events, knowledge, observer, outliers, onBadAnswer } = environment;
   const { backends } = knowledge;
@@ -180,7 +211,7 @@
     placement: new OpeningPlacement({ zone, zoneMargin, zoneLoadFactor, isOn, loads }),
     isOutlier: ({ backend, idHash }, flowHash, nowMs) =>
       outliers.isAvoided(backend.id, idHash, flowHash, nowMs),
-    slowHandshakeMs: () => pending.slowAfterMs,
+    slowHandshakeMs: () => pending.slowHandshakeMs,
   });
   return new OpeningHandler({
     newFlows,
@@ -190,7 +221,7 @@
     sender: shared.sender,
     statistics: shared.statistics,
     log: new OpeningLog({ events, knowledge, eligibility }),
-    mayHaveWaited: (nowMs) => isOn('old-opening-guard') && pauses.mayBeOld(nowMs),
+    mayHaveWaited: (nowMs) => isOn('old-opening-guard') && pauses.mayHaveWaited(nowMs),
   });
 }
 
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -1,14 +1,14 @@
 /**
- * The flows that this balancer has met. Forwarding does not depend on it, since packets carry cookies: it tells retransmissions of a
- * SYN from new flows, counts open flows, and lets a flow's packets be compared with its earlier ones. Owns the flows, and with them
- * the number of open flows at each back end.
+ * Remembers the flows that this balancer has met. Packets carry cookies, so that forwarding works without it. It
+ * distinguishes retransmissions of a SYN from new flows, counts open flows, and keeps what later packets of a flow are
+ * compared with. Owns the flows, and with them the number of open flows at each back end.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
+import type { LocalBackendState } from '../backend-health/index.js';
 import type { OutstandingRequest } from '../outliers/index.js';
 import { addressKey } from '../routing/index.js';
-import type { BackendState } from '../backend-health/index.js';
 
-/** opening: nothing but SYNs yet. open: the caller went on. closing: the caller closed or reset it. */
+/** `opening`: only SYNs came. `open`: the caller continued. `closing`: the caller closed or reset the flow. */
 export type FlowPhase = 'opening' | 'open' | 'closing';
 
 /** One flow from a caller to a service address. */
@@ -17,7 +17,7 @@
   readonly serviceKey: number;
   /** Retransmission count of the first SYN that was seen; 0 for a flow that was taken over. */
   readonly retransmissionCount: number;
-  state: BackendState;
+  state: LocalBackendState;
   phase: FlowPhase;
   /** Monotonic ms at which its SYN was sent to its present back end. */
   openedAtMs: number;
@@ -31,7 +31,7 @@
   acknowledgement: number;
   /** True when the opening, or the newest data, has counted as a failure of the back end already. */
   isFailureCounted: boolean;
-  /** True from the SYN until the caller goes on or the opening counts as failed; kept by `PendingOpenings`. */
+  /** True from the SYN until the caller continues or the opening counts as failed; set by `PendingOpenings`. */
   awaitsAnswer: boolean;
   /** The request that its caller has sent, until answer data is acknowledged. */
   request: OutstandingRequest | undefined;
@@ -57,7 +57,7 @@
   }
 
   /** Adds the flow of `packet`; undefined when the cache is full. */
-  add(packet: CookiePacket, state: BackendState, phase: FlowPhase, nowMs: number): Flow | undefined {
+  add(packet: CookiePacket, state: LocalBackendState, phase: FlowPhase, nowMs: number): Flow | undefined {
     if (this.count >= this.maxFlows()) return undefined;
     const serviceKey = addressKey(packet.destinationAddress, packet.destinationPort);
     const callerKey = addressKey(packet.sourceAddress, packet.sourcePort);
@@ -83,7 +83,7 @@
   }
 
   /** Moves a flow to another back end, whose open flows it counts among from now on. */
-  move(flow: Flow, state: BackendState): void {
+  move(flow: Flow, state: LocalBackendState): void {
     if (flow.state === state) return;
     if (flow.phase !== 'closing') {
       flow.state.openFlows -= 1;
@@ -92,15 +92,15 @@
     flow.state = state;
   }
 
-  /** Records that its caller closed the flow: it is no open flow any more, and is found until it expires. */
+  /** Records that the caller closed the flow: it no longer counts as open, but is found until it expires. */
   close(flow: Flow, nowMs: number): void {
     if (flow.phase === 'closing') return;
     flow.phase = 'closing';
-    flow.state.noteClosed(nowMs);
+    flow.state.recordClosed(nowMs);
   }
 
   /** The open flows at a back end. */
-  flowsAt(state: BackendState): Flow[] {
+  flowsAt(state: LocalBackendState): Flow[] {
     if (state.openFlows === 0) return [];
     return [...this.all()].filter((flow) => flow.state === state && flow.phase !== 'closing');
   }
--- a/src/cookie-edge/forwarding/flow-follower.ts
+++ b/src/cookie-edge/forwarding/flow-follower.ts
@@ -1,10 +1,11 @@
 /**
- * Follows flows by their callers' packets, since answers do not pass a balancer: what a caller acknowledges proves that the back end
- * lives and ends a request; data that it repeats counts against the back end. Relies on TCP sequence numbers; owns no state.
+ * Infers from callers' packets whether back ends answer, since answers bypass a balancer. A new acknowledgement proves
+ * that the back end lives, and ends a request. Retransmitted data counts as a failure of the back end. Relies on TCP
+ * sequence numbers; owns no state.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
-import type { BackendStates, PendingOpenings } from '../backend-health/index.js';
+import type { LocalBackendStates, PendingOpenings } from '../backend-health/index.js';
 import type { AnswerTracker } from '../outliers/index.js';
 import type { KnownBackend } from '../routing/index.js';
 import { REPETITION_MIN_MS } from './constants.js';
@@ -15,7 +16,7 @@
 /** What following flows needs. */
 interface FlowFollowerOptions {
   readonly cache: FlowCache;
-  readonly states: BackendStates;
+  readonly states: LocalBackendStates;
   readonly pending: PendingOpenings;
   readonly answers: AnswerTracker;
   readonly failures: FlowFailures;
@@ -27,7 +28,10 @@
 export class FlowFollower {
   constructor(private readonly options: FlowFollowerOptions) {}
 
-  /** Follows a packet that is no SYN and goes to `backend`, which its cookie may have changed. */
+  /**
+   * Follows a packet that is no SYN and goes to `backend`, which may differ from the remembered one: the cookie
+   * decides.
+   */
   follow(packet: CookiePacket, flow: Flow, backend: KnownBackend, nowMs: number): void {
     const { cache, pending, states } = this.options;
     pending.settle(flow);
@@ -35,7 +39,7 @@
     flow.lastPacketMs = nowMs;
     if (flow.phase === 'opening') this.endHandshake(packet, flow, nowMs);
     else if (packet.ack && isAfter(packet.acknowledgement, flow.acknowledgement)) {
-      this.noteAcknowledgement(packet, flow, nowMs);
+      this.recordAcknowledgement(packet, flow, nowMs);
     }
     if (packet.payloadBytes > 0) this.followData(packet, flow, nowMs);
     if (packet.fin || packet.rst) this.close(flow, nowMs);
@@ -46,14 +50,14 @@
     flow.phase = 'open';
     flow.acknowledgement = packet.acknowledgement;
     statistics.handshake.observe(nowMs - flow.openedAtMs);
-    pending.noteAnswer(nowMs - flow.openedAtMs);
-    states.noteSignOfLife(flow.state, nowMs);
+    pending.recordAnswer(nowMs - flow.openedAtMs);
+    states.recordSignOfLife(flow.state, nowMs);
   }
 
-  private noteAcknowledgement(packet: CookiePacket, flow: Flow, nowMs: number): void {
+  private recordAcknowledgement(packet: CookiePacket, flow: Flow, nowMs: number): void {
     const bytes = (packet.acknowledgement - flow.acknowledgement) >>> 0;
     flow.acknowledgement = packet.acknowledgement;
-    this.options.states.noteSignOfLife(flow.state, nowMs);
+    this.options.states.recordSignOfLife(flow.state, nowMs);
     this.endRequest(flow, bytes, nowMs);
   }
 
@@ -68,7 +72,9 @@
     }
   }
 
-  /** New data while no request is outstanding begins one; further packets of the same request follow before its answer. */
+  /**
+   * New data while no request is outstanding begins one; further packets of the same request follow before its answer.
+   */
   private beginRequest(flow: Flow, nowMs: number): void {
     const { isOn, answers } = this.options;
     if (flow.request || !isOn('outlier-detection')) return;
@@ -84,7 +90,7 @@
 
   private endRequest(flow: Flow, bytes: number, nowMs: number): void {
     if (!flow.request) return;
-    this.options.answers.answer(flow.request, bytes, nowMs);
+    this.options.answers.recordAnswer(flow.request, bytes, nowMs);
     flow.request = undefined;
   }
 
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -1,13 +1,13 @@
 /**
- * The periodic work of forwarding: pauses of the process, unanswered openings, ejections, outliers and expiry. Owns the timer; what is
- * checked belongs to the collaborators.
+ * The periodic work of forwarding: pauses of the process, unanswered openings, ejections, outliers and expiry. Owns the
+ * timer; what is checked belongs to the collaborators.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
 import type { EventLog } from '../../observability/event.js';
-import type { BackendStates, PendingOpenings } from '../backend-health/index.js';
+import type { LocalBackendStates, PendingOpenings } from '../backend-health/index.js';
 import type { AnswerTracker, OutlierDetector } from '../outliers/index.js';
-import { TICK_MS } from './constants.js';
+import { HOUSEKEEPING_TICK_MS } from './constants.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 import type { FlowExpiry } from './flow-expiry.js';
 import type { FlowFailures } from './flow-failures.js';
@@ -19,13 +19,13 @@
   readonly pauses: PauseDetector;
   readonly pending: PendingOpenings;
   readonly answers: AnswerTracker;
-  readonly states: BackendStates;
+  readonly states: LocalBackendStates;
   readonly outliers: OutlierDetector;
   readonly failures: FlowFailures;
   readonly expiry: FlowExpiry;
 }
 
-/** Runs every `TICK_MS`. Times are monotonic ms. */
+/** Runs every `GOSSIP_TICK_MS`. Times are monotonic ms. */
 export class Housekeeping {
   constructor(private readonly options: HousekeepingOptions) {}
 
@@ -33,7 +33,7 @@
   start(signal: AbortSignal): void {
     let timer: TimerHandle;
     const arm = (): void => {
-      timer = this.options.clock.schedule(TICK_MS, () => {
+      timer = this.options.clock.schedule(HOUSEKEEPING_TICK_MS, () => {
         this.tick();
         arm();
       });
@@ -56,7 +56,7 @@
   /** Discards pending openings and requests after a pause: with packets unread, answered ones look unanswered. */
   private checkPause(nowMs: number): void {
     const { pauses, events, pending, answers } = this.options;
-    const pausedMs = pauses.noteTick(nowMs);
+    const pausedMs = pauses.recordTick(nowMs);
     if (pausedMs === 0) return;
     events.emit(COOKIE_FLOW_EVENTS.paused, { pausedMs: Math.round(pausedMs) });
     pending.clear();
--- a/src/cookie-edge/load/call-rates.ts
+++ b/src/cookie-edge/load/call-rates.ts
@@ -1,6 +1,6 @@
 /**
- * Computes rates of calls from the counts that back ends write to the source about once a second. Owns the last count and the moving
- * average of each back end of one page; `busy-backends.ts` decides what the rates mean.
+ * Computes rates of calls from the counts that back ends write to the source about once a second. Owns the last count
+ * and the moving average of each back end of one page; `busy-backends.ts` decides what the rates mean.
  */
 import { busyBackends } from './busy-backends.js';
 import { RATE_SHARE } from './constants.js';
@@ -21,7 +21,7 @@
   private known = new Map<string, KnownCount>();
 
   /** Records the page's counts, read at `nowMs` (monotonic ms); forgets back ends that it no longer lists. */
-  note(counts: readonly BackendCallCount[], nowMs: number): void {
+  record(counts: readonly BackendCallCount[], nowMs: number): void {
     const known = new Map<string, KnownCount>();
     for (const count of counts) {
       known.set(count.id, { count, readAtMs: nowMs, rate: this.rateOf(count, nowMs) });
@@ -29,14 +29,16 @@
     this.known = known;
   }
 
-  /** Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, `MAX_REPORTED` at the most. */
+  /**
+   * Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, at most `MAX_REPORTED`.
+   */
   busy(): BusyBackend[] {
     return busyBackends(
       [...this.known.values()].map(({ count, rate }) => ({ id: count.id, service: count.service, rate })),
     );
   }
 
-  /** Undefined after one count, and when a count went back because the back end started anew. */
+  /** Undefined after one count, and when a count decreased because the back end restarted. */
   private rateOf({ id, calls, capacity }: BackendCallCount, nowMs: number): number | undefined {
     const before = this.known.get(id);
     if (!before || nowMs <= before.readAtMs || calls < before.count.calls) return undefined;
--- a/src/cookie-edge/load/load-reader.ts
+++ b/src/cookie-edge/load/load-reader.ts
@@ -1,7 +1,8 @@
 /**
- * The task in which a reader of the source finds the busy back ends: it reads one page of call counts at a time, which may be some seconds
- * old, and reports that page. A failed call is logged and not retried, because the next one follows after `LOAD_READ_INTERVAL_MS`. Owns
- * the rates of each page and the position in the list; relies on `CallRates` to judge them.
+ * The task in which a reader of the source finds the busy back ends: it reads one page of call counts at a time, which
+ * may be some seconds old, and reports that page. A failed call is logged and not retried, because the next one follows
+ * after `LOAD_READ_INTERVAL_MS`. Owns the rates of each page and the position in the list; relies on `CallRates` to
+ * judge them.
  */
 import type { Clock } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
@@ -56,7 +57,7 @@
     const { counts, next } = response.value;
     const measuredAtMs = clock.now();
     const rates = (this.pages[this.page] ??= new CallRates());
-    rates.note(counts, measuredAtMs);
+    rates.record(counts, measuredAtMs);
     const busy = rates.busy();
     events.emit(LOAD_EVENTS.pageRead, { page: this.page, backends: counts.length, busy: busy.length });
     onReport({ page: this.page, measuredAtMs, validMs: this.validMs(), busy });
@@ -64,7 +65,7 @@
     this.page = next === undefined ? 0 : this.page + 1;
   }
 
-  /** A page is read anew only after all the others. */
+  /** Lifetime of a report: a page is read again only after all the others. */
   private validMs(): number {
     return this.pages.length * LOAD_READ_INTERVAL_MS * VALID_READINGS;
   }
--- a/src/cookie-edge/outliers/answer-tracker.ts
+++ b/src/cookie-edge/outliers/answer-tracker.ts
@@ -1,18 +1,19 @@
 /**
- * Follows requests from their first packet to the caller's first acknowledgement of answer data. Answers go from back ends to callers
- * directly, but callers acknowledge them through a daemon at once, so the two times differ by the network alone, and the bytes
- * acknowledged first are all of a short answer. Reports each bad answer: one that is unusually late for its route, as soon as it is, whether
- * it comes later or not; and one much shorter than the route's answers are, as errors are.
+ * Follows requests from their first packet to the caller's first acknowledgement of answer data. Answers go from back
+ * ends to callers directly, but callers acknowledge them through a daemon at once: the two times differ by the network
+ * alone, and the first acknowledgement covers all bytes of a short answer. Reports each bad answer: one that is late
+ * for its route, as soon as it is late, and one much shorter than the route's other answers, as errors are. Owns the
+ * outstanding requests and each route's baseline; relies on forwarding to report requests and acknowledgements.
  */
 import { LatencyHistogram } from '../../observability/latency-histogram.js';
+import { AnswerBaseline } from './answer-baseline.js';
 import { MAX_OUTSTANDING, MAX_ROUTES } from './constants.js';
 import type { BadAnswer, OutstandingRequest } from './types.js';
-import { UsualAnswers } from './usual-answers.js';
 
 /** Counters since start. */
 interface AnswerStatistics {
   answered: number;
-  /** Requests that took unusually long, answered later or not. */
+  /** Requests that were late, whether they were answered in the end or not. */
   slow: number;
   /** Requests whose answer was unusually short. */
   short: number;
@@ -36,7 +37,7 @@
   readonly times = new LatencyHistogram();
   /** Requests that are neither answered nor slow yet, the oldest first. */
   private readonly outstanding = new Set<OutstandingRequest>();
-  private readonly routes = new Map<number, UsualAnswers>();
+  private readonly baselines = new Map<number, AnswerBaseline>();
 
   constructor(private readonly options: AnswerTrackerOptions) {}
 
@@ -51,21 +52,23 @@
     else this.statistics.untracked += 1;
   }
 
-  /** Notes that the first `bytes` of the answer to a request were acknowledged. */
-  answer(request: OutstandingRequest, bytes: number, nowMs: number): void {
+  /** Records that the first `bytes` of the answer to a request were acknowledged. */
+  recordAnswer(request: OutstandingRequest, bytes: number, nowMs: number): void {
     const tookMs = nowMs - request.sentAtMs;
-    const usual = this.usualOf(request.routeKey);
-    const isSlow = usual.isSlow(tookMs, this.options.slowFactor);
-    const isShort = usual.isShort(bytes);
+    const baseline = this.baselineOf(request.routeKey);
+    const isSlow = baseline.isSlow(tookMs, this.options.slowFactor);
+    const isShort = baseline.isShort(bytes);
     this.statistics.answered += 1;
     this.times.observe(tookMs);
-    usual.note(tookMs, bytes);
+    baseline.record(tookMs, bytes);
     if (!this.outstanding.delete(request)) return;
     if (isShort) this.report(request, 'short', nowMs);
     else if (isSlow) this.report(request, 'slow', nowMs);
   }
 
-  /** Notes that the caller closed the flow of a request before any answer. That says nothing of the back end. */
+  /**
+   * Records that the caller closed the flow of a request before any answer, which is no evidence against the back end.
+   */
   abandon(request: OutstandingRequest): void {
     if (this.outstanding.delete(request)) this.statistics.abandoned += 1;
   }
@@ -74,8 +77,8 @@
   check(nowMs: number): void {
     const { slowFactor } = this.options;
     for (const request of this.outstanding) {
-      const usual = this.routes.get(request.routeKey);
-      if (!usual?.isSlow(nowMs - request.sentAtMs, slowFactor)) continue;
+      const baseline = this.baselines.get(request.routeKey);
+      if (!baseline?.isSlow(nowMs - request.sentAtMs, slowFactor)) continue;
       this.outstanding.delete(request);
       this.report(request, 'slow', nowMs);
     }
@@ -91,18 +94,18 @@
     this.options.onBadAnswer({ backendId, service, atMs: nowMs });
   }
 
-  private usualOf(routeKey: number): UsualAnswers {
-    let usual = this.routes.get(routeKey);
-    if (usual) return usual;
-    if (this.routes.size >= MAX_ROUTES) this.forgetOldestRoute();
-    usual = new UsualAnswers();
-    this.routes.set(routeKey, usual);
-    return usual;
+  private baselineOf(routeKey: number): AnswerBaseline {
+    let baseline = this.baselines.get(routeKey);
+    if (baseline) return baseline;
+    if (this.baselines.size >= MAX_ROUTES) this.forgetOldestRoute();
+    baseline = new AnswerBaseline();
+    this.baselines.set(routeKey, baseline);
+    return baseline;
   }
 
   private forgetOldestRoute(): void {
-    for (const oldest of this.routes.keys()) {
-      this.routes.delete(oldest);
+    for (const oldest of this.baselines.keys()) {
+      this.baselines.delete(oldest);
       return;
     }
   }
--- a/src/cookie-edge/outliers/outlier-detector.ts
+++ b/src/cookie-edge/outliers/outlier-detector.ts
@@ -1,11 +1,11 @@
 /**
- * Decides which back ends are outliers: they answer requests late, not at all or with errors, and get no new flows. One daemon sees too few
- * requests at each back end, so daemons gossip their bad answers, and each decides by what it knows of the whole fleet. There is
- * no agreement and nothing stored: reports expire after seconds, and a daemon without any treats all back ends alike. Owns the
- * `OutlierRecord` of each back end with reports; logs each change of phase.
+ * Decides which back ends are outliers: they answer requests late, not at all or with errors, and get no new flows. One
+ * daemon sees too few requests at each back end, so daemons gossip their bad answers, and each decides by what it knows
+ * of the whole fleet. There is no agreement and nothing stored: reports expire after seconds, and a daemon without any
+ * treats all back ends alike. Owns the `OutlierRecord` of each back end with reports; logs each change of phase.
  *
- * Order of `judge`: enough reports at all; enough more than the mean of the service, because an overload makes all of it late; and no
- * more outliers than `maxAvoidedShare`, because avoiding many makes the others late.
+ * Order of `judge`: enough reports at all; enough more than the mean of the service, because an overload makes all of
+ * it late; and no more outliers than `maxAvoidedShare`, because avoiding many makes the others late.
  */
 import { combine32 } from '../../common/hash.js';
 import type { EventLog } from '../../observability/event.js';
@@ -78,8 +78,8 @@
   }
 
   /**
-   * True when a flow should go elsewhere if it can. In an outlier trial a back end takes a fixed part of the flows, chosen by their
-   * hashes, so that a retransmission of a SYN meets the same decision.
+   * True when a flow should go elsewhere if it can. In an outlier trial a back end takes a fixed part of the flows,
+   * chosen by their hashes, so that a retransmission of a SYN meets the same decision.
    */
   isAvoided(backendId: string, idHash: number, flowHash: number, nowMs: number): boolean {
     const phase = this.phaseOf(backendId, nowMs);
@@ -88,21 +88,21 @@
   }
 
   /** Records a bad answer that this daemon noticed itself; gossips it unless it is this daemon that is slow. */
-  noteOwn({ backendId, service, atMs }: BadAnswer): void {
+  recordOwn({ backendId, service, atMs }: BadAnswer): void {
     if (atMs < this.settledAtMs) return;
     const report = { backendId, observer: this.options.self, atMs };
-    if (!this.recordOf(backendId, service).note(report, true, atMs)) return;
+    if (!this.recordOf(backendId, service).record(report, true, atMs)) return;
     this.ownReports += 1;
     if (!this.isMostlyReporting(service, atMs)) this.options.onReport(report);
     this.judge(backendId, atMs);
   }
 
   /** Records another daemon's report; returns true when it is new here and must be gossiped further. */
-  noteReport(report: BadAnswerReport, nowMs: number): boolean {
+  applyReport(report: BadAnswerReport, nowMs: number): boolean {
     if (report.observer === this.options.self) return false;
     const service = this.options.serviceOf(report.backendId);
     if (service === undefined) return false;
-    if (!this.recordOf(report.backendId, service).note(report, false, nowMs)) return false;
+    if (!this.recordOf(report.backendId, service).record(report, false, nowMs)) return false;
     this.othersReports += 1;
     this.judge(report.backendId, nowMs);
     return true;
@@ -173,7 +173,9 @@
     return phase === 'trial' ? 1 : this.options.quorum;
   }
 
-  /** True when this daemon noticed bad answers at so many back ends of a service that it is rather itself that is slow. */
+  /**
+   * True when this daemon noticed bad answers at so many back ends of a service that the daemon itself is likely slow.
+   */
   private isMostlyReporting(service: string, nowMs: number): boolean {
     let reported = 0;
     for (const record of this.records.values()) {
@@ -212,7 +214,7 @@
   }
 }
 
-/** Back ends of a service that one daemon may report at once; with more its reports do not count. */
+/** Back ends of a service that one daemon may report at once; the reports of a daemon with more do not count. */
 function mostReportable(backends: number): number {
   return Math.max(1, backends * MAX_REPORTED_SHARE);
 }
--- a/src/cookie-edge/placement/backend-load.ts
+++ b/src/cookie-edge/placement/backend-load.ts
@@ -3,13 +3,14 @@
  *
  * Prevents uneven load: equal load means equal shares of the capacity in use. Does no input or output.
  *
- * Unit: flows of this balancer for each unit of capacity, counting the new one. Flows that were just closed count as well;
- * otherwise a back end without long flows would get every short one, because each has ended before the next comes. A back end in
- * slow start counts with `COLD_CAPACITY_SHARE` of its capacity. A back end of another zone needs `zoneMargin` flows less for each
- * unit of capacity, and its load counts `zoneLoadFactor` times, which bounds how much more the own zone gets.
+ * Unit: flows of this balancer for each unit of capacity, counting the new one. Flows that were just closed count as
+ * well; otherwise a back end without long flows would get every short one, because each has ended before the next
+ * comes. A back end in slow start counts with `COLD_CAPACITY_SHARE` of its capacity. A back end of another zone needs
+ * `zoneMargin` flows less for each unit of capacity, and its load counts `zoneLoadFactor` times, which bounds how much
+ * more the own zone gets.
  */
-import type { BackendState } from '../backend-health/index.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
+import type { LocalBackendState } from '../backend-health/index.js';
 import { COLD_CAPACITY_SHARE } from './constants.js';
 
 /** How zones and mechanisms count. */
@@ -24,7 +25,7 @@
 }
 
 /** Load of a back end as it would be with one flow more. */
-export function loadWithNewFlow(state: BackendState, nowMs: number, weights: LoadWeights): number {
+export function loadWithNewFlow(state: LocalBackendState, nowMs: number, weights: LoadWeights): number {
   const { record, coldUntilMs } = state.backend;
   const share = nowMs < coldUntilMs && weights.isOn('cold-share') ? COLD_CAPACITY_SHARE : 1;
   const flows = weights.isOn('closed-flows') ? state.flowsAt(nowMs) : state.openFlows;
--- a/src/cookie-edge/routing/problem-log.ts
+++ b/src/cookie-edge/routing/problem-log.ts
@@ -1,9 +1,15 @@
-/** Logs what is wrong with records of the source, each once for a revision of the record, and counts it. */
+/**
+ * Logs and counts faults in records of the source, each once for a revision of the record. Owns the set of logged
+ * faults; relies on the source to name them.
+ */
 import type { EventLog } from '../../observability/event.js';
 import { ROUTING_EVENTS } from './events.js';
 import type { RecordProblem, RoutingTopic } from './types.js';
 
-/** Problems remembered, so that reading the same records again logs nothing; beyond, all are forgotten. Not measured; chosen to bound memory. */
+/**
+ * Problems remembered, so that reading the same records again logs nothing; beyond, all are forgotten. Not measured;
+ * chosen to bound memory.
+ */
 const MAX_REMEMBERED = 1_000;
 
 /** The problems of one daemon's source. */
@@ -19,7 +25,7 @@
   }
 
   /** Logs the problems of a response about `topic` that were not logged yet. */
-  note(topic: RoutingTopic, problems: readonly RecordProblem[] = []): void {
+  record(topic: RoutingTopic, problems: readonly RecordProblem[] = []): void {
     for (const { name, revision, problem } of problems) {
       const key = `${topic}/${name}@${revision}: ${problem}`;
       if (this.logged.has(key)) continue;
--- a/src/cookie-edge/routing/source-follower.ts
+++ b/src/cookie-edge/routing/source-follower.ts
@@ -1,16 +1,16 @@
 /**
- * The task in which a reader follows one topic of the source: reads it once, which may return a state some seconds old, then watches for
- * changes, and reads it again after a gap. Owns the call under way. Relies on `SourceCircuit` for retries, on `watch-wait.ts` for the
- * length of a watch, and on `RoutingKnowledge` to apply what comes.
+ * The task in which a reader follows one topic of the source: reads it once, which may return a state some seconds old,
+ * then watches for changes, and reads it again after a gap. Owns the call under way. Relies on `SourceAvailability` for
+ * retries, on `watch-wait.ts` for the length of a watch, and on `RoutingKnowledge` to apply what comes.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
-import { CHANGE_GATHER_MS, CONFIRM_CHECK_MS, LONG_WATCH_START_MS } from './constants.js';
+import { CHANGE_WATCH_DELAY_MS, CONFIRM_CHECK_MS, LONG_WATCH_START_MS } from './constants.js';
 import { RoutingSourceError } from './errors.js';
 import type { FreshnessTimings } from './freshness.js';
 import { hasContent, type RoutingKnowledge } from './knowledge.js';
 import type { ProblemLog } from './problem-log.js';
-import type { SourceCircuit } from './source-circuit.js';
+import type { SourceAvailability } from './source-availability.js';
 import type { ReadFreshness, RoutingSource, RoutingTopic, RoutingUpdate } from './types.js';
 import { isUnconfirmed, mayWatchLong, watchWaitMs, type WatchRequest } from './watch-wait.js';
 
@@ -19,10 +19,10 @@
   readonly clock: Clock;
   readonly source: RoutingSource;
   readonly knowledge: RoutingKnowledge;
-  readonly circuit: SourceCircuit;
+  readonly availability: SourceAvailability;
   readonly timings: FreshnessTimings;
   readonly problems: ProblemLog;
-  /** False: every topic is watched as often as the one that changes most. True unless given. */
+  /** False: the cordons are watched as often as the other topics. True unless given. */
   readonly usesLongWatches?: boolean;
   /** Called after each response that confirmed something. */
   readonly onConfirmation?: () => void;
@@ -32,9 +32,10 @@
 const CONFIRMS_NOTHING_MS = Number.NEGATIVE_INFINITY;
 
 /**
- * The topic that changes least is watched with long waits: the answers about the others confirm it, too. All three alike would
- * cost half as many calls again as the other two. These are not watched longer, since a reader lets itself be heard of with each
- * of its answers: with half of them, surplus readers stop later (4 in place of 2 of 30 simulated daemons, 4 s after an outage).
+ * The topic that changes least is watched with long waits, because responses about the others confirm it, too. Watching
+ * all three alike would cost half as many calls again as the other two. The others keep short waits, because each of a
+ * reader's responses shows that it reads: with half as many, surplus readers stand down later (4 instead of 2 of 30
+ * simulated daemons still read 4 s after an outage).
  */
 const LONG_WATCHED_TOPIC: RoutingTopic = 'cordons';
 
@@ -57,7 +58,7 @@
     return this.reads + this.watches;
   }
 
-  /** Reads everything once, unless it becomes known otherwise, as of some seconds ago at the worst. Never throws. */
+  /** Reads the topic once unless gossip brings it first; the response may be some seconds old. Never throws. */
   readFirst(signal: AbortSignal): Promise<void> {
     this.firstReading ??= this.readUntilKnown(signal);
     return this.firstReading;
@@ -138,7 +139,7 @@
     this.watchedRevision = response.value.revision;
     const heldMs = broughtChange ? 0 : waitMs;
     const complete = this.apply(response.value, since, Math.min(requestedAtMs + heldMs, clock.now()));
-    if (broughtChange) await pause(clock, CHANGE_GATHER_MS, signal);
+    if (broughtChange) await pause(clock, CHANGE_WATCH_DELAY_MS, signal);
     return complete;
   }
 
@@ -147,7 +148,7 @@
     return { ageMs, isLongWatched: this.isLongWatched, isSourceCalm: this.isSourceCalm };
   }
 
-  /** True where the other followers' answers are about to bring the first confirmation of this topic. */
+  /** True where the other followers' responses are about to bring the first confirmation of this topic. */
   private get startsLate(): boolean {
     const wasConfirmed = Number.isFinite(this.options.knowledge.ageOf(this.topic));
     return this.isLongWatched && !wasConfirmed;
@@ -181,10 +182,10 @@
   }
 
   private apply(update: RoutingUpdate, since: number, confirmedAtMs: number): boolean {
-    const { circuit, knowledge, problems } = this.options;
-    problems.note(this.topic, update.problems);
-    const mayHaveLapsed = circuit.recordsMayLapse();
-    circuit.noteAnswer();
+    const { availability, knowledge, problems } = this.options;
+    problems.record(this.topic, update.problems);
+    const mayHaveLapsed = availability.recordsMayLapse();
+    availability.recordResponse();
     const complete = knowledge.apply(this.topic, update, { since, confirmedAtMs, mayHaveLapsed });
     if (Number.isFinite(confirmedAtMs)) this.options.onConfirmation?.();
     return complete;
@@ -192,7 +193,7 @@
 
   private async waitAfter(error: RoutingSourceError, signal: AbortSignal): Promise<void> {
     if (signal.aborted || error.kind === 'routing.cancelled') return;
-    const waitMs = this.options.circuit.noteFailure(this.topic, error);
+    const waitMs = this.options.availability.recordFailure(this.topic, error);
     await pause(this.options.clock, waitMs, signal);
   }
 }
--- a/src/cookie-edge/spreading/constants.ts
+++ b/src/cookie-edge/spreading/constants.ts
@@ -1,13 +1,13 @@
-/** Times, sizes and counts of gossip between daemons. Each names its source. */
+/** Durations, sizes and counts of gossip between daemons. */
 
-/** Revision of a topic, or of the table of routes, of which nothing is known. */
+/** Revision of a topic, or of the table of routes, of which nothing is known. Derived: below 0, the lowest revision. */
 export const NOTHING_KNOWN = -1;
 
 /**
  * Interval in ms at which overdue confirmations, the reader role and peers are checked. Not measured; chosen because
  * it is a tenth of the age at which a confirmation is overdue by the default bound.
  */
-export const TICK_MS = 200;
+export const GOSSIP_TICK_MS = 200;
 
 /**
  * Daemons that read the source at the same time. One would do; the second covers the loss of the first. Derived from
@@ -23,9 +23,9 @@
 export const VOLUNTEER_SECOND_MS = 3_000;
 
 /**
- * Longest such delay in ms just after a start: when all daemons start together, the first readers must be heard of.
- * Measured together with waiting by rank: 60 simulated daemons made 316 calls until 4 s after their start without
- * these waits and 196 with them.
+ * Longest such delay in ms just after a start. When all daemons start together, the first readers need time to become
+ * known. Measured together with waiting by rank: 60 simulated daemons made 316 calls until 4 s after their start
+ * without these waits and 196 with them.
  */
 export const VOLUNTEER_AT_START_MS = 1_600;
 
@@ -85,8 +85,8 @@
 export const CHANGE_GATHER_MS = 100;
 
 /**
- * Time-out of a pull for missing changes, in ms; then another peer is asked. Not measured; chosen because a round
- * trip takes less.
+ * Time-out of a pull for missing changes, in ms; then the request goes to another peer. Not measured; chosen because a
+ * round trip takes less.
  */
 export const RESPONSE_TIMEOUT_MS = 100;
 
@@ -105,7 +105,7 @@
 /**
  * Gather time in ms of ejections that follow a push; the first one goes out at once. Without it each would be pushed
  * within `CONFIRMATION_GATHER_MS`, 20 times a second. Measured: a simulated daemon that finds 100 back ends dead
- * within 2 s sends 96 messages more than in a calm time without it, and 33 at the most with it.
+ * within 2 s sends 96 messages more than in a calm time without it, and at most 33 more with it.
  */
 export const EJECTION_GATHER_MS = 200;
 
@@ -122,8 +122,8 @@
 export const BAD_ANSWERS_PER_MESSAGE = 8;
 
 /**
- * Pushes, to three peers each, in which a daemon gossips a bad answer that is new to it. Derivation: with six peers,
- * one in 400 daemons misses it (e^-6).
+ * Pushes, to three peers each, in which a daemon gossips a bad answer that is new to it. Derived: with two pushes of 3
+ * peers, six in all, one in 400 daemons misses it (e^-6).
  */
 export const BAD_ANSWER_PUSHES = 2;
 
@@ -167,8 +167,8 @@
 export const SIZE_SAMPLE_FORGET_MS = 30_000;
 
 /**
- * Time in ms after which a peer is forgotten that nobody mentioned. Not measured; chosen because a live peer
- * is mentioned many times within it.
+ * Lifetime in ms of a peer that no message mentions. Not measured; chosen because a live peer is mentioned many times
+ * within it.
  */
 export const PEER_FORGET_MS = 15_000;
 
--- a/src/cookie-edge/spreading/index.ts
+++ b/src/cookie-edge/spreading/index.ts
@@ -1,10 +1,11 @@
 /**
- * Gossip between daemons: spreads routes, back ends, cordons and freshness confirmations, so that few daemons read the source. Owns the
- * reader role, the view of peers and the update log; relies on `routing` for knowledge and on a transport for datagrams.
+ * Gossip between daemons: spreads routes, back ends, cordons and freshness confirmations, so that few daemons read the
+ * source. Owns the reader role, the view of peers and the update log; relies on `routing` for knowledge and on a
+ * transport for datagrams.
  *
  * ```ts
  * const transport = await NetworkTransport.open(control, events);
- * const spreader = new Spreader({ selfId, zone, seeds, transport, knowledge, clock, random, events, setReading, mayBeOld });
+ * const spreader = new Spreader({ selfId, zone, seeds, transport, knowledge, clock, random, events, setReading, mayHaveWaited });
  * spreader.start(signal);
  * ```
  */
--- a/src/cookie-edge/spreading/message-channel.ts
+++ b/src/cookie-edge/spreading/message-channel.ts
@@ -1,4 +1,7 @@
-/** Sends and receives messages between daemons: encodes, decodes, bounds the size of datagrams, and counts. */
+/**
+ * Sends and receives messages between daemons: encodes, decodes, bounds the size of datagrams, and counts. Owns the
+ * counters; relies on the transport for the sockets.
+ */
 import type { Clock } from '../../common/clock.js';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import type { EventLog } from '../../observability/event.js';
@@ -13,7 +16,7 @@
   readonly clock: Clock;
   readonly events: EventLog;
   /** Called with each datagram that arrives, before it is decoded. */
-  readonly noteArrival: () => void;
+  readonly recordArrival: () => void;
 }
 
 /** Counters since start. */
@@ -73,7 +76,7 @@
   }
 
   private decode(bytes: Uint8Array, from: Endpoint, nowMs: number): PeerMessage | undefined {
-    this.options.noteArrival();
+    this.options.recordArrival();
     this.counts.messagesReceived += 1;
     this.counts.bytesReceived += bytes.length;
     const message = decodePeerMessage(bytes, nowMs);
--- a/src/gue-edge/placement/bounded-load-rule.ts
+++ b/src/gue-edge/placement/bounded-load-rule.ts
@@ -2,7 +2,7 @@
  * Rule of bounded load: whether an opening stays with its first choice or becomes an exception, and where that goes.
  *
  * It prevents imbalance that plain rendezvous hashing leaves (peak to mean of open flows in `steady-balance`: 1.051 beside
- * 1.159, docs/MEASUREMENTS.md), at the price of a replicated record for each exception. No input or output.
+ * 1.159, docs/records/MEASUREMENTS.md), at the price of a replicated record for each exception. No input or output.
  *
  * Inputs are the candidates as `ServiceBalance.weigh` has weighed them; loads are flows of this balancer beyond the back
  * end's share. A back end of which no report is known is judged by the own count alone.
