--- a/contract/record.ts
+++ b/contract/record.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the recorded form of the surfaces named on the command line: `node --import tsx contract/record.ts NAME...`. For a
- * change of a contract that its users agreed to; the commit names who has to follow.
+ * Writes the recorded form of the surfaces named on the command line: `node --import tsx contract/record.ts
+ * NAME...`. For a change of a contract that its users agreed to; the commit names who has to follow.
  */
 import { writeFileSync } from 'node:fs';
 import { SURFACES } from './surfaces/index.js';
--- a/contract/surfaces/index.ts
+++ b/contract/surfaces/index.ts
@@ -1,7 +1,7 @@
 /**
- * What other programs, stored data and operators rely on, each as a value that JSON can hold. This folder is the only part
- * of the contract test that knows where the code lies: when a module moves, its import here follows; the test and the
- * recorded values stay as they are.
+ * What other programs, stored data and operators rely on, each as a value that JSON can hold. This folder is the
+ * only part of the contract test that knows where the code lies: when a module moves, its import here follows; the
+ * test and the recorded values stay as they are.
  */
 import { adminPages, statusDocuments } from './operator-admin.js';
 import { commandLine } from './operator-command-line.js';
--- a/contract/surfaces/operator-emits.ts
+++ b/contract/surfaces/operator-emits.ts
@@ -1,6 +1,7 @@
 /**
  * Finds in the source which fields each event is logged with. Events are followed from the calls of `emit` to their
- * declarations, through variables, parameters of helpers and option objects, so that moves and new names change nothing.
+ * declarations, through variables, parameters of helpers and option objects, so that moves and new names change
+ * nothing.
  */
 import ts from 'typescript';
 import { productionFiles, sourceProgram, walk } from './operator-source.js';
--- a/contract/surfaces/wire-fleet.ts
+++ b/contract/surfaces/wire-fleet.ts
@@ -1,4 +1,7 @@
-/** Messages between balancers of a fleet, but those about flows: envelope, membership, health, tree and its spreading. */
+/**
+ * Messages between balancers of a fleet, but those about flows: envelope, membership, health, tree and its
+ * spreading.
+ */
 import { inflateRawSync } from 'node:zlib';
 import { openEnvelope, sealEnvelope } from '../../src/gue-edge/control/envelope.js';
 import { KeyRing } from '../../src/gue-edge/control/key-ring.js';
@@ -46,7 +49,10 @@
   withoutPayload: { ...ENVELOPE, senderId: 'b', sequence: 1, payload: Buffer.alloc(0) },
 };
 
-/** Control datagrams of each kind, signed with a fixed key, and what receivers with other keys or addresses make of one. */
+/**
+ * Control datagrams of each kind, signed with a fixed key, and what receivers with other keys or addresses make of
+ * one.
+ */
 export function computeControlEnvelopes(): Promise<unknown> {
   const keys = keyRing(7, [7]);
   const open = (bytes: Uint8Array): unknown => openEnvelope(bytes, RECIPIENT, keys);
--- a/contract/surfaces/wire-hashes.ts
+++ b/contract/surfaces/wire-hashes.ts
@@ -1,4 +1,7 @@
-/** Hashes that must be equal on all machines: whoever computes another value places flows, shards or duties elsewhere. */
+/**
+ * Hashes that must be equal on all machines: whoever computes another value places flows, shards or duties
+ * elsewhere.
+ */
 import { combine32, hashString, mix32 } from '../../src/common/hash.js';
 import { leaseCandidates, slotsOf } from '../../src/gue-edge/dissemination/reader-candidates.js';
 import { backendKey } from '../../src/gue-edge/flow/backend-catalogue.js';
--- a/contract/surfaces/wire-packets.ts
+++ b/contract/surfaces/wire-packets.ts
@@ -15,7 +15,10 @@
 
 const ADDRESSES = '0100000a 409c 0200c80a 5000 efbeadde';
 
-/** Packets of callers as they arrive: length, flags, sequence, acknowledgement, echo, addresses with ports, sum, data. */
+/**
+ * Packets of callers as they arrive: length, flags, sequence, acknowledgement, echo, addresses with ports, sum,
+ * data.
+ */
 const CALLER_PACKETS = {
   data: `0500 10 04030201 08070605 0c0b0a09 ${ADDRESSES} 68656c6c6f`,
   withoutData: `0000 10 04030201 08070605 00000000 ${ADDRESSES}`,
--- a/docs/checks/page-references.ts
+++ b/docs/checks/page-references.ts
@@ -1,6 +1,6 @@
 /**
- * Finds what the pages claim about the code: links, paths, event numbers, metrics and commands. Owns no state; reads the
- * Markdown files below a folder.
+ * Finds what the pages claim about the code: links, paths, event numbers, metrics and commands. Owns no state;
+ * reads the Markdown files below a folder.
  */
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -2,8 +2,8 @@
 import tseslint from 'typescript-eslint';
 
 /**
- * Folders of `src/`, from the bottom to the top. A folder imports from those before it; where `notFrom` names one of them,
- * it does without that one too.
+ * Folders of `src/`, from the bottom to the top. A folder imports from those before it; where `notFrom` names one
+ * of them, it does without that one too.
  */
 const ROOMS = [
   { name: 'common', notFrom: [] },
@@ -27,9 +27,9 @@
 ];
 
 /**
- * Folders and files that keep the limits of docs/HOUSE-STYLE.md on functions and files. Add a folder once it does; the list only
- * grows. Not in it yet: contract/, src/cookie-edge (but four of its folders), src/fabric, src/gue-edge, src/observability, src/settings
- * and src/store.
+ * Folders and files that keep the limits of docs/HOUSE-STYLE.md on functions and files. Add a folder once it does;
+ * the list only grows. Not in it yet: contract/, src/cookie-edge (but four of its folders), src/fabric,
+ * src/gue-edge, src/observability, src/settings and src/store.
  */
 const WITHIN_LIMITS = [
   'platform',
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,8 +1,8 @@
 /**
  * Time source of every slice. Product code takes a `Clock`; tests pass a `VirtualClock` and step it.
  *
- * Owns no time of its own but that of a virtual clock. Relies on the monotonic clock of the process for intervals, and on the wall
- * clock for stamps that others read.
+ * Owns no time of its own but that of a virtual clock. Relies on the monotonic clock of the process for intervals,
+ * and on the wall clock for stamps that others read.
  */
 import { TimerQueue, type QueuedTimer } from './timer-queue.js';
 
--- a/src/common/event-stream.ts
+++ b/src/common/event-stream.ts
@@ -1,8 +1,10 @@
 /**
- * Bridge between callbacks and `most` streams. Observers made here see events in the call that pushes them, as the slices
- * need it: a change of settings is in force when `push` returns. (`Stream.observe` would subscribe in a later turn.)
+ * Bridge between callbacks and `most` streams. Observers made here see events in the call that pushes them, as the
+ * slices need it: a change of settings is in force when `push` returns. (`Stream.observe` would subscribe in a
+ * later turn.)
  *
- * Owns the observers of each subject. Relies on the streams of `most` for everything that is not delivered in the same call.
+ * Owns the observers of each subject. Relies on the streams of `most` for everything that is not delivered in the
+ * same call.
  */
 import { EventEmitter } from 'node:events';
 import { defaultScheduler, Stream, type Disposable, type Scheduler, type Sink } from 'most';
--- a/src/common/hash.ts
+++ b/src/common/hash.ts
@@ -1,8 +1,8 @@
 /**
  * Non-cryptographic 32-bit hashing used for placement, shard choice and compact identifiers.
  *
- * Owns no state. Relies on nothing; hashes of ids stand on the wire, so the functions cannot change without a new protocol
- * version.
+ * Owns no state. Relies on nothing; hashes of ids stand on the wire, so the functions cannot change without a new
+ * protocol version.
  */
 
 const FNV_OFFSET_BASIS = 0x811c9dc5;
--- a/src/common/mechanisms.ts
+++ b/src/common/mechanisms.ts
@@ -1,6 +1,6 @@
 /**
- * Mechanisms of a daemon on a cookie edge that a configuration can switch off one by one, to measure what each of them is worth
- * (docs/records/DECISIONS-MEASURED.md). For experiments: a daemon in service runs with all of them.
+ * Mechanisms of a daemon on a cookie edge that a configuration can switch off one by one, to measure what each of
+ * them is worth (docs/records/DECISIONS-MEASURED.md). For experiments: a daemon in service runs with all of them.
  */
 
 export const MECHANISMS = [
--- a/src/common/pause-detector.ts
+++ b/src/common/pause-detector.ts
@@ -1,24 +1,25 @@
 /**
  * Rule: whether a datagram that is read now may have waited through a pause of the process.
  *
- * Prevents two failures: a queued SYN is placed although its retransmission has opened the flow through another balancer, and
- * a queued message between daemons counts as newer than it is. Does no input or output; owns the time of the last tick and the reads of the current
- * turn of the event loop.
+ * Prevents two failures: a queued SYN is placed although its retransmission has opened the flow through another
+ * balancer, and a queued message between daemons counts as newer than it is. Does no input or output; owns the time
+ * of the last tick and the reads of the current turn of the event loop.
  *
- * Inputs: monotonic ms of the housekeeping's ticks, and the reads of each socket. Order: a pause is recognized by a late tick, also
- * before that tick has run; from then on any datagram may have waited until one turn has read both sockets empty. That end does not depend
- * on time, because a backlog may take any time to read.
+ * Inputs: monotonic ms of the housekeeping's ticks, and the reads of each socket. Order: a pause is recognized by a
+ * late tick, also before that tick has run; from then on any datagram may have waited until one turn has read both
+ * sockets empty. That end does not depend on time, because a backlog may take any time to read.
  */
 
 /**
- * Delay of a tick, in ms, from which the process counts as paused. Not measured; chosen to be below the 200 ms after which callers
- * retransmit a SYN for the first time.
+ * Delay of a tick, in ms, from which the process counts as paused. Not measured; chosen to be below the 200 ms
+ * after which callers retransmit a SYN for the first time.
  */
 const PAUSE_MS = 150;
 
 /**
- * Datagrams that Node.js reads from one socket in one turn of its event loop, at most; a turn that reads fewer has read the socket
- * empty. Source: a bound of the platform, `uv__udp_recvmsg` of libuv, which stops after 32 or at the first read without a datagram.
+ * Datagrams that Node.js reads from one socket in one turn of its event loop, at most; a turn that reads fewer has
+ * read the socket empty. Source: a bound of the platform, `uv__udp_recvmsg` of libuv, which stops after 32 or at
+ * the first read without a datagram.
  */
 export const READS_A_TURN = 32;
 
--- a/src/cookie-edge/load/constants.ts
+++ b/src/cookie-edge/load/constants.ts
@@ -7,9 +7,9 @@
 export const LOAD_READ_INTERVAL_MS = 2_000;
 
 /**
- * Below this many daemons no load is read, because each places enough flows to balance by its own counts: busiest/mean
- * 1.03 to 1.08 on 7 machines, 1.27 on 88, 1.7 and more on 195 (docs/records/DECISIONS-MEASURED.md). Not measured between 7 and
- * 88.
+ * Below this many daemons no load is read, because each places enough flows to balance by its own counts:
+ * busiest/mean 1.03 to 1.08 on 7 machines, 1.27 on 88, 1.7 and more on 195 (docs/records/DECISIONS-MEASURED.md).
+ * Not measured between 7 and 88.
  */
 export const LOAD_MIN_DAEMONS = 16;
 
--- a/src/cookie-edge/outliers/index.ts
+++ b/src/cookie-edge/outliers/index.ts
@@ -5,7 +5,8 @@
  * `backend-health` covers those that cannot be reached.
  *
  * ```ts
- * const detector = new OutlierDetector({ ...DEFAULT_OUTLIER_OPTIONS, self, events, serviceOf, countBackends, onReport });
+ * const lookups = { serviceOf, countBackends };
+ * const detector = new OutlierDetector({ ...DEFAULT_OUTLIER_OPTIONS, self, events, ...lookups, onReport }, clock.now());
  * const tracker = new AnswerTracker({ slowFactor, onBadAnswer: (badAnswer) => detector.recordOwn(badAnswer) });
  * ```
  */
--- a/src/cookie-edge/spreading/index.ts
+++ b/src/cookie-edge/spreading/index.ts
@@ -5,7 +5,8 @@
  *
  * ```ts
  * const transport = await NetworkTransport.open(control, events);
- * const spreader = new Spreader({ selfId, zone, seeds, transport, knowledge, clock, random, events, setReading, mayHaveWaited });
+ * const surroundings = { transport, knowledge, clock, random, events };
+ * const spreader = new Spreader({ selfId, zone, seeds, ...surroundings, timings, setReading, recordArrival });
  * spreader.start(signal);
  * ```
  */
--- a/src/experiment/action-handlers.ts
+++ b/src/experiment/action-handlers.ts
@@ -21,8 +21,8 @@
 export type ActionOf<Name extends ActionName> = Extract<PlainAction, { do: Name }>;
 
 /**
- * By the action's name. A handler resolves when the action has ended, also the end of a fault that lasts; `signal` cuts it
- * short. It rejects when the action could not be carried out.
+ * By the action's name. A handler resolves when the action has ended, also the end of a fault that lasts; `signal`
+ * cuts it short. It rejects when the action could not be carried out.
  */
 export type ActionHandlers = {
   readonly [Name in ActionName]: (action: ActionOf<Name>, signal: AbortSignal) => Promise<void>;
--- a/src/experiment/document.ts
+++ b/src/experiment/document.ts
@@ -46,7 +46,10 @@
   readonly busySlots: {
     readonly peakToMean: PerService;
     readonly coefficientOfVariation: PerService;
-    /** Busy slots of a back end on average: with few slots the most that one can hold over this bounds `peakToMean` from above. */
+    /**
+     * Busy slots of a back end on average: with few slots the most that one can hold over this bounds `peakToMean`
+     * from above.
+     */
     readonly mean: PerService;
     /** Largest over mean of each back end's busy slots averaged over the second half. */
     readonly peakToMeanOfAverages: PerService;
--- a/src/experiment/http-control.ts
+++ b/src/experiment/http-control.ts
@@ -36,7 +36,10 @@
   readonly timeoutMs: number;
 }
 
-/** A client whose connections are kept open until `close`. Each call rejects on a timeout, a failed connection or a refusal. */
+/**
+ * A client whose connections are kept open until `close`. Each call rejects on a timeout, a failed connection or a
+ * refusal.
+ */
 export class ControlClient {
   private readonly agent = new Agent({
     keepAliveTimeout: KEEP_ALIVE_MS,
--- a/src/experiment/scenario-actions.ts
+++ b/src/experiment/scenario-actions.ts
@@ -3,7 +3,10 @@
 
 const at = z.number().nonnegative();
 const forSeconds = z.number().positive().optional();
-/** A balancer by name (ZONE-1), `random` (drawn from the seed), `leaseholder`, or `zone:NAME` (the first one of a zone). */
+/**
+ * A balancer by name (ZONE-1), `random` (drawn from the seed), `leaseholder`, or `zone:NAME` (the first one of a
+ * zone).
+ */
 const balancer = z.string().min(1);
 /** A back end by the last part of its node path, as `main-04` (fourth of the main service), or `random`. */
 const backend = z.string().min(1);
--- a/src/gue-edge/control/budget.ts
+++ b/src/gue-edge/control/budget.ts
@@ -1,20 +1,24 @@
 /**
  * Decides, message by message, which control bytes a daemon may send now.
  *
- * What the rule prevents: that the control channel exceeds the platform's bound (`DEFAULT_BUDGET_BYTES_PER_SECOND`), that a burst of
- * one kind delays membership, and that any kind starves.
+ * What the rule prevents: that the control channel exceeds the platform's bound
+ * (`DEFAULT_BUDGET_BYTES_PER_SECOND`), that a burst of one kind delays membership, and that any kind starves.
  *
- * Two token buckets: one shared by all kinds, and a small one for each kind that no other kind can empty (`MINIMUM_SHARE` of the
- * rate). A kind draws from the shared bucket only while more than its floor is left there; so under pressure the kinds wait in
- * this order, first to wait first: status, health, dissemination, handover, and last replication and membership together. What a
- * full own bucket cannot hold flows into the shared one. The sum never exceeds the rate.
+ * Two token buckets: one shared by all kinds, and a small one for each kind that no other kind can empty
+ * (`MINIMUM_SHARE` of the rate). A kind draws from the shared bucket only while more than its floor is left there;
+ * so under pressure the kinds wait in this order, first to wait first: status, health, dissemination, handover, and
+ * last replication and membership together. What a full own bucket cannot hold flows into the shared one. The sum
+ * never exceeds the rate.
  *
  * Owns the levels of the buckets. Relies on a monotonic clock; both levels are brought up to date at each message.
  */
 import type { Clock } from '../../common/clock.js';
 import { CONTROL_KINDS, type ControlKind } from './types.js';
 
-/** Share of the shared bucket that must remain after a message of the kind was sent from it. Not measured; chosen evenly apart, so that the order of the kinds holds. */
+/**
+ * Share of the shared bucket that must remain after a message of the kind was sent from it. Not measured; chosen
+ * evenly apart, so that the order of the kinds holds.
+ */
 const SHARED_FLOOR: Readonly<Record<ControlKind, number>> = {
   membership: 0,
   replication: 0,
@@ -24,7 +28,10 @@
   status: 0.6,
 };
 
-/** Share of the rate that each kind has for itself, so that none starves. Not measured; six kinds take 24% of the rate. */
+/**
+ * Share of the rate that each kind has for itself, so that none starves. Not measured; six kinds take 24% of the
+ * rate.
+ */
 export const MINIMUM_SHARE = 0.04;
 
 /** Time in ms whose budget the shared bucket can hold. Not measured; chosen because the rate is a bound per second. */
@@ -45,8 +52,9 @@
 export type BudgetSource = 'shared' | 'own' | 'wait';
 
 /**
- * Chooses the bucket for a message of `bytes`. The shared bucket comes first, so that the own one is still full when others have
- * emptied the shared one. Exactly the floor may remain in the shared bucket, and exactly nothing in the own one.
+ * Chooses the bucket for a message of `bytes`. The shared bucket comes first, so that the own one is still full
+ * when others have emptied the shared one. Exactly the floor may remain in the shared bucket, and exactly nothing
+ * in the own one.
  */
 export function chooseBudgetSource(kind: ControlKind, bytes: number, levels: BucketLevels): BudgetSource {
   const floorBytes = SHARED_FLOOR[kind] * levels.sharedCapacityBytes;
--- a/src/gue-edge/control/envelope.ts
+++ b/src/gue-edge/control/envelope.ts
@@ -1,7 +1,8 @@
 /**
  * Datagram layout: the protobuf `Envelope`, then the truncated HMAC over the receiver's address and the envelope.
  *
- * Owns the layout. Relies on the key ring for the code, and on the wire numbers of the kinds (`types.ts`), which never change.
+ * Owns the layout. Relies on the key ring for the code, and on the wire numbers of the kinds (`types.ts`), which
+ * never change.
  */
 import { CONTROL_KINDS, MAX_CONTROL_PAYLOAD_BYTES, type ControlKind } from './types.js';
 import { IP_UDP_HEADER_BYTES, MAC_BYTES, MAX_DATAGRAM_BYTES, MAX_SENDER_ID_BYTES } from './constants.js';
--- a/src/gue-edge/control/index.ts
+++ b/src/gue-edge/control/index.ts
@@ -1,8 +1,9 @@
 /**
  * The authenticated control channel between balancers.
  *
- * Owns the socket, the cluster keys, the byte budget and the protection against replays. Relies on wall clocks that differ by less than
- * `MAX_CLOCK_SKEW_MS`, and on nothing else of the GUE edge: its users give meaning to the payloads.
+ * Owns the socket, the cluster keys, the byte budget and the protection against replays. Relies on wall clocks that
+ * differ by less than `MAX_CLOCK_SKEW_MS`, and on nothing else of the GUE edge: its users give meaning to the
+ * payloads.
  *
  * @example
  * const opened = await UdpControlChannel.open({
--- a/src/gue-edge/control/replay-guard.ts
+++ b/src/gue-edge/control/replay-guard.ts
@@ -1,20 +1,21 @@
 /**
- * Decides whether an authenticated datagram is fresh: a sliding window over the sequence numbers of each sender and incarnation.
+ * Decides whether an authenticated datagram is fresh: a sliding window over the sequence numbers of each sender and
+ * incarnation.
  *
- * What the rule prevents: that a recorded datagram takes effect a second time, from this process of the sender, from an earlier
- * one, or after this member has forgotten the sender.
+ * What the rule prevents: that a recorded datagram takes effect a second time, from this process of the sender,
+ * from an earlier one, or after this member has forgotten the sender.
  *
- * Owns a window of `REPLAY_WINDOW` bits for each sender heard within `REPLAY_FORGET_MS`, and so is bounded by their number. Relies
- * on the sender's wall clock once, when it is new or has restarted; a known sender may have any clock. A sender that nothing is
- * known of has to show a clock within `MAX_CLOCK_SKEW_MS`, and it is forgotten only after more than twice that, so that none of
- * its recorded datagrams passes then.
+ * Owns a window of `REPLAY_WINDOW` bits for each sender heard within `REPLAY_FORGET_MS`, and so is bounded by their
+ * number. Relies on the sender's wall clock once, when it is new or has restarted; a known sender may have any
+ * clock. A sender that nothing is known of has to show a clock within `MAX_CLOCK_SKEW_MS`, and it is forgotten only
+ * after more than twice that, so that none of its recorded datagrams passes then.
  */
 import type { Clock } from '../../common/clock.js';
 import { MAX_CLOCK_SKEW_MS, REPLAY_FORGET_MS, REPLAY_WINDOW } from './constants.js';
 
 /**
- * Verdict on a datagram. `replayed`: its sequence number was seen, or is too old to tell. `stale`: it is from an earlier
- * incarnation, or from a new one whose clock is far off.
+ * Verdict on a datagram. `replayed`: its sequence number was seen, or is too old to tell. `stale`: it is from an
+ * earlier incarnation, or from a new one whose clock is far off.
  */
 type ReplayVerdict = 'fresh' | 'replayed' | 'stale';
 
@@ -41,9 +42,10 @@
 export type IncarnationVerdict = 'known' | 'new' | 'earlier-incarnation' | 'clock-skew';
 
 /**
- * Decides whether the incarnation of a datagram is one to take sequence numbers from. An earlier incarnation is over, unless the
- * later one has been silent for more than twice the skew: no recording shows a clock that is fresh enough then. Anything but the
- * known incarnation must show a clock within `MAX_CLOCK_SKEW_MS`, exactly that included.
+ * Decides whether the incarnation of a datagram is one to take sequence numbers from. An earlier incarnation is
+ * over, unless the later one has been silent for more than twice the skew: no recording shows a clock that is fresh
+ * enough then. Anything but the known incarnation must show a clock within `MAX_CLOCK_SKEW_MS`, exactly that
+ * included.
  */
 export function judgeIncarnation(facts: IncarnationFacts): IncarnationVerdict {
   const { incarnation, knownIncarnation, knownSilentMs, clockSkewMs } = facts;
--- a/src/gue-edge/control/simulated-network.ts
+++ b/src/gue-edge/control/simulated-network.ts
@@ -1,8 +1,8 @@
 /**
  * In-memory control channels between named nodes on a clock, with seeded faults, for tests and scale runs.
  *
- * Owns the messages on their way. Relies on the same budget and meter as the channel over UDP; it neither signs nor checks for
- * replays.
+ * Owns the messages on their way. Relies on the same budget and meter as the channel over UDP; it neither signs nor
+ * checks for replays.
  */
 import type { Clock } from '../../common/clock.js';
 import type { RandomSource } from '../../common/random.js';
--- a/src/gue-edge/control/udp-channel.ts
+++ b/src/gue-edge/control/udp-channel.ts
@@ -1,8 +1,8 @@
 /**
  * The control channel over one UDP socket: authenticated, replay-protected, metered and budgeted.
  *
- * Owns the socket, the sequence numbers and the counts of dropped datagrams. Relies on the key ring, the replay guard, the meter
- * and the budget of this folder.
+ * Owns the socket, the sequence numbers and the counts of dropped datagrams. Relies on the key ring, the replay
+ * guard, the meter and the budget of this folder.
  */
 import { createSocket, type RemoteInfo, type Socket } from 'node:dgram';
 import Result from 'true-myth/result';
--- a/src/gue-edge/control/warning-limiter.ts
+++ b/src/gue-edge/control/warning-limiter.ts
@@ -1,5 +1,6 @@
 /**
- * Writes a warning event at most once a minute for each topic, so that a peer that sends forged datagrams cannot fill the log.
+ * Writes a warning event at most once a minute for each topic, so that a peer that sends forged datagrams cannot
+ * fill the log.
  *
  * Owns when each topic was last written. Relies on a monotonic clock.
  */
--- a/src/gue-edge/daemon/control-plane.ts
+++ b/src/gue-edge/daemon/control-plane.ts
@@ -1,6 +1,7 @@
 /**
- * The control plane of one balancer: membership, spreading of settings and health, over a given control channel. Owns the
- * order in which they start and stop; relies on the channel and, if there is one, on the store. A daemon adds the data path.
+ * The control plane of one balancer: membership, spreading of settings and health, over a given control channel.
+ * Owns the order in which they start and stop; relies on the channel and, if there is one, on the store. A daemon
+ * adds the data path.
  */
 import type { Clock } from '../../common/clock.js';
 import type { RandomSource } from '../../common/random.js';
--- a/src/gue-edge/daemon/daemon.ts
+++ b/src/gue-edge/daemon/daemon.ts
@@ -1,9 +1,10 @@
 /**
  * The life of one balancer: it joins, becomes active, rereads its configuration, hands over and stops.
  *
- * Owns the phase and the configuration in force. Relies on `readiness.ts` for when new flows may come, on `planned-stop.ts` for
- * the hand-over, and on the wired components. The end of every life has one order: guards, control plane, data path, the client of
- * the store, the sockets of data and control, and the admin address last, so that it shows the phase until then.
+ * Owns the phase and the configuration in force. Relies on `readiness.ts` for when new flows may come, on
+ * `planned-stop.ts` for the hand-over, and on the wired components. The end of every life has one order: guards,
+ * control plane, data path, the client of the store, the sockets of data and control, and the admin address last,
+ * so that it shows the phase until then.
  */
 import { formatEndpoint } from '../../common/types.js';
 import type { AdminSource, Readiness } from '../../observability/index.js';
@@ -51,7 +52,10 @@
     private readonly dataPath: AbortController,
   ) {}
 
-  /** Binds the sockets, wires the components and starts joining. Throws a `SailquayError` when a socket or key fails. */
+  /**
+   * Binds the sockets, wires the components and starts joining. Throws a `SailquayError` when a socket or key
+   * fails.
+   */
   static async start(config: DaemonConfig, environment: DaemonEnvironment): Promise<Daemon> {
     const current = { config };
     const dataPath = new AbortController();
--- a/src/gue-edge/daemon/data-plane.ts
+++ b/src/gue-edge/daemon/data-plane.ts
@@ -1,8 +1,8 @@
 /**
  * The data path of one balancer: the edge, placement and the flow keeper (or a baseline in its place).
  *
- * Owns the gate that counts packets before the flow keeper exists, and the addresses from which packets are accepted. Relies on
- * the control plane for the view, the settings and the health of back ends.
+ * Owns the gate that counts packets before the flow keeper exists, and the addresses from which packets are
+ * accepted. Relies on the control plane for the view, the settings and the health of back ends.
  */
 import { merge } from 'most';
 import type { Clock } from '../../common/clock.js';
--- a/src/gue-edge/daemon/fault-injection.ts
+++ b/src/gue-edge/daemon/fault-injection.ts
@@ -2,7 +2,8 @@
  * Faults on demand for experiments: messages to and from chosen balancers are lost, as in a network partition. Only a
  * daemon started with `--enable-fault-injection` has them.
  *
- * Owns the blocked addresses. Relies on wrapping the ports of the control and the data path; without it nothing is wrapped.
+ * Owns the blocked addresses. Relies on wrapping the ports of the control and the data path; without it nothing is
+ * wrapped.
  */
 import { z } from 'zod';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
--- a/src/gue-edge/daemon/index.ts
+++ b/src/gue-edge/daemon/index.ts
@@ -1,8 +1,9 @@
 /**
  * The daemon: configuration, wiring and life of one balancer.
  *
- * Owns the process: sockets, signals, limits on memory and flows, readiness, and the order of start and stop. Relies on every other
- * folder of the GUE edge, on the store's client and on observability; nothing imports it but the command line and the experiments.
+ * Owns the process: sockets, signals, limits on memory and flows, readiness, and the order of start and stop.
+ * Relies on every other folder of the GUE edge, on the store's client and on observability; nothing imports it but
+ * the command line and the experiments.
  *
  * ```ts
  * const config = loadDaemonConfig('balancer-1.yaml', { zone: 'halle-nord' });
@@ -11,7 +12,8 @@
  * await daemon.stop(); // hands every flow over first
  * ```
  *
- * `createControlPlane` makes a balancer's control plane over any control channel, so that it can be tested without a data path.
+ * `createControlPlane` makes a balancer's control plane over any control channel, so that it can be tested without
+ * a data path.
  */
 export { Daemon, type ReadyLine } from './daemon.js';
 export {
--- a/src/gue-edge/daemon/limit-guard.ts
+++ b/src/gue-edge/daemon/limit-guard.ts
@@ -1,9 +1,11 @@
 /**
  * Compares a measure of the process with its limit and reports when it is reached and when it has fallen again.
  *
- * What the rule prevents: that openings are refused and accepted in turns while the measure moves about its limit (hysteresis).
+ * What the rule prevents: that openings are refused and accepted in turns while the measure moves about its limit
+ * (hysteresis).
  *
- * Owns the last verdict. Relies on a clock for the checks, so a limit is passed by what comes within `LIMIT_CHECK_INTERVAL_MS`.
+ * Owns the last verdict. Relies on a clock for the checks, so a limit is passed by what comes within
+ * `LIMIT_CHECK_INTERVAL_MS`.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { EventDefinition, EventLog } from '../../observability/event.js';
@@ -21,8 +23,8 @@
 }
 
 /**
- * True when `value` counts as above `limit`, in the same unit: at the limit itself it does, and once it did, until it is below
- * `LIMIT_RECOVERY_SHARE` of the limit.
+ * True when `value` counts as above `limit`, in the same unit: at the limit itself it does, and once it did, until
+ * it is below `LIMIT_RECOVERY_SHARE` of the limit.
  */
 export function isLimitExceeded(wasExceeded: boolean, value: number, limit: number): boolean {
   return value >= (wasExceeded ? limit * LIMIT_RECOVERY_SHARE : limit);
--- a/src/gue-edge/daemon/planned-stop.ts
+++ b/src/gue-edge/daemon/planned-stop.ts
@@ -1,9 +1,9 @@
 /**
  * The planned stop of a balancer: it leaves, hands its flows over and relays until no packet arrives.
  *
- * What the order prevents: that flows are lost. The heirs are counted before the leave is announced, while the view still shows
- * them all; the leave comes before the hand-over, because it makes the others owners of the shards; the wait comes last, because
- * the fabric and the back ends send to this balancer until they have turned away.
+ * What the order prevents: that flows are lost. The heirs are counted before the leave is announced, while the view
+ * still shows them all; the leave comes before the hand-over, because it makes the others owners of the shards; the
+ * wait comes last, because the fabric and the back ends send to this balancer until they have turned away.
  *
  * Owns nothing. Relies on the membership view, the flow keeper's hand-over and the count of packets received.
  */
--- a/src/gue-edge/daemon/readiness.ts
+++ b/src/gue-edge/daemon/readiness.ts
@@ -1,8 +1,8 @@
 /**
  * Decides when a daemon becomes active, and whether new flows may come to it.
  *
- * What the rule prevents: that a fabric sends flows to a daemon that would have to refuse them, and that all daemons that take shards
- * over at once count as not ready together.
+ * What the rule prevents: that a fabric sends flows to a daemon that would have to refuse them, and that all
+ * daemons that take shards over at once count as not ready together.
  *
  * Owns nothing; relies on the daemon's phase and on what the control and the data plane know.
  */
@@ -18,9 +18,9 @@
 }
 
 /**
- * Every reason why new flows may not come here; none: ready. All are named, since each has another remedy. Later takeovers do not
- * end readiness: meanwhile packets are relayed to the previous holder, and all balancers that take over at once would leave the
- * fabric with none.
+ * Every reason why new flows may not come here; none: ready. All are named, since each has another remedy. Later
+ * takeovers do not end readiness: meanwhile packets are relayed to the previous holder, and all balancers that take
+ * over at once would leave the fabric with none.
  */
 export function reasonsNotReady({ phase, hasSettings, isQuorate, hasServed }: ReadinessFacts): string[] {
   const reasons: string[] = [];
--- a/src/gue-edge/daemon/run.ts
+++ b/src/gue-edge/daemon/run.ts
@@ -1,8 +1,8 @@
 /**
  * Runs a daemon as the process: configuration, log, ready line, signals, uncaught errors and exit code.
  *
- * Owns the process: its signal handlers, its exit code and the ready line on standard output. Relies on `daemon.ts` for everything
- * else.
+ * Owns the process: its signal handlers, its exit code and the ready line on standard output. Relies on `daemon.ts`
+ * for everything else.
  */
 import { randomInt } from 'node:crypto';
 import { SystemClock } from '../../common/clock.js';
--- a/src/gue-edge/dissemination/change-log.ts
+++ b/src/gue-edge/dissemination/change-log.ts
@@ -1,7 +1,8 @@
 /**
  * Bounded log of applied changes, from which peers that lag a little get the way to the newest tree.
  *
- * Owns the changes, bounded by bytes and entries. Relies on the tree holder for an unbroken sequence; a gap clears the log.
+ * Owns the changes, bounded by bytes and entries. Relies on the tree holder for an unbroken sequence; a gap clears
+ * the log.
  */
 import { CHANGE_LOG_BYTES, CHANGE_LOG_ENTRIES } from './constants.js';
 import { mergeChanges, sizeOfChanges, type NodeChanges } from './node-set.js';
--- a/src/gue-edge/dissemination/distributor.ts
+++ b/src/gue-edge/dissemination/distributor.ts
@@ -1,8 +1,8 @@
 /**
  * Brings every accepted version of the settings tree into force on this balancer and passes it on.
  *
- * Owns the parts of this folder and the timers of anti-entropy and integrity checks. Relies on the store reader and on peers for
- * trees, on the tree holder for which one takes effect, and on the membership view for peers.
+ * Owns the parts of this folder and the timers of anti-entropy and integrity checks. Relies on the store reader and
+ * on peers for trees, on the tree holder for which one takes effect, and on the membership view for peers.
  */
 import type { Clock } from '../../common/clock.js';
 import { Ticker } from '../../common/event-stream.js';
--- a/src/gue-edge/dissemination/messenger.ts
+++ b/src/gue-edge/dissemination/messenger.ts
@@ -1,7 +1,8 @@
 /**
  * Sends and receives this slice's messages over the control channel, and counts them.
  *
- * Owns nothing but the handler. Relies on the control channel for authenticity, and drops with an event what cannot be decoded.
+ * Owns nothing but the handler. Relies on the control channel for authenticity, and drops with an event what cannot
+ * be decoded.
  */
 import type { Endpoint } from '../../common/types.js';
 import {
--- a/src/gue-edge/dissemination/puller.ts
+++ b/src/gue-edge/dissemination/puller.ts
@@ -1,8 +1,8 @@
 /**
  * Fetches a newer tree from peers, chunk by chunk, from one peer at a time, within the byte budget.
  *
- * Owns the peers that named a newer tree and the transfer under way. Relies on `tree-replacement.ts` for which trees are worth
- * fetching; whether a complete transfer is sound is judged by its receiver.
+ * Owns the peers that named a newer tree and the transfer under way. Relies on `tree-replacement.ts` for which
+ * trees are worth fetching; whether a complete transfer is sound is judged by its receiver.
  */
 import type { Clock } from '../../common/clock.js';
 import { pick, type RandomSource } from '../../common/random.js';
--- a/src/gue-edge/dissemination/pusher.ts
+++ b/src/gue-edge/dissemination/pusher.ts
@@ -1,8 +1,8 @@
 /**
  * Eager gossip: a member that has just applied a version tells a few random peers, in a few rounds.
  *
- * Owns which peers are known to have the newest tree, so that they are skipped. Relies on anti-entropy for the members that all
- * rounds miss.
+ * Owns which peers are known to have the newest tree, so that they are skipped. Relies on anti-entropy for the
+ * members that all rounds miss.
  */
 import type { Clock } from '../../common/clock.js';
 import { jitter, type RandomSource } from '../../common/random.js';
--- a/src/gue-edge/dissemination/reader-candidates.ts
+++ b/src/gue-edge/dissemination/reader-candidates.ts
@@ -1,8 +1,9 @@
 /**
  * Decides which members try to take which reader lease: a pure function of the membership view.
  *
- * What the rule prevents: that every member asks the store for leases, and that the loss of one zone leaves no candidate. Members with
- * the same view agree; with different views more members ask, and the store grants each lease to one of them all the same.
+ * What the rule prevents: that every member asks the store for leases, and that the loss of one zone leaves no
+ * candidate. Members with the same view agree; with different views more members ask, and the store grants each
+ * lease to one of them all the same.
  *
  * Owns nothing; relies on rendezvous hashes, so that a member that leaves changes the candidates only where it was one.
  */
--- a/src/gue-edge/dissemination/reader-term.ts
+++ b/src/gue-edge/dissemination/reader-term.ts
@@ -1,15 +1,19 @@
 /**
  * Decides what an answer about a reader lease means, how long a reader goes on, and how soon a candidate asks again.
  *
- * What the rule prevents: that a reader passes on what it read after another may have taken its lease, and that one lost answer
- * ends a term that the store still grants.
+ * What the rule prevents: that a reader passes on what it read after another may have taken its lease, and that one
+ * lost answer ends a term that the store still grants.
  *
- * Owns nothing; relies on the lease's trusted time (`store/lease-trust.ts`) and on the candidates (`reader-candidates.ts`).
+ * Owns nothing; relies on the lease's trusted time (`store/lease-trust.ts`) and on the candidates
+ * (`reader-candidates.ts`).
  */
 import type { Lease } from '../../store/index.js';
 import { CANDIDATE_PAUSE_MS, UNREACHABLE_PAUSE_MS } from './constants.js';
 
-/** What came of a request for a lease. `refused`: another member holds it. `unanswered`: the store could not be asked. */
+/**
+ * What came of a request for a lease. `refused`: another member holds it. `unanswered`: the store could not be
+ * asked.
+ */
 export type LeaseAnswer =
   { readonly kind: 'granted'; readonly lease: Lease } | { readonly kind: 'refused' | 'unanswered' };
 
@@ -43,7 +47,10 @@
   return isCandidate ? 'go-on' : 'no-candidate';
 }
 
-/** Pause in ms before a candidate asks again: short after a store that gave no answer, because then no reader may be left. */
+/**
+ * Pause in ms before a candidate asks again: short after a store that gave no answer, because then no reader may be
+ * left.
+ */
 export function candidatePauseMs(storeFailed: boolean): number {
   return storeFailed ? UNREACHABLE_PAUSE_MS : CANDIDATE_PAUSE_MS;
 }
--- a/src/gue-edge/dissemination/stamp.ts
+++ b/src/gue-edge/dissemination/stamp.ts
@@ -1,7 +1,8 @@
 /**
  * Identity and order of trees: decides which of two trees supersedes the other, for all members alike.
  *
- * What the rule prevents: that members which meet in any order end with different trees, or go back to an older version.
+ * What the rule prevents: that members which meet in any order end with different trees, or go back to an older
+ * version.
  *
  * Owns nothing; relies on the version and the fencing token that the store gave.
  */
--- a/src/gue-edge/dissemination/transfer-progress.ts
+++ b/src/gue-edge/dissemination/transfer-progress.ts
@@ -4,8 +4,8 @@
  * What the rule prevents: that chunks of two transfers are joined, that a faulty peer makes this process keep more than
  * `MAX_TRANSFER_BYTES` or wait without end, and that a transfer takes the bytes that other messages need.
  *
- * Owns no state beyond the progress that it is given. Relies on offsets alone for completeness; whether the nodes are sound is judged
- * by their digest once all of them are there.
+ * Owns no state beyond the progress that it is given. Relies on offsets alone for completeness; whether the nodes
+ * are sound is judged by their digest once all of them are there.
  */
 import { MAX_TRANSFER_BYTES, TRANSFER_BUDGET_SHARE, TRANSFER_MIN_BYTES_PER_SECOND } from './constants.js';
 import { sameTree, type TreeStamp } from './stamp.js';
@@ -29,8 +29,9 @@
 }
 
 /**
- * What a chunk is to a transfer. `continues` it; `starts` a transfer, because none was under way or the peer has gone over to
- * another tree. Cannot be used: `wrong-base`, changes to a tree that this member does not have; `empty`; `too-large`; `wrong-offset`.
+ * What a chunk is to a transfer. `continues` it; `starts` a transfer, because none was under way or the peer has
+ * gone over to another tree. Cannot be used: `wrong-base`, changes to a tree that this member does not have;
+ * `empty`; `too-large`; `wrong-offset`.
  */
 export type ChunkVerdict = 'continues' | 'starts' | 'wrong-base' | 'empty' | 'too-large' | 'wrong-offset';
 
@@ -56,7 +57,10 @@
   return current;
 }
 
-/** Pause in ms after a chunk of `bytes`, so that a transfer takes its share of the control bytes that are free, and never stops. */
+/**
+ * Pause in ms after a chunk of `bytes`, so that a transfer takes its share of the control bytes that are free, and
+ * never stops.
+ */
 export function transferPauseMs(bytes: number, freeBytesPerSecond: number): number {
   const bytesPerSecond = Math.max(TRANSFER_MIN_BYTES_PER_SECOND, freeBytesPerSecond * TRANSFER_BUDGET_SHARE);
   return (bytes / bytesPerSecond) * 1_000;
--- a/src/gue-edge/dissemination/transfer-server.ts
+++ b/src/gue-edge/dissemination/transfer-server.ts
@@ -1,8 +1,8 @@
 /**
  * Answers pull requests: deltas from the change log, or a snapshot, in chunks that fit a datagram.
  *
- * Owns the transfers kept ready for peers in the middle of one. Relies on the change log for deltas, and on the control channel to
- * hold back what exceeds the byte budget.
+ * Owns the transfers kept ready for peers in the middle of one. Relies on the change log for deltas, and on the
+ * control channel to hold back what exceeds the byte budget.
  */
 import type { Clock } from '../../common/clock.js';
 import type { Endpoint } from '../../common/types.js';
--- a/src/gue-edge/dissemination/tree-holder.ts
+++ b/src/gue-edge/dissemination/tree-holder.ts
@@ -2,7 +2,8 @@
  * The tree in force on this balancer. The only place where a tree takes effect: nothing older than the one in force,
  * nothing with faults and nothing that fails its digest gets past it.
  *
- * Owns the tree, the log of its changes and the stamps of rejected trees. Relies on `tree-replacement.ts` for which tree wins.
+ * Owns the tree, the log of its changes and the stamps of rejected trees. Relies on `tree-replacement.ts` for which
+ * tree wins.
  */
 import type { Clock } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
@@ -150,7 +151,10 @@
     }
   }
 
-  /** From now on the tree is offered to no peer, and that of a peer replaces it; its settings stay in force until then. */
+  /**
+   * From now on the tree is offered to no peer, and that of a peer replaces it; its settings stay in force until
+   * then.
+   */
   private markCorrupt(tree: DistributedTree): void {
     this.corrupt = true;
     this.log.clear();
--- a/src/gue-edge/dissemination/tree-replacement.ts
+++ b/src/gue-edge/dissemination/tree-replacement.ts
@@ -1,10 +1,11 @@
 /**
  * Decides which tree may take the place of the one in force, and which peer's tree is worth fetching.
  *
- * What the rule prevents: that settings go back to an older version, that two members stay with different trees for good, and that
- * a tree found faulty is fetched again and again.
+ * What the rule prevents: that settings go back to an older version, that two members stay with different trees for
+ * good, and that a tree found faulty is fetched again and again.
  *
- * Owns nothing; relies on the order of stamps (`stamp.ts`), on whether the tree in memory is intact, and on the rejected trees.
+ * Owns nothing; relies on the order of stamps (`stamp.ts`), on whether the tree in memory is intact, and on the
+ * rejected trees.
  */
 import { supersedes, type TreeStamp } from './stamp.js';
 
@@ -18,8 +19,9 @@
 export type ReplacementVerdict = 'first' | 'repair' | 'newer' | 'none' | 'older-than-corrupt' | 'not-newer';
 
 /**
- * Compares a candidate with the tree in force. A corrupt tree gives way to any of its own version or later, since its digest no
- * longer says anything about its content. Else `supersedes` decides; the same tree again is `not-newer`.
+ * Compares a candidate with the tree in force. A corrupt tree gives way to any of its own version or later, since
+ * its digest no longer says anything about its content. Else `supersedes` decides; the same tree again is
+ * `not-newer`.
  */
 export function judgeReplacement(candidate: TreeStamp, held: HeldTree): ReplacementVerdict {
   if (!held) return candidate.version > 0 ? 'first' : 'none';
--- a/src/gue-edge/membership/accusations.ts
+++ b/src/gue-edge/membership/accusations.ts
@@ -1,7 +1,8 @@
 /**
  * Running suspicions that several members share: who accuses whom, passed on when it is new.
  *
- * Owns the count of suspicions raised here. Relies on `suspicion.ts` for the time that is left, and on the gossip queue.
+ * Owns the count of suspicions raised here. Relies on `suspicion.ts` for the time that is left, and on the gossip
+ * queue.
  */
 import type { Gossiper } from './gossiper.js';
 import type { GossipQueue } from './gossip-queue.js';
--- a/src/gue-edge/membership/gossiper.ts
+++ b/src/gue-edge/membership/gossiper.ts
@@ -1,7 +1,8 @@
 /**
  * Gossip rounds: while updates are queued, each round sends some of them to a few random members.
  *
- * Owns the timer of the next round. Relies on the queue for what is sent, and on the byte budget for how many members get it.
+ * Owns the timer of the next round. Relies on the queue for what is sent, and on the byte budget for how many
+ * members get it.
  */
 import type { RandomSource } from '../../common/random.js';
 import type { TimerHandle } from '../../common/clock.js';
--- a/src/gue-edge/membership/guarded-timers.ts
+++ b/src/gue-edge/membership/guarded-timers.ts
@@ -1,7 +1,8 @@
 /**
  * Timers that notice when the process did not run: a pause is reported before any late timer does its work.
  *
- * Owns the time of the last pause. Relies on the lateness of its own timers: a process that does not run notices only afterwards.
+ * Owns the time of the last pause. Relies on the lateness of its own timers: a process that does not run notices
+ * only afterwards.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
--- a/src/gue-edge/membership/index.ts
+++ b/src/gue-edge/membership/index.ts
@@ -1,8 +1,8 @@
 /**
  * Membership of the balancers of one region: who is a member, and who may open flows.
  *
- * Owns the member table, failure detection and the quorum of this member. Relies on the control channel, and on the platform, where
- * there is one, for the quorum lease and the machine list.
+ * Owns the member table, failure detection and the quorum of this member. Relies on the control channel, and on the
+ * platform, where there is one, for the quorum lease and the machine list.
  *
  * @example
  * const membership = new SwimMembership({ identity, region, incarnation, channel, clock, random, seeds, platform });
--- a/src/gue-edge/membership/joiner.ts
+++ b/src/gue-edge/membership/joiner.ts
@@ -1,8 +1,8 @@
 /**
  * Finds a first member to talk to, from the configured seeds and the platform's machine list, which are hints only.
  *
- * Owns the retries and the machine list last read. Relies on seeds and on the platform's machine list as hints only: neither makes
- * nor removes a member.
+ * Owns the retries and the machine list last read. Relies on seeds and on the platform's machine list as hints
+ * only: neither makes nor removes a member.
  */
 import type { TimerHandle } from '../../common/clock.js';
 import { jitter, type RandomSource } from '../../common/random.js';
@@ -30,10 +30,16 @@
   readonly isListReader: () => boolean;
 }
 
-/** Share of a retry interval that is random, either way, so that members that start together do not ask together. Not measured. */
+/**
+ * Share of a retry interval that is random, either way, so that members that start together do not ask together.
+ * Not measured.
+ */
 const RETRY_JITTER = 0.3;
 
-/** Retries until a member answers; starts again when no live peer is left, or when the machine list names machines not known. */
+/**
+ * Retries until a member answers; starts again when no live peer is left, or when the machine list names machines
+ * not known.
+ */
 export class Joiner {
   private timer: TimerHandle | undefined;
   private retryMs = JOIN_RETRY_MIN_MS;
--- a/src/gue-edge/membership/member-merge.ts
+++ b/src/gue-edge/membership/member-merge.ts
@@ -1,8 +1,8 @@
 /**
  * Decides which report about a member overrules what is known of it.
  *
- * What the rule prevents: that a late report revives a member that left, that the sides of a healed partition remove each other's
- * members on hearsay, and that a restarted process is taken for the one before it.
+ * What the rule prevents: that a late report revives a member that left, that the sides of a healed partition
+ * remove each other's members on hearsay, and that a restarted process is taken for the one before it.
  *
  * Owns nothing; returns the outcome and the record to store, and the member table carries it out.
  */
@@ -18,11 +18,12 @@
 import type { MemberUpdate } from './wire.js';
 
 /**
- * What becomes of a report. `changed`: it is stored. `known`: it says nothing new, or is out of date. `unknown`: it names a member
- * or an incarnation that was never introduced. `accused`: it says that this member is suspected or removed. `collision`: another
- * member has the same id hash. `outdated-accusation`: as `accused`, but this member has refuted it already and the sender has not
- * heard. `reported-failed`: it says that a member that is live here has failed; the member is now suspected here, because the
- * report may come from the other side of a healed partition and the member must get the time to refute it.
+ * What becomes of a report. `changed`: it is stored. `known`: it says nothing new, or is out of date. `unknown`: it
+ * names a member or an incarnation that was never introduced. `accused`: it says that this member is suspected or
+ * removed. `collision`: another member has the same id hash. `outdated-accusation`: as `accused`, but this member
+ * has refuted it already and the sender has not heard. `reported-failed`: it says that a member that is live here
+ * has failed; the member is now suspected here, because the report may come from the other side of a healed
+ * partition and the member must get the time to refute it.
  */
 export type MergeOutcome =
   'changed' | 'known' | 'unknown' | 'accused' | 'outdated-accusation' | 'collision' | 'reported-failed';
@@ -50,9 +51,10 @@
 /**
  * Decides what becomes of the report `update` about the member whose record is `known`.
  *
- * Order: a collision makes the report one about somebody else. A report about this member is never stored, only refuted. A later
- * incarnation overrules everything about the earlier one. A failure of a live member is only suspected. Else the version decides
- * (incarnation, then refutation); equal versions take the later lifecycle and keep a suspicion, which ends by a refutation only.
+ * Order: a collision makes the report one about somebody else. A report about this member is never stored, only
+ * refuted. A later incarnation overrules everything about the earlier one. A failure of a live member is only
+ * suspected. Else the version decides (incarnation, then refutation); equal versions take the later lifecycle and
+ * keep a suspicion, which ends by a refutation only.
  */
 export function decideMerge(
   known: MemberRecord | undefined,
@@ -102,7 +104,10 @@
   return { outcome: 'changed', record: { ...known, lifecycle, suspected, changedAtMs: nowMs } };
 }
 
-/** A report about this member. A newer version than its own can only be an accusation; a member that left refutes nothing. */
+/**
+ * A report about this member. A newer version than its own can only be an accusation; a member that left refutes
+ * nothing.
+ */
 function judgeAccusation(self: MemberRecord, update: MemberUpdate): MergeDecision {
   if (self.lifecycle === 'left') return KNOWN;
   const order = compareVersions(update, self);
@@ -113,9 +118,10 @@
 }
 
 /**
- * What an accused member does. `refute`: it makes its version newer than the accusation. `give-way`: a later process has taken over its
- * id elsewhere, and this one must not act for it any more. An accusation of a later incarnation at its own address is about an earlier
- * process whose clock was ahead; one without an address is taken for that as well, since giving way is final.
+ * What an accused member does. `refute`: it makes its version newer than the accusation. `give-way`: a later
+ * process has taken over its id elsewhere, and this one must not act for it any more. An accusation of a later
+ * incarnation at its own address is about an earlier process whose clock was ahead; one without an address is taken
+ * for that as well, since giving way is final.
  */
 export type AccusationResponse = 'refute' | 'give-way';
 
--- a/src/gue-edge/membership/member-table.ts
+++ b/src/gue-edge/membership/member-table.ts
@@ -1,8 +1,8 @@
 /**
  * All known members, and what may change them: reports of others, this member's own findings, its own course, and time.
  *
- * Owns the records, the tree version that each member last reported, and the digests by which two members compare their tables.
- * Relies on `member-merge.ts` for which report overrules which record.
+ * Owns the records, the tree version that each member last reported, and the digests by which two members compare
+ * their tables. Relies on `member-merge.ts` for which report overrules which record.
  */
 import type { Clock } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
--- a/src/gue-edge/membership/membership-parts.ts
+++ b/src/gue-edge/membership/membership-parts.ts
@@ -1,6 +1,7 @@
 /**
- * Builds the parts of one member and connects what they ask of each other. The parts that report something (changes,
- * pauses, silence) do so through streams, to which `SwimMembership` subscribes; so every part exists before another uses it.
+ * Builds the parts of one member and connects what they ask of each other. The parts that report something
+ * (changes, pauses, silence) do so through streams, to which `SwimMembership` subscribes; so every part exists
+ * before another uses it.
  *
  * Owns nothing afterwards: `SwimMembership` has the parts.
  */
--- a/src/gue-edge/membership/message-receiver.ts
+++ b/src/gue-edge/membership/message-receiver.ts
@@ -1,9 +1,9 @@
 /**
- * Handles the messages of other members: merges the updates that they carry, learns about their senders, and hands each to the
- * part that it is for.
+ * Handles the messages of other members: merges the updates that they carry, learns about their senders, and hands
+ * each to the part that it is for.
  *
- * Owns the count of refutations and the last probe before a pause. Relies on `member-merge.ts` for what becomes of an update, and on the control
- * channel for who sent it.
+ * Owns the count of refutations and the last probe before a pause. Relies on `member-merge.ts` for what becomes of
+ * an update, and on the control channel for who sent it.
  */
 import { hashString } from '../../common/hash.js';
 import type { Endpoint } from '../../common/types.js';
@@ -45,7 +45,10 @@
     return this.refutationCount;
   }
 
-  /** Messages that waited in the socket during a pause do not show that their sender is alive: from now on only responses to later probes do. */
+  /**
+   * Messages that waited in the socket during a pause do not show that their sender is alive: from now on only
+   * responses to later probes do.
+   */
   notePause(): void {
     this.sequenceAtPause = this.context.parts.prober.lastSequence;
   }
--- a/src/gue-edge/membership/probe-order.ts
+++ b/src/gue-edge/membership/probe-order.ts
@@ -1,8 +1,8 @@
 /**
- * Whom to probe in which round. All members stand on a ring in the order of their id hashes, and in round k each probes the
- * one that is shift(k) places on. Members whose clocks agree thus probe every member exactly once an interval, so that a
- * crash is noticed within an interval or two, which independent random orders do not give; and in n - 1 rounds a
- * member probes all others. Clocks that disagree only make the order less even.
+ * Whom to probe in which round. All members stand on a ring in the order of their id hashes, and in round k each
+ * probes the one that is shift(k) places on. Members whose clocks agree thus probe every member exactly once an
+ * interval, so that a crash is noticed within an interval or two, which independent random orders do not give; and
+ * in n - 1 rounds a member probes all others. Clocks that disagree only make the order less even.
  *
  * Owns no state. Relies on all members seeing the same ring most of the time.
  */
--- a/src/gue-edge/membership/prober.ts
+++ b/src/gue-edge/membership/prober.ts
@@ -1,8 +1,8 @@
 /**
  * Failure detector: probes one member an interval, in turn, directly and then through other members.
  *
- * Owns the probe under way, the probes for other members and the order of targets. Relies on `probe-order.ts` for whom to probe, on
- * `probe-verdict.ts` for what silence means, and on the local health score for how long to wait.
+ * Owns the probe under way, the probes for other members and the order of targets. Relies on `probe-order.ts` for
+ * whom to probe, on `probe-verdict.ts` for what silence means, and on the local health score for how long to wait.
  */
 import type { TimerHandle } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
@@ -46,7 +46,10 @@
   readonly timer: TimerHandle;
 }
 
-/** Probes for other members that wait for an answer at once: a bound on memory against faulty requesters. Not measured. */
+/**
+ * Probes for other members that wait for an answer at once: a bound on memory against faulty requesters. Not
+ * measured.
+ */
 const MAX_RELAYED_PROBES = 1_024;
 
 /** One prober for each process. */
--- a/src/gue-edge/membership/quorum-base.ts
+++ b/src/gue-edge/membership/quorum-base.ts
@@ -2,12 +2,14 @@
  * The members last known together in a settled view, against which reachability is measured (dynamic voting).
  *
  * Only a quorate member changes its base: it adds members that have been active for ADMISSION_WAIT_MS without any
- * suspicion (so that a member cut off a moment ago does not add others before it notices), takes out planned leavers, and
- * drops failed ones when the view has gone settleMs without a failure. Dropping raises the epoch; a member that meets a
- * higher epoch adopts that base before it can become quorate, so two sides of successive partitions never rest on different bases.
+ * suspicion (so that a member cut off a moment ago does not add others before it notices), takes out planned
+ * leavers, and drops failed ones when the view has gone settleMs without a failure. Dropping raises the epoch; a
+ * member that meets a higher epoch adopts that base before it can become quorate, so two sides of successive
+ * partitions never rest on different bases.
  *
- * Owns the base, and when a member last failed or was suspected. Relies on its callers to change it while quorate only, and on member
- * records for lifecycle and reachability. A member of the base that is not known counts as not reached.
+ * Owns the base, and when a member last failed or was suspected. Relies on its callers to change it while quorate
+ * only, and on member records for lifecycle and reachability. A member of the base that is not known counts as not
+ * reached.
  */
 import { ADMISSION_WAIT_MS } from './constants.js';
 import { isRemoved, ownsShards, type MemberRecord } from './member-record.js';
--- a/src/gue-edge/membership/quorum-decision.ts
+++ b/src/gue-edge/membership/quorum-decision.ts
@@ -1,8 +1,10 @@
 /**
- * Decides whether this member may open flows, whether it asks for the region's quorum lease, and whether it may found a region.
+ * Decides whether this member may open flows, whether it asks for the region's quorum lease, and whether it may
+ * found a region.
  *
- * What the rule prevents: that both sides of a partition open flows for the same shards. At most one side reaches a majority of
- * the base, and at most one member holds the lease of the region (`quorum-lease.ts`); a member without either one opens nothing.
+ * What the rule prevents: that both sides of a partition open flows for the same shards. At most one side reaches a
+ * majority of the base, and at most one member holds the lease of the region (`quorum-lease.ts`); a member without
+ * either one opens nothing.
  *
  * Owns nothing: every function computes its result from its arguments alone. Relies on the standing against the base
  * (`quorum-base.ts`), on the last answer about the lease, and on monotonic times in ms of this process.
@@ -41,11 +43,10 @@
 }
 
 /**
- * Why this member may or may not open flows.
- * Quorate: `sole-site`; `majority` and `tie` of the base reached; `lease-held`, alone with the lease; `base-of-one`, alone without
- * an answer of the platform where the base requires no other member.
- * Not quorate: `withdrawn`; `unconfirmed` since a pause; `no-base`; `cut-off`; `behind` a higher epoch; `minority` of the base
- * reached; `lease-not-held`, alone without the lease.
+ * Why this member may or may not open flows. Quorate: `sole-site`; `majority` and `tie` of the base reached;
+ * `lease-held`, alone with the lease; `base-of-one`, alone without an answer of the platform where the base
+ * requires no other member. Not quorate: `withdrawn`; `unconfirmed` since a pause; `no-base`; `cut-off`; `behind` a
+ * higher epoch; `minority` of the base reached; `lease-not-held`, alone without the lease.
  */
 export type QuorumVerdict =
   | 'sole-site'
@@ -78,13 +79,13 @@
  * Decides whether this member may open flows.
  *
  * Order: a withdrawal is final. A sole site has no other side. Next come the reasons for which the standing itself
- * cannot be trusted: a pause, no base, no answers, a base that is out of date. The last one only keeps a member from becoming
- * quorate; a quorate member may reach the higher epoch by itself. Reachable members count before the lease, so a region with a
- * majority does not depend on the platform.
+ * cannot be trusted: a pause, no base, no answers, a base that is out of date. The last one only keeps a member
+ * from becoming quorate; a quorate member may reach the higher epoch by itself. Reachable members count before the
+ * lease, so a region with a majority does not depend on the platform.
  *
  * Ties: half of the base counts when its lowest id is among the reachable members, which is true for one side only.
- * Missing knowledge: a lease not asked for yet, or whose trust has run out, counts as not held. Without an answer of the
- * platform a member alone is quorate only where its standing suffices.
+ * Missing knowledge: a lease not asked for yet, or whose trust has run out, counts as not held. Without an answer
+ * of the platform a member alone is quorate only where its standing suffices.
  */
 export function decideQuorum(facts: QuorumFacts, evidence: QuorumEvidence): QuorumVerdict {
   if (facts.withdrawn) return 'withdrawn';
@@ -104,15 +105,19 @@
   return evidence.isBehind && !facts.wasQuorate ? 'behind' : undefined;
 }
 
-/** Why this member asks for the quorum lease: to go on `alone`, or as `representative` of a region; else why it does not. */
+/**
+ * Why this member asks for the quorum lease: to go on `alone`, or as `representative` of a region; else why it does
+ * not.
+ */
 export type LeaseDemand = 'alone' | 'representative' | 'not-entitled' | 'too-early' | 'not-needed';
 
 /**
  * Decides whether this member asks for the region's quorum lease.
  *
- * A member that may not open flows anyway never asks. A member alone asks at once when its standing suffices, else after
- * `witnessWaitMs`: that is longer than the lease, so a majority elsewhere renews it first. Among several members only the active
- * one with the lowest id asks, while the region is quorate or has no base yet, so that a member cut off finds the lease taken.
+ * A member that may not open flows anyway never asks. A member alone asks at once when its standing suffices, else
+ * after `witnessWaitMs`: that is longer than the lease, so a majority elsewhere renews it first. Among several
+ * members only the active one with the lowest id asks, while the region is quorate or has no base yet, so that a
+ * member cut off finds the lease taken.
  */
 export function decideLeaseDemand(facts: QuorumFacts, isLowestReachable: boolean): LeaseDemand {
   if (facts.isSole || facts.withdrawn || !facts.isConfirmed) return 'not-entitled';
@@ -126,8 +131,9 @@
 }
 
 /**
- * True when this member may become active without any other live member, to make the region's first base. It must have been
- * alone for `witnessWaitMs` and hold the region's lease, which a running region would hold itself. A base, or the sign of one, forbids it.
+ * True when this member may become active without any other live member, to make the region's first base. It must
+ * have been alone for `witnessWaitMs` and hold the region's lease, which a running region would hold itself. A
+ * base, or the sign of one, forbids it.
  */
 export function decideFounding(facts: QuorumFacts, lease: LeaseStanding, hasSeenBase: boolean): boolean {
   if (facts.withdrawn || facts.hasBase || hasSeenBase) return false;
@@ -146,9 +152,9 @@
 }
 
 /**
- * True when this member may make the first base of its region from the active members that it knows. With a platform it takes the
- * lease, so that two groups that start while cut off from each other cannot both become quorate. Without one, nothing can prevent
- * that, and any other member met is enough. A site of one needs neither.
+ * True when this member may make the first base of its region from the active members that it knows. With a
+ * platform it takes the lease, so that two groups that start while cut off from each other cannot both become
+ * quorate. Without one, nothing can prevent that, and any other member met is enough. A site of one needs neither.
  */
 export function mayCreateFirstBase(facts: FirstBaseFacts): boolean {
   if (facts.hasSeenBase) return false;
@@ -166,9 +172,9 @@
 }
 
 /**
- * True when a live member counts as reachable for the quorum. A suspect counts for `quorumGraceMs` only, because it may still
- * refute; it does not count at all while most of its zone is silent, since then a partition is likelier than single faults.
- * A suspect whose suspicion does not run here does not count.
+ * True when a live member counts as reachable for the quorum. A suspect counts for `quorumGraceMs` only, because it
+ * may still refute; it does not count at all while most of its zone is silent, since then a partition is likelier
+ * than single faults. A suspect whose suspicion does not run here does not count.
  */
 export function isReachableForQuorum(
   silence: SilenceFacts,
--- a/src/gue-edge/membership/quorum-exchange.ts
+++ b/src/gue-edge/membership/quorum-exchange.ts
@@ -27,7 +27,10 @@
 /** Least time between two requests, in ms. Not measured; chosen above the time that a response takes. */
 const REQUEST_INTERVAL_MS = 500;
 
-/** A quorate member waits this long, in ms, before it fetches: usually it reaches the same epoch by itself. Not measured. */
+/**
+ * A quorate member waits this long, in ms, before it fetches: usually it reaches the same epoch by itself. Not
+ * measured.
+ */
 const QUORATE_PATIENCE_MS = 3_000;
 
 /** One exchange for each process. */
--- a/src/gue-edge/membership/quorum-lease.ts
+++ b/src/gue-edge/membership/quorum-lease.ts
@@ -1,11 +1,12 @@
 /**
  * The platform's lease `quorum/<region>`: the witness that lets a sole survivor be quorate.
  *
- * In a quorate region of several members the lowest-id one holds it, so that a member cut off from the others cannot get it. A sole
- * survivor tries only after witnessWaitMs, which is longer than the lease: a majority elsewhere comes first.
+ * In a quorate region of several members the lowest-id one holds it, so that a member cut off from the others
+ * cannot get it. A sole survivor tries only after witnessWaitMs, which is longer than the lease: a majority
+ * elsewhere comes first.
  *
- * Owns the lease and what is known of it. Relies on `quorum-decision.ts` for whether it is wanted, and on the store's client for how
- * long it is trusted.
+ * Owns the lease and what is known of it. Relies on `quorum-decision.ts` for whether it is wanted, and on the
+ * store's client for how long it is trusted.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { Lease, StoreClient } from '../../store/types.js';
--- a/src/gue-edge/membership/quorum.ts
+++ b/src/gue-edge/membership/quorum.ts
@@ -1,8 +1,10 @@
 /**
- * Quorum of one member: gathers what the decision rests on, carries the decision out, and keeps the base and the lease up to date.
+ * Quorum of one member: gathers what the decision rests on, carries the decision out, and keeps the base and the
+ * lease up to date.
  *
- * Owns the last decision, the time since when this member is alone, and the lease. Relies on the rules in `quorum-decision.ts`,
- * on the member table, on running suspicions and on the silence of zones. docs/DESIGN.md, "Quorum", describes the whole.
+ * Owns the last decision, the time since when this member is alone, and the lease. Relies on the rules in
+ * `quorum-decision.ts`, on the member table, on running suspicions and on the silence of zones. docs/DESIGN.md,
+ * "Quorum", describes the whole.
  */
 import type { MembershipTiming } from './constants.js';
 import type { GuardedTimers } from './guarded-timers.js';
@@ -219,7 +221,10 @@
     return this.context.clock.now() - this.aloneSinceMs >= this.context.timing.witnessWaitMs;
   }
 
-  /** True on the active member with the lowest id that can be reached: one for a region, or for each side of a partition. */
+  /**
+   * True on the active member with the lowest id that can be reached: one for a region, or for each side of a
+   * partition.
+   */
   isLowestReachable(): boolean {
     const { self } = this.context.table;
     if (self.lifecycle !== 'active') return false;
--- a/src/gue-edge/membership/sampling.ts
+++ b/src/gue-edge/membership/sampling.ts
@@ -6,7 +6,10 @@
 import type { RandomSource } from '../../common/random.js';
 import type { MemberRecord } from './member-record.js';
 
-/** Draws for each wanted member before the list is searched from a random place. Not measured; four suffice where most members pass. */
+/**
+ * Draws for each wanted member before the list is searched from a random place. Not measured; four suffice where
+ * most members pass.
+ */
 const TRIES_PER_MEMBER = 4;
 
 /** Up to `count` different members that pass `accept`, at random; fewer when there are fewer. */
--- a/src/gue-edge/membership/state-sync.ts
+++ b/src/gue-edge/membership/state-sync.ts
@@ -34,7 +34,10 @@
   readonly messages: WireMessageFields[];
 }
 
-/** State transfers under way at once; further requests are dropped. Not measured; chosen to bound what one member sends. */
+/**
+ * State transfers under way at once; further requests are dropped. Not measured; chosen to bound what one member
+ * sends.
+ */
 const MAX_TRANSFERS = 16;
 const ALL_BUCKETS = 0xffff_ffff;
 
@@ -113,8 +116,8 @@
   }
 
   /**
-   * Entries of the buckets, in lists of at most GOSSIP_BYTES; one empty list when there are none. Failures are left out:
-   * after a partition both sides hold the other for failed, and each member finds a real failure by itself.
+   * Entries of the buckets, in lists of at most GOSSIP_BYTES; one empty list when there are none. Failures are left
+   * out: after a partition both sides hold the other for failed, and each member finds a real failure by itself.
    */
   private chunksOf(buckets: number): Uint8Array[][] {
     const chunks: Uint8Array[][] = [[]];
--- a/src/gue-edge/membership/suspicion-timeout.ts
+++ b/src/gue-edge/membership/suspicion-timeout.ts
@@ -1,10 +1,11 @@
 /**
  * Decides how long a suspicion runs before the suspected member is removed.
  *
- * What the rule prevents: that a member is removed on the word of a single member that has lost its own connection, and that a
- * crash seen by several is acted on late. The time grows with the region, because a refutation has to reach everyone, and shrinks
- * with each confirmation by another member (the published Lifeguard extensions of SWIM). The simulation named at
- * `DEFAULT_MEMBERSHIP_TIMING` measured the result: removed by all after 3.5 s in a region of 367 members.
+ * What the rule prevents: that a member is removed on the word of a single member that has lost its own connection,
+ * and that a crash seen by several is acted on late. The time grows with the region, because a refutation has to
+ * reach everyone, and shrinks with each confirmation by another member (the published Lifeguard extensions of
+ * SWIM). The simulation named at `DEFAULT_MEMBERSHIP_TIMING` measured the result: removed by all after 3.5 s in a
+ * region of 367 members.
  *
  * Owns nothing; relies on the numbers of accusers and live members, this one included.
  */
@@ -21,8 +22,9 @@
 }
 
 /**
- * Time in ms from the start of a suspicion to removal, with `accusers` accusers in a region of `members`. Infinite accusers stand
- * for a member that watched a suspicion to its end. In a region of two no other member could confirm, and the shortest time holds.
+ * Time in ms from the start of a suspicion to removal, with `accusers` accusers in a region of `members`. Infinite
+ * accusers stand for a member that watched a suspicion to its end. In a region of two no other member could
+ * confirm, and the shortest time holds.
  */
 export function suspicionTimeoutMs(accusers: number, members: number, timing: SuspicionTiming): number {
   const { minMs, maxMs } = suspicionBounds(members, timing);
--- a/src/gue-edge/membership/suspicion.ts
+++ b/src/gue-edge/membership/suspicion.ts
@@ -1,8 +1,8 @@
 /**
  * Running suspicions: each ends by a refutation or, after a time that confirmations shorten, by removal.
  *
- * Owns the accusers and the timer of each suspicion. Relies on `suspicion-timeout.ts` for the time, and on timers that stand still
- * while the process is paused.
+ * Owns the accusers and the timer of each suspicion. Relies on `suspicion-timeout.ts` for the time, and on timers
+ * that stand still while the process is paused.
  */
 import type { TimerHandle } from '../../common/clock.js';
 import { SUSPICION_CONFIRMATIONS, type MembershipTiming } from './constants.js';
--- a/src/gue-edge/membership/swim-membership.ts
+++ b/src/gue-edge/membership/swim-membership.ts
@@ -1,7 +1,7 @@
 /**
- * Membership of one balancer: failure detection, gossip, anti-entropy and quorum put together. Owns the life of the member
- * (join, activate, leave, stop) and reacts to what its parts report; relies on a control channel and, if there is one, on
- * the store for its lease and machine list.
+ * Membership of one balancer: failure detection, gossip, anti-entropy and quorum put together. Owns the life of the
+ * member (join, activate, leave, stop) and reacts to what its parts report; relies on a control channel and, if
+ * there is one, on the store for its lease and machine list.
  */
 import { hashString } from '../../common/hash.js';
 import { jitter, pick } from '../../common/random.js';
@@ -18,7 +18,10 @@
 import { sampleMembers } from './sampling.js';
 import type { MembershipFeed, MembershipView } from './types.js';
 
-/** Part of the reconnect interval that is drawn at random, so that members do not contact a failed one together. Not measured. */
+/**
+ * Part of the reconnect interval that is drawn at random, so that members do not contact a failed one together. Not
+ * measured.
+ */
 const RECONNECT_JITTER = 0.5;
 
 /** Call `join`, then `activate` when ready; `leave` and `stop` to go. */
@@ -80,7 +83,10 @@
     }
   }
 
-  /** Starts: looks for other members, answers and probes them. Resolves when one has answered or there is none to ask. */
+  /**
+   * Starts: looks for other members, answers and probes them. Resolves when one has answered or there is none to
+   * ask.
+   */
   async join(): Promise<void> {
     if (this.running) throw stateError('join was called twice');
     const { channel, seeds, platform } = this.options;
--- a/src/gue-edge/membership/wire.ts
+++ b/src/gue-edge/membership/wire.ts
@@ -1,7 +1,8 @@
 /**
  * Conversion between membership messages and their protobuf form (pb/membership.proto).
  *
- * Owns the layout of entries. Relies on the generated protobuf code, and on the sender for nothing: malformed entries are refused.
+ * Owns the layout of entries. Relies on the generated protobuf code, and on the sender for nothing: malformed
+ * entries are refused.
  */
 import type { Endpoint } from '../../common/types.js';
 import { sailquay } from './pb/membership.js';
--- a/src/gue-edge/membership/zone-silence.ts
+++ b/src/gue-edge/membership/zone-silence.ts
@@ -1,9 +1,11 @@
 /**
- * Notices when most of a zone falls silent at once: one event instead of one for each member, and suspects of the zone no longer
- * count for the quorum (`quorum-decision.ts`), because a partition is likelier than so many single faults.
+ * Notices when most of a zone falls silent at once: one event instead of one for each member, and suspects of the
+ * zone no longer count for the quorum (`quorum-decision.ts`), because a partition is likelier than so many single
+ * faults.
  *
  * Owns when each silent member fell silent. A zone stops being silent when the last of its failures is older than
- * `ZONE_WINDOW_MS` or disproved, not when the share falls again (hysteresis). Relies on the changes of the member table.
+ * `ZONE_WINDOW_MS` or disproved, not when the share falls again (hysteresis). Relies on the changes of the member
+ * table.
  */
 import { Subject } from '../../common/event-stream.js';
 import type { MemberRecord } from './member-record.js';
@@ -22,9 +24,10 @@
 }
 
 /**
- * True when so many members that fell silent within the window make their zone silent: at least `ZONE_MIN_MEMBERS`, and more than
- * `ZONE_SILENT_SHARE` of the zone. Members that were removed meanwhile are no longer live but still count for the zone; exactly
- * the share does not suffice. `liveInZone` is asked only where the first condition holds, because it counts the whole table.
+ * True when so many members that fell silent within the window make their zone silent: at least `ZONE_MIN_MEMBERS`,
+ * and more than `ZONE_SILENT_SHARE` of the zone. Members that were removed meanwhile are no longer live but still
+ * count for the zone; exactly the share does not suffice. `liveInZone` is asked only where the first condition
+ * holds, because it counts the whole table.
  */
 export function isZoneSilent(silentMembers: number, liveInZone: () => number): boolean {
   if (silentMembers < ZONE_MIN_MEMBERS) return false;
--- a/src/observability/event-log.ts
+++ b/src/observability/event-log.ts
@@ -1,8 +1,8 @@
 /**
  * Writes numbered events to stderr through consola, as text lines or as JSON lines.
  *
- * Owns the count of each event within a window, beyond which further lines are left out and counted. Relies on the definitions of
- * events for numbers and levels.
+ * Owns the count of each event within a window, beyond which further lines are left out and counted. Relies on the
+ * definitions of events for numbers and levels.
  */
 import { createConsola, type ConsolaInstance, type LogObject } from 'consola';
 import type { Clock } from '../common/clock.js';
--- a/src/observability/explain-flow.ts
+++ b/src/observability/explain-flow.ts
@@ -1,6 +1,6 @@
 /**
- * Finds in the log lines of all balancers what happened to one flow: its own lines, those about the back ends that it was
- * given to, and what the balancers that handled it went through meanwhile.
+ * Finds in the log lines of all balancers what happened to one flow: its own lines, those about the back ends that
+ * it was given to, and what the balancers that handled it went through meanwhile.
  *
  * Owns no state. Relies on the fields of log lines alone, so it works on the logs of daemons that are gone.
  */
@@ -24,7 +24,10 @@
   readonly line: LogLine;
 }
 
-/** Lines about back ends and balancers count this long before the flow's first and after its last line, in ms. Not measured; chosen above the time in which a crash is noticed. */
+/**
+ * Lines about back ends and balancers count this long before the flow's first and after its last line, in ms. Not
+ * measured; chosen above the time in which a crash is noticed.
+ */
 const MARGIN_MS = 5_000;
 
 /** Events about a balancer as a whole that may explain what became of its flows. */
--- a/src/observability/index.ts
+++ b/src/observability/index.ts
@@ -1,8 +1,8 @@
 /**
  * Logs, metrics pages and the admin server of a daemon.
  *
- * Owns the ranges of event numbers, the limit on repeated events, and the HTTP server of the admin address. Relies on the other folders
- * for events (their `events.ts`) and for the values of metrics; decides nothing about flows.
+ * Owns the ranges of event numbers, the limit on repeated events, and the HTTP server of the admin address. Relies
+ * on the other folders for events (their `events.ts`) and for the values of metrics; decides nothing about flows.
  *
  * ```ts
  * const events = new ConsolaEventLog({ format: 'json', level: 'info', memberId: 'balancer-1', clock });
--- a/src/observability/line-writer.ts
+++ b/src/observability/line-writer.ts
@@ -1,19 +1,23 @@
 /**
- * Writes log lines without ever blocking the caller: lines gather for a moment, and what its reader does not take waits in the
- * stream up to a bound. What goes beyond is left out and counted.
+ * Writes log lines without ever blocking the caller: lines gather for a moment, and what its reader does not take
+ * waits in the stream up to a bound. What goes beyond is left out and counted.
  *
  * Owns the lines that wait. Relies on the stream to keep what its reader has not taken yet.
  */
 import type { Writable } from 'node:stream';
 import type { Clock } from '../common/clock.js';
 
-/** Lines gather this long, in ms, before they are written. Not measured; chosen to save writes without a delay that an operator notices. */
+/**
+ * Lines gather this long, in ms, before they are written. Not measured; chosen to save writes without a delay that
+ * an operator notices.
+ */
 const GATHER_MS = 300;
 
 /**
- * Lines are handed over in blocks of whole lines up to this length: a pipe takes a block of at most 4,096 bytes in one piece, so that
- * lines of several writers do not mix, and a reader with a small buffer loses none: one that takes 8 KB of each write got 4,447 lines of
- * seven balancers in 52 s, and 4,977 with blocks, among them what five more balancers told just after their starts.
+ * Lines are handed over in blocks of whole lines up to this length: a pipe takes a block of at most 4,096 bytes in
+ * one piece, so that lines of several writers do not mix, and a reader with a small buffer loses none: one that
+ * takes 8 KB of each write got 4,447 lines of seven balancers in 52 s, and 4,977 with blocks, among them what five
+ * more balancers told just after their starts.
  */
 const MAX_BLOCK = 4_096;
 
--- a/src/observability/metrics-page.ts
+++ b/src/observability/metrics-page.ts
@@ -1,6 +1,6 @@
 /**
- * A Prometheus page of values that the slices count themselves: a snapshot is copied into the registry at each scrape, so
- * that nothing on the packet path touches a metrics library.
+ * A Prometheus page of values that the slices count themselves: a snapshot is copied into the registry at each
+ * scrape, so that nothing on the packet path touches a metrics library.
  *
  * Owns the registry of one page. Relies on snapshots that cost little, since each scrape takes one.
  */
--- a/src/settings/codec.ts
+++ b/src/settings/codec.ts
@@ -1,8 +1,8 @@
 /**
  * Compact protobuf form of nodes and deltas, for messages between balancers.
  *
- * Owns the wire numbers of pseudo fields. Relies on `fields.ts` for those of real fields; fields of newer releases survive by
- * their number.
+ * Owns the wire numbers of pseudo fields. Relies on `fields.ts` for those of real fields; fields of newer releases
+ * survive by their number.
  */
 import Result from 'true-myth/result';
 import { TreeError } from './errors.js';
--- a/src/settings/conflicts.ts
+++ b/src/settings/conflicts.ts
@@ -1,11 +1,12 @@
 /**
  * Decides where an edit conflicts with the edits accepted since the version that it started from.
  *
- * What the rule prevents: that the later of two authors silently overrules the earlier one on the same field, or sets something in
- * a node that the other has removed. Edits of different fields do not conflict, and neither do edits with the same result.
+ * What the rule prevents: that the later of two authors silently overrules the earlier one on the same field, or
+ * sets something in a node that the other has removed. Edits of different fields do not conflict, and neither do
+ * edits with the same result.
  *
- * Owns nothing; relies on the differences of trees (`diff.ts`), and on the history of edits for the other author's name. An author
- * whose record has left the history is `unknown`.
+ * Owns nothing; relies on the differences of trees (`diff.ts`), and on the history of edits for the other author's
+ * name. An author whose record has left the history is `unknown`.
  */
 import { diffTrees } from './diff.js';
 import type { FieldConflict } from './errors.js';
--- a/src/settings/constants.ts
+++ b/src/settings/constants.ts
@@ -3,7 +3,10 @@
 /** Key of the tree document in the platform's object API. */
 export const TREE_OBJECT_KEY = 'settings/tree';
 
-/** Edit records kept in the document; an idempotency token is recognised for as many edits. Not measured; chosen far above the edits that can come between a lost answer and its retry. */
+/**
+ * Edit records kept in the document; an idempotency token is recognised for as many edits. Not measured; chosen far
+ * above the edits that can come between a lost answer and its retry.
+ */
 export const EDIT_HISTORY_LENGTH = 50;
 
 /** Most characters in one segment of a node path: those of a DNS label (RFC 1035). */
@@ -15,7 +18,10 @@
 /** Time in ms after which an edit gives up, retries included. Not measured; chosen as long as an operator waits. */
 export const DEFAULT_EDIT_DEADLINE_MS = 15_000;
 
-/** First wait in ms before a retry; it doubles with each attempt up to `MAX_RETRY_DELAY_MS`. Not measured; chosen as the store client's backoff. */
+/**
+ * First wait in ms before a retry; it doubles with each attempt up to `MAX_RETRY_DELAY_MS`. Not measured; chosen as
+ * the store client's backoff.
+ */
 export const FIRST_RETRY_DELAY_MS = 50;
 export const MAX_RETRY_DELAY_MS = 2_000;
 
--- a/src/settings/edit-attempts.test.ts
+++ b/src/settings/edit-attempts.test.ts
@@ -11,7 +11,10 @@
 } from './edit-attempts.js';
 import type { TreeErrorKind } from './errors.js';
 
-/** Error of the store, whether the write may have taken effect, and the error of an edit given up for it without doubt. */
+/**
+ * Error of the store, whether the write may have taken effect, and the error of an edit given up for it without
+ * doubt.
+ */
 const FAILURES: readonly (readonly [StoreErrorKind, boolean, TreeErrorKind])[] = [
   ['platform.version-conflict', false, 'settings.too-many-races'],
   ['platform.unreachable', false, 'settings.platform-unavailable'],
--- a/src/settings/edit-attempts.ts
+++ b/src/settings/edit-attempts.ts
@@ -1,16 +1,20 @@
 /**
  * Decides what a failed write of an edit means, whether the edit is tried again, and with which error it is given up.
  *
- * What the rule prevents: that an edit is applied twice after a lost answer, and that an author is told "nothing was written" while
- * a write may still take effect.
+ * What the rule prevents: that an edit is applied twice after a lost answer, and that an author is told "nothing
+ * was written" while a write may still take effect.
  *
- * Owns nothing; relies on the kind of error that the store client gave, and on the tree read back after each failed write.
+ * Owns nothing; relies on the kind of error that the store client gave, and on the tree read back after each failed
+ * write.
  */
 import type { StoreErrorKind } from '../store/errors.js';
 import { MAX_EDIT_ATTEMPTS } from './constants.js';
 import type { TreeErrorKind } from './errors.js';
 
-/** True when a write that failed so may have taken effect. A conflict was refused, and an unreachable platform saw nothing. */
+/**
+ * True when a write that failed so may have taken effect. A conflict was refused, and an unreachable platform saw
+ * nothing.
+ */
 export function mayHaveTakenEffect(kind: StoreErrorKind): boolean {
   return kind !== 'platform.version-conflict' && kind !== 'platform.unreachable';
 }
@@ -36,8 +40,9 @@
 }
 
 /**
- * Decides what becomes of an edit after its write failed and the tree was read back. The token comes first: it proves that the
- * write took effect. A newer version without the token proves that a lost write no longer can, since it required the version before.
+ * Decides what becomes of an edit after its write failed and the tree was read back. The token comes first: it
+ * proves that the write took effect. A newer version without the token proves that a lost write no longer can,
+ * since it required the version before.
  */
 export function judgeReadBack(facts: ReadBackFacts): ReadBackVerdict {
   const { isTokenFound, isNewerVersion, attempts, isLate } = facts;
--- a/src/settings/edit-rebase.ts
+++ b/src/settings/edit-rebase.ts
@@ -1,9 +1,11 @@
 /**
  * Decides what an edit makes of the tree that is stored now, which may not be the tree that it was computed on.
  *
- * What the rule prevents: that an edit undoes a racing one, and that two edits that are valid one by one leave a tree with faults.
+ * What the rule prevents: that an edit undoes a racing one, and that two edits that are valid one by one leave a
+ * tree with faults.
  *
- * Owns nothing; relies on `conflicts.ts` for what two edits must not both touch, and on `validate.ts` for what a tree may hold.
+ * Owns nothing; relies on `conflicts.ts` for what two edits must not both touch, and on `validate.ts` for what a
+ * tree may hold.
  */
 import { findConflicts } from './conflicts.js';
 import { applyChanges, diffTrees } from './diff.js';
@@ -19,8 +21,8 @@
 }
 
 /**
- * What becomes of an edit on the tree stored now. `conflict` and `invalid` refuse it. `unchanged`: the tree is as wanted already.
- * `write`: `target` is to be stored, which differs from the stored tree by `changes`.
+ * What becomes of an edit on the tree stored now. `conflict` and `invalid` refuse it. `unchanged`: the tree is as
+ * wanted already. `write`: `target` is to be stored, which differs from the stored tree by `changes`.
  */
 export type RebaseOutcome =
   | { readonly kind: 'conflict'; readonly conflicts: readonly FieldConflict[] }
@@ -34,8 +36,8 @@
 }
 
 /**
- * Brings an edit onto `current`. Conflicts come first: they name the other author, where the faults of a merged tree would not.
- * A tree that is as wanted is not validated, because nothing is written.
+ * Brings an edit onto `current`. Conflicts come first: they name the other author, where the faults of a merged
+ * tree would not. A tree that is as wanted is not validated, because nothing is written.
  */
 export function rebaseEdit(edit: PreparedEdit, current: TreeDocument): RebaseOutcome {
   if (isRaced(edit, current)) {
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -1,8 +1,8 @@
 /**
  * Settings tree: reading, validating, resolving, comparing and editing it.
  *
- * Owns the fields, their ranges and the form of the tree in files, in the store and on the wire. Relies on the store's client for
- * versions; it does not know how a tree reaches the balancers (`gue-edge/dissemination/`).
+ * Owns the fields, their ranges and the form of the tree in files, in the store and on the wire. Relies on the
+ * store's client for versions; it does not know how a tree reaches the balancers (`gue-edge/dissemination/`).
  *
  * ```ts
  * const tree = parseTreeText(await readFile('examples/isartal.yaml', 'utf8'));
--- a/src/settings/inherit.ts
+++ b/src/settings/inherit.ts
@@ -1,8 +1,8 @@
 /**
  * Inheritance: which value of a field is in force at a node and which node set it.
  *
- * Owns the chains of ancestors of one tree. Relies on nothing about the tree: a chain ends at a missing parent, and somewhere in a
- * cycle.
+ * Owns the chains of ancestors of one tree. Relies on nothing about the tree: a chain ends at a missing parent, and
+ * somewhere in a cycle.
  */
 import { fieldNamed, isInheritable } from './fields.js';
 import { parentPath, type FieldValue, type TreeNode } from './tree.js';
--- a/src/settings/resolve.ts
+++ b/src/settings/resolve.ts
@@ -1,8 +1,8 @@
 /**
  * From a settings tree to the effective settings that the other slices read.
  *
- * Owns the indexes of the newest tree, by which a small change is checked without the whole tree. Relies on `validate.ts`: a tree
- * with any fault is not resolved.
+ * Owns the indexes of the newest tree, by which a small change is checked without the whole tree. Relies on
+ * `validate.ts`: a tree with any fault is not resolved.
  */
 import Result from 'true-myth/result';
 import type { Endpoint } from '../common/types.js';
@@ -179,16 +179,20 @@
   return service;
 }
 
-/** Changed nodes up to which a tree is checked by its changes alone. Not measured; chosen above the nodes of usual edits. */
+/**
+ * Changed nodes up to which a tree is checked by its changes alone. Not measured; chosen above the nodes of usual
+ * edits.
+ */
 const MAX_INCREMENTAL_CHANGES = 64;
 
 /** The indexes of the tree that settings were resolved from; those of the newest version only. */
 const RESOLVED_TREES = new WeakMap<EffectiveSettings, ResolvedTree>();
 
 /**
- * Resolves a tree. Nothing is applied when there is any fault: the result is then the list of all of them.
- * Services that equal those of `previous` are the same objects, so that readers can compare by identity. A change of a few
- * nodes costs little when the document shares its unchanged nodes with the previous one (`applyChanges`, `shareNodes`).
+ * Resolves a tree. Nothing is applied when there is any fault: the result is then the list of all of them. Services
+ * that equal those of `previous` are the same objects, so that readers can compare by identity. A change of a few
+ * nodes costs little when the document shares its unchanged nodes with the previous one (`applyChanges`,
+ * `shareNodes`).
  */
 export function resolveSettings(
   document: TreeDocument,
@@ -199,7 +203,10 @@
   return changed ? Result.ok(changed) : resolveWhole(document, version, previous);
 }
 
-/** Resolves what changed since `previous`; undefined when that needs the whole tree, as it does when there is a fault. */
+/**
+ * Resolves what changed since `previous`; undefined when that needs the whole tree, as it does when there is a
+ * fault.
+ */
 function resolveChanges(
   document: TreeDocument,
   version: number,
--- a/src/settings/resolved-tree.ts
+++ b/src/settings/resolved-tree.ts
@@ -1,6 +1,6 @@
 /**
- * Indexes of a valid tree, kept between two versions, so that a change of a few nodes is checked against them instead of
- * against every node. An index belongs to one version at a time and moves on to the next.
+ * Indexes of a valid tree, kept between two versions, so that a change of a few nodes is checked against them
+ * instead of against every node. An index belongs to one version at a time and moves on to the next.
  *
  * Owns the indexes. Relies on the tree being valid, and on nodes being immutable.
  */
@@ -13,7 +13,10 @@
   backend: 'endpoint',
 };
 
-/** True for a back end, or for a service that is there before and after; neither of another kind before nor with a parent of its own. */
+/**
+ * True for a back end, or for a service that is there before and after; neither of another kind before nor with a
+ * parent of its own.
+ */
 function isSimpleChange(node: TreeNode, { before, after }: NodeChange): boolean {
   if (node.kind !== 'backend' && node.kind !== 'service') return false;
   if (node.kind === 'service' && !(before && after)) return false;
--- a/src/settings/testing/fake-platform.ts
+++ b/src/settings/testing/fake-platform.ts
@@ -4,8 +4,9 @@
 import type { StoreClient, StoredObject } from '../../store/types.js';
 
 /**
- * Fate of one write. `none`: as it should be. `lost-answer`: takes effect, the answer is lost. `lost-request`: has no effect and no answer.
- * `late`: the answer is lost and the write takes effect just before the next write. `unreachable`: is not sent.
+ * Fate of one write. `none`: as it should be. `lost-answer`: takes effect, the answer is lost. `lost-request`: has
+ * no effect and no answer. `late`: the answer is lost and the write takes effect just before the next write.
+ * `unreachable`: is not sent.
  */
 export type WriteFault = 'none' | 'lost-answer' | 'lost-request' | 'late' | 'unreachable';
 
--- a/src/settings/tree-editor.ts
+++ b/src/settings/tree-editor.ts
@@ -2,8 +2,8 @@
  * Edits the stored tree: read, change, validate, write if the version is still the same. An idempotency token in the
  * edit's record tells after a lost answer whether the write took effect.
  *
- * Owns the attempts of each edit. Relies on the platform alone for versions, on `edit-rebase.ts` for what an edit makes of a tree
- * that was changed meanwhile, and on `edit-attempts.ts` for what a failed write means.
+ * Owns the attempts of each edit. Relies on the platform alone for versions, on `edit-rebase.ts` for what an edit
+ * makes of a tree that was changed meanwhile, and on `edit-attempts.ts` for what a failed write means.
  */
 import Result from 'true-myth/result';
 import type { Clock } from '../common/clock.js';
--- a/src/standin/backend/index.ts
+++ b/src/standin/backend/index.ts
@@ -2,7 +2,8 @@
  * Stand-in of the back ends.
  *
  * ```ts
- * const standin = await startBackendStandin({ control, seed: 1, backends: [{ name, service, addresses, endpoint, health }] });
+ * const backend = { name, service, addresses, endpoint, health };
+ * const standin = await startBackendStandin({ control, seed: 1, backends: [backend] });
  * standin.setFaults('isartal/pickguide/pick-01', { blackhole: true });
  * ```
  */
--- a/src/store/circuit-breaker.ts
+++ b/src/store/circuit-breaker.ts
@@ -1,12 +1,12 @@
 /**
  * Circuit breaker: decides whether a request may be sent to a platform that may be down.
  *
- * What the rule prevents: a storm of requests on a store that comes back. After `CIRCUIT_FAILURE_THRESHOLD` failures in a row
- * nothing is sent for a while, then one trial is let through. Its success closes the circuit; its failure doubles the time, up to
- * `CIRCUIT_OPEN_MAX_MS`, so that each member sends one request now and then.
+ * What the rule prevents: a storm of requests on a store that comes back. After `CIRCUIT_FAILURE_THRESHOLD`
+ * failures in a row nothing is sent for a while, then one trial is let through. Its success closes the circuit; its
+ * failure doubles the time, up to `CIRCUIT_OPEN_MAX_MS`, so that each member sends one request now and then.
  *
- * Owns the count of failures in a row and the time until the next trial. Relies on a monotonic clock and on its callers, which
- * report each request that it let through.
+ * Owns the count of failures in a row and the time until the next trial. Relies on a monotonic clock and on its
+ * callers, which report each request that it let through.
  */
 import type { Clock } from '../common/clock.js';
 import { jitter, type RandomSource } from '../common/random.js';
@@ -29,7 +29,10 @@
   readonly openUntilMs: number;
 }
 
-/** `pass`: the circuit is closed. `trial`: this request tests the platform. `refused`: too early, or another trial is under way. */
+/**
+ * `pass`: the circuit is closed. `trial`: this request tests the platform. `refused`: too early, or another trial
+ * is under way.
+ */
 export type PassVerdict = 'pass' | 'trial' | 'refused';
 
 /** Decides whether a request may be sent. A trial may start at the very end of the open time. */
--- a/src/store/index.ts
+++ b/src/store/index.ts
@@ -1,8 +1,8 @@
 /**
  * Client of the platform's object API: objects with versions, watches, leases and the machine list.
  *
- * Owns the connections to one platform, what is tried again, and how long a lease is trusted. Relies on the platform alone for
- * versions and fencing tokens, and on a monotonic clock.
+ * Owns the connections to one platform, what is tried again, and how long a lease is trusted. Relies on the
+ * platform alone for versions and fencing tokens, and on a monotonic clock.
  *
  * ```ts
  * const client = createStoreClient({ baseUrl: 'http://127.0.0.1:9000', clock, random, events, caller: 'lb-1' });
--- a/src/store/retry-rule.ts
+++ b/src/store/retry-rule.ts
@@ -1,5 +1,6 @@
 /**
- * Decides what becomes of one attempt of a call to the platform: its answer counts, it is tried again, or the call ends.
+ * Decides what becomes of one attempt of a call to the platform: its answer counts, it is tried again, or the call
+ * ends.
  *
  * What the rule prevents: that a write takes effect twice, and that a call outlives its deadline.
  *
@@ -19,7 +20,10 @@
   return outcome.kind === 'unreadable' || isUsable(outcome);
 }
 
-/** What becomes of an attempt. `bad-answer`: trying again would give the same. `unknown-outcome`: a write may have taken effect. */
+/**
+ * What becomes of an attempt. `bad-answer`: trying again would give the same. `unknown-outcome`: a write may have
+ * taken effect.
+ */
 export type AttemptVerdict<Failure extends string> =
   { readonly kind: 'answered'; readonly answer: Answer } | { readonly kind: 'try-again' | Failure };
 
--- a/src/store/transport.ts
+++ b/src/store/transport.ts
@@ -1,9 +1,10 @@
 /**
  * One HTTP exchange with the platform: deadline, caller's name, and whether the request may have been processed.
  *
- * Owns the connections to one platform. Its limit is a deadline over the whole exchange, answer included, because an answer is one
- * object. `platform/object-store.ts` of the cookie edge limits silence instead, since its answers are pages of lists and watches that
- * are held back, and it need not tell whether a request was processed, since it only reads. Neither retries.
+ * Owns the connections to one platform. Its limit is a deadline over the whole exchange, answer included, because
+ * an answer is one object. `platform/object-store.ts` of the cookie edge limits silence instead, since its answers
+ * are pages of lists and watches that are held back, and it need not tell whether a request was processed, since it
+ * only reads. Neither retries.
  */
 import { Agent, request } from 'undici';
 import type { Clock } from '../common/clock.js';
--- a/src/store/types.ts
+++ b/src/store/types.ts
@@ -43,8 +43,8 @@
     expectedVersion: number,
   ): Promise<Result<StoredObject<T>, StoreError>>;
   /**
-   * Yields newer versions of the object than `afterVersion`, in order, until `signal` aborts; reconnects by itself. A slow
-   * reader may miss versions in between, never the newest.
+   * Yields newer versions of the object than `afterVersion`, in order, until `signal` aborts; reconnects by itself.
+   * A slow reader may miss versions in between, never the newest.
    */
   watch<T>(key: string, afterVersion: number, signal: AbortSignal): AsyncIterable<StoredObject<T>>;
   /** Takes or renews a lease; err `platform.lease-held` when another holder has it. */
--- a/src/store/watch.ts
+++ b/src/store/watch.ts
@@ -1,7 +1,8 @@
 /**
  * Watches: a stream of JSON lines, opened again from the last version seen whenever it ends or falls silent.
  *
- * Owns the last version seen and the silence timer of each watch. Relies on the circuit breaker for when it may be opened again.
+ * Owns the last version seen and the silence timer of each watch. Relies on the circuit breaker for when it may be
+ * opened again.
  */
 import { pipeline, type Readable } from 'node:stream';
 import { constants, createGunzip } from 'node:zlib';
--- a/tools/bundle-options.mjs
+++ b/tools/bundle-options.mjs
@@ -1,7 +1,7 @@
 /**
- * How the daemon of the platform is bundled into one file. What a start does not need stays outside: the command line,
- * experiments and stand-ins are never reached, the YAML and metrics libraries are loaded from node_modules when they are
- * used.
+ * How the daemon of the platform is bundled into one file. What a start does not need stays outside: the command
+ * line, experiments and stand-ins are never reached, the YAML and metrics libraries are loaded from node_modules
+ * when they are used.
  */
 import { fileURLToPath } from 'node:url';
 
--- a/tools/daemon-loader.cjs
+++ b/tools/daemon-loader.cjs
@@ -1,9 +1,10 @@
 /**
- * Starts the bundled daemon with V8's code cache, so that a start does not compile it anew. V8 refuses a cache of another
- * version, of other flags or of another bundle; then, and without a cache, the bundle is compiled as usual.
+ * Starts the bundled daemon with V8's code cache, so that a start does not compile it anew. V8 refuses a cache of
+ * another version, of other flags or of another bundle; then, and without a cache, the bundle is compiled as usual.
  *
- * Before that it binds the data socket: what callers send while the daemon starts then waits in the socket, where it would be lost
- * otherwise. From here to the daemon's own binding takes a seventh of a start, 0.1 s on a machine with 0.07 of a core.
+ * Before that it binds the data socket: what callers send while the daemon starts then waits in the socket, where
+ * it would be lost otherwise. From here to the daemon's own binding takes a seventh of a start, 0.1 s on a machine
+ * with 0.07 of a core.
  */
 'use strict';
 const { createSocket } = require('node:dgram');
@@ -22,7 +23,10 @@
   return new Script(wrapped, { filename: BUNDLE, cachedData });
 }
 
-/** Binds the data socket for `platform/early-socket.ts`. Whatever is wrong is reported by the daemon when it binds itself. */
+/**
+ * Binds the data socket for `platform/early-socket.ts`. Whatever is wrong is reported by the daemon when it binds
+ * itself.
+ */
 function bindEarly() {
   try {
     const [, host, port] = /^(.+):(\d+)$/.exec(
--- a/tools/ensure-installed.mjs
+++ b/tools/ensure-installed.mjs
@@ -1,4 +1,7 @@
-/** Installs the locked packages when the checkout has none, so that `npm start` and `npm test` work on a fresh clone. */
+/**
+ * Installs the locked packages when the checkout has none, so that `npm start` and `npm test` work on a fresh
+ * clone.
+ */
 import { existsSync } from 'node:fs';
 import { spawnSync } from 'node:child_process';
 
--- a/tools/write-code-cache.mjs
+++ b/tools/write-code-cache.mjs
@@ -1,8 +1,8 @@
 /**
- * Writes the code cache of a bundled daemon: runs it on loopback in surroundings that make it do what a daemon does in its
- * first seconds (platform/tools/warm-up), and keeps what V8 compiled. Functions that did not run are compiled by each daemon anew,
- * which costs a small machine tenths of a second. The argument is the folder of the bundle. To be run with the V8 flags with
- * which the daemon is run: V8 refuses a cache made with others.
+ * Writes the code cache of a bundled daemon: runs it on loopback in surroundings that make it do what a daemon does
+ * in its first seconds (platform/tools/warm-up), and keeps what V8 compiled. Functions that did not run are
+ * compiled by each daemon anew, which costs a small machine tenths of a second. The argument is the folder of the
+ * bundle. To be run with the V8 flags with which the daemon is run: V8 refuses a cache made with others.
  */
 import { createRequire } from 'node:module';
 import { renameSync, writeFileSync } from 'node:fs';
@@ -10,7 +10,10 @@
 import { fileURLToPath, pathToFileURL } from 'node:url';
 import { build } from 'esbuild';
 
-/** The whole run takes about 1.5 s; on a busy machine more. After this many ms the build goes on without a code cache. */
+/**
+ * The whole run takes about 1.5 s; on a busy machine more. After this many ms the build goes on without a code
+ * cache.
+ */
 const GIVE_UP_MS = 20_000;
 const EXIT_FAILED = 1;
 
