--- a/src/gue-edge/health/gossip.test.ts
+++ b/src/gue-edge/health/gossip.test.ts
@@ -5,7 +5,7 @@
 import { seededRandom } from '../../common/random.js';
 import type { Member } from '../membership/types.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
-import { DIGEST_BUCKETS, GOSSIP_INTERVAL_MS, VERDICT_SENDS, VOTES_PER_MESSAGE } from './constants.js';
+import { VOTE_DIGEST_BUCKETS, GOSSIP_INTERVAL_MS, VERDICT_SENDS, VOTES_PER_MESSAGE } from './constants.js';
 import { HealthGossip } from './gossip.js';
 import { decodeUpdate } from './message.js';
 import { bucketOf, Verdict, VoteTable, type Vote } from './votes.js';
@@ -109,7 +109,7 @@
       else table.apply(vote(each.backendId, each.memberHash, each.version, each.verdict));
     }
     const all = Array.from({ length: 81 }, (_unused, id) => [...table.votesOn(id)]).flat();
-    const digest = new Array<number>(DIGEST_BUCKETS).fill(0);
+    const digest = new Array<number>(VOTE_DIGEST_BUCKETS).fill(0);
     for (const { backendId, memberHash, verdict } of all) {
       const hash = combine32(combine32(backendId, memberHash), verdict);
       if (verdict !== Verdict.VERDICT_NONE)
--- a/src/gue-edge/health/gossip.ts
+++ b/src/gue-edge/health/gossip.ts
@@ -11,8 +11,8 @@
 import {
   ANTI_ENTROPY_INTERVAL_MS,
   ANTI_ENTROPY_JITTER,
-  DIGEST_BUCKETS,
-  GOSSIP_FANOUT,
+  VOTE_DIGEST_BUCKETS,
+  VOTE_GOSSIP_FANOUT,
   GOSSIP_INTERVAL_MS,
   LOAD_ROUNDS,
   LOAD_SENDS,
@@ -104,7 +104,7 @@
     const urgent = this.pendingEntries(true);
     const entries = urgentOnly ? urgent : [...urgent, ...this.pendingEntries(false)];
     if (entries.length === 0) return;
-    const peers = this.randomPeers(GOSSIP_FANOUT);
+    const peers = this.randomPeers(VOTE_GOSSIP_FANOUT);
     if (peers.length === 0) {
       this.pending.clear();
       return;
@@ -127,7 +127,7 @@
     const payload = encodeUpdate({ votes, digest: [], answer: false }, this.options.clock.now());
     let sent = 0;
     for (const peer of peers) if (this.sendPayload(peer, payload)) sent += 1;
-    const everyoneHasIt = peers.length < GOSSIP_FANOUT && sent === peers.length;
+    const everyoneHasIt = peers.length < VOTE_GOSSIP_FANOUT && sent === peers.length;
     for (const [key, entry] of part) {
       entry.sendsLeft -= sent;
       if (entry.sendsLeft <= 0 || everyoneHasIt) this.pending.delete(key);
@@ -151,7 +151,7 @@
       return;
     }
     for (const vote of update.votes) this.learn(vote);
-    if (update.digest.length === DIGEST_BUCKETS) this.answerDigest(message, update);
+    if (update.digest.length === VOTE_DIGEST_BUCKETS) this.answerDigest(message, update);
   }
 
   private learn(vote: Vote): void {
--- a/src/gue-edge/health/votes.ts
+++ b/src/gue-edge/health/votes.ts
@@ -1,6 +1,6 @@
 /** What each member says of each back end, with versions; the newest vote of a member wins. */
 import { combine32 } from '../../common/hash.js';
-import { DIGEST_BUCKETS, REMOTE_FAILURE_CAP } from './constants.js';
+import { VOTE_DIGEST_BUCKETS, REMOTE_FAILURE_CAP } from './constants.js';
 import { sailquay } from './pb/health.js';
 
 export const Verdict = sailquay.health.Verdict;
@@ -42,9 +42,9 @@
 export class VoteTable {
   private readonly byBackend = new Map<number, Map<number, Vote>>();
   /** Back ends with votes, by digest bucket. */
-  private readonly backendsByBucket = Array.from({ length: DIGEST_BUCKETS }, () => new Set<number>());
+  private readonly backendsByBucket = Array.from({ length: VOTE_DIGEST_BUCKETS }, () => new Set<number>());
   /** The digest, kept up to date with each change. */
-  private readonly buckets = new Uint32Array(DIGEST_BUCKETS);
+  private readonly buckets = new Uint32Array(VOTE_DIGEST_BUCKETS);
 
   /** Stores a vote unless a newer one of the same member is known. */
   apply(vote: Vote): VoteChange {
@@ -122,7 +122,7 @@
 
 /** Digest bucket of a back end. */
 export function bucketOf(backendId: number): number {
-  return backendId % DIGEST_BUCKETS;
+  return backendId % VOTE_DIGEST_BUCKETS;
 }
 
 function verdictHash(vote: Vote): number {
