--- a/src/gue-edge/flow/keeper-authority.test.ts
+++ b/src/gue-edge/flow/keeper-authority-rules.test.ts
@@ -7,7 +7,7 @@
   mayOpen,
   type AuthorityContext,
   type AuthorityShard,
-} from './keeper-authority.js';
+} from './keeper-authority-rules.js';
 
 const ENDPOINT = { host: '127.0.0.1', port: 1 };
 const MEMBER: Member = {
--- a/src/gue-edge/flow/kept-flows.ts
+++ b/src/gue-edge/flow/kept-flows.ts
@@ -11,7 +11,7 @@
 import { FLOW_EVENTS } from './events.js';
 import type { FlowContext } from './flow-context.js';
 import { FlowFlag } from './flow-table.js';
-import { isSurelyKeeper } from './keeper-authority.js';
+import { isSurelyKeeper } from './keeper-authority-rules.js';
 import { isForwardedAnyway, judgeKnownFlow, type KnownFlowVerdict } from './known-flow-rule.js';
 import type { Openings } from './openings.js';
 import type { PacketRelay } from './packet-relay.js';
--- a/src/gue-edge/flow/openings.ts
+++ b/src/gue-edge/flow/openings.ts
@@ -14,7 +14,7 @@
 import type { FlowContext } from './flow-context.js';
 import { fingerprintKey } from './flow-key.js';
 import { FlowFlag } from './flow-table.js';
-import { canReplicate, mayOpen } from './keeper-authority.js';
+import { canReplicate, mayOpen } from './keeper-authority-rules.js';
 import { chooseBackend, judgeOpening, judgeRecord, judgeReplication, judgeRetry } from './opening-rules.js';
 import { RecordOperation } from './record-codec.js';
 import type { RecordOutcome } from './replica-peer.js';
--- a/src/gue-edge/health/backend-belief.ts
+++ b/src/gue-edge/health/backend-belief.ts
@@ -17,7 +17,7 @@
   PASSIVE_FAILURE_THRESHOLD,
 } from './constants.js';
 import { PassiveTracker } from './passive-tracker.js';
-import { commonVerdict, type ProbeState } from './probe-verdict.js';
+import { commonVerdict, type ProbeState } from './probe-verdict-rule.js';
 import type { BackendCondition } from './types.js';
 import type { Vote } from './votes.js';
 
--- a/src/gue-edge/health/evidence.ts
+++ b/src/gue-edge/health/evidence.ts
@@ -1,7 +1,7 @@
 /** Writes down why a back end is believed to be as it is. */
 import type { BackendBelief } from './backend-belief.js';
 import { MAX_EVIDENCE } from './constants.js';
-import type { LoadTrust } from './reported-load.js';
+import type { LoadTrust } from './load-trust-rule.js';
 import type { HealthEvidence } from './types.js';
 import { Verdict, type ReportedLoad, type Vote } from './votes.js';
 
