--- a/src/gue-edge/health/backend-belief.ts
+++ b/src/gue-edge/health/backend-belief.ts
@@ -1,21 +1,25 @@
 /**
  * Belief of this balancer about one back end, before the rules of its service (cap on ejections, panic) apply.
  *
- * Rule for conflicting evidence: probes decide, unless openings contradict them. Probes good but openings unanswered: ejected.
- * Probes bad but openings answered: new flows fade over `CONFLICT_FADE_MS`, then stop. Open flows are never touched.
+ * Owns the state that `backend-belief-rules.ts` judges: ejections, conflict, slow start. Relies on its owner to call
+ * `evaluate` when a vote or an opening changes something, and while `isMoving`. Open flows are never touched.
  */
 import { jitter, type RandomSource } from '../../common/random.js';
 import type { EffectiveBackend, HealthPolicy } from '../../settings/types.js';
 import {
-  BASE_EJECTION_MS,
-  CONFLICT_FADE_MS,
-  CONFLICT_FRESH_MS,
-  EJECTION_FORGET_MS,
-  EJECTION_JITTER,
-  INITIAL_WARMUP,
-  MAX_EJECTION_MS,
-  PASSIVE_FAILURE_THRESHOLD,
-} from './constants.js';
+  answersHere,
+  conflictWarmup,
+  ejectionLengthMs,
+  fadedShare,
+  isFailing,
+  isUsable,
+  judgeCondition,
+  judgeConflict,
+  rememberedEjections,
+  slowStartElapsedMs,
+  slowStartShare,
+} from './backend-belief-rules.js';
+import { EJECTION_JITTER } from './constants.js';
 import { PassiveTracker } from './passive-tracker.js';
 import { commonVerdict, type ProbeState } from './probe-verdict-rule.js';
 import type { BackendCondition } from './types.js';
@@ -72,8 +76,12 @@
     this.updateEjection(input);
     const wasInConflict = this.conflictSinceMs !== undefined;
     this.updateConflict(nowMs);
-    this.condition = this.currentCondition(nowMs);
-    this.usable = this.isUsable();
+    this.condition = judgeCondition({
+      draining: this.backend.draining,
+      probeState: this.probeState,
+      ejected: nowMs < this.ejectedUntilMs,
+    });
+    this.usable = isUsable(this.condition, this.conflictSinceMs !== undefined);
     if (this.usable && !wasUsable) this.warmStartedAtMs = nowMs;
     else if (wasInConflict && this.condition === 'healthy') this.resumeWarmup(nowMs, previousWarmup);
     this.warmup = this.currentWarmup(nowMs, previousWarmup);
@@ -83,59 +91,43 @@
     const { nowMs } = input;
     if (this.condition === 'ejected' && nowMs >= this.ejectedUntilMs) this.passive.reset();
     if (nowMs < this.ejectedUntilMs || !this.isFailing(input)) return;
-    this.forgetOldEjections(nowMs);
-    this.ejections += 1;
-    const plannedMs = Math.min(MAX_EJECTION_MS, BASE_EJECTION_MS * 2 ** (this.ejections - 1));
+    this.ejections = rememberedEjections(this.ejections, nowMs - this.ejectedUntilMs) + 1;
+    const plannedMs = ejectionLengthMs(this.ejections);
     this.ejectedSinceMs = nowMs;
     this.ejectedUntilMs = nowMs + jitter(plannedMs, EJECTION_JITTER, this.random);
   }
 
-  private isFailing(input: BeliefInput): boolean {
-    const own = this.passive.failures(input.nowMs);
-    if (own >= PASSIVE_FAILURE_THRESHOLD) return true;
-    const answersHere = input.nowMs - this.passive.lastAnsweredAtMs <= CONFLICT_FRESH_MS;
-    return !answersHere && own + input.remoteFailures >= PASSIVE_FAILURE_THRESHOLD;
-  }
-
-  private forgetOldEjections(nowMs: number): void {
-    const quietMs = nowMs - this.ejectedUntilMs;
-    if (quietMs > 0) this.ejections = Math.max(0, this.ejections - Math.floor(quietMs / EJECTION_FORGET_MS));
+  private isFailing({ nowMs, remoteFailures }: BeliefInput): boolean {
+    return isFailing({
+      ownFailures: this.passive.failures(nowMs),
+      remoteFailures,
+      answersHere: answersHere(this.passive.lastAnsweredAtMs, nowMs),
+    });
   }
 
   private updateConflict(nowMs: number): void {
-    const answers = nowMs - this.passive.lastAnsweredAtMs <= CONFLICT_FRESH_MS;
-    if (this.probeState !== 'unhealthy' || !answers) this.conflictSinceMs = undefined;
-    else if (this.usable) this.conflictSinceMs ??= nowMs;
-  }
-
-  private currentCondition(nowMs: number): BackendCondition {
-    if (this.backend.draining) return 'draining';
-    if (this.probeState === 'unhealthy') return 'unhealthy';
-    if (nowMs < this.ejectedUntilMs) return 'ejected';
-    return this.probeState;
-  }
-
-  private isUsable(): boolean {
-    if (this.condition === 'healthy' || this.condition === 'unknown') return true;
-    return this.condition === 'unhealthy' && this.conflictSinceMs !== undefined;
+    const { probeState, usable } = this;
+    const verdict = judgeConflict({
+      probeState,
+      answersHere: answersHere(this.passive.lastAnsweredAtMs, nowMs),
+      usable,
+    });
+    if (verdict === 'none') this.conflictSinceMs = undefined;
+    else if (verdict === 'conflict') this.conflictSinceMs ??= nowMs;
   }
 
   private currentWarmup(nowMs: number, previous: number): number {
     if (this.conflictSinceMs !== undefined) {
-      const faded = 1 - (nowMs - this.conflictSinceMs) / CONFLICT_FADE_MS;
+      const faded = fadedShare(nowMs - this.conflictSinceMs);
       if (faded <= 0) this.endConflict();
-      return Math.min(previous, Math.max(INITIAL_WARMUP, faded));
+      return conflictWarmup(faded, previous);
     }
-    const { slowStartMs } = this.policy;
-    if (slowStartMs <= 0) return 1;
-    const elapsedShare = (nowMs - this.warmStartedAtMs) / slowStartMs;
-    return Math.min(1, Math.max(INITIAL_WARMUP, INITIAL_WARMUP + (1 - INITIAL_WARMUP) * elapsedShare));
+    return slowStartShare(nowMs - this.warmStartedAtMs, this.policy.slowStartMs);
   }
 
   /** Begins slow start at the share that new flows had faded to. */
   private resumeWarmup(nowMs: number, warmup: number): void {
-    const doneShare = (warmup - INITIAL_WARMUP) / (1 - INITIAL_WARMUP);
-    this.warmStartedAtMs = nowMs - doneShare * this.policy.slowStartMs;
+    this.warmStartedAtMs = nowMs - slowStartElapsedMs(warmup, this.policy.slowStartMs);
   }
 
   private endConflict(): void {
