--- a/src/gue-edge/flow/acting-backup.ts
+++ b/src/gue-edge/flow/acting-backup.ts
@@ -5,6 +5,7 @@
 import { sameEndpoint } from '../../common/types.js';
 import type { PacketView } from '../../fabric/types.js';
 import type { FlowFingerprint } from '../placement/types.js';
+import { actsAsBackup, mayOpenAsBackup, mayReconstruct } from './acting-backup-rules.js';
 import type { BackendEntry } from './backend-catalogue.js';
 import type { FlowContext } from './flow-context.js';
 import { FlowFlag } from './flow-table.js';
@@ -24,9 +25,13 @@
 
   /** True when this balancer answers for the shard now. */
   actsFor(replica: ReplicaShard): boolean {
-    if (!replica.trusted || !this.context.view.quorate || !this.context.isFresh()) return false;
-    const state = this.context.member(replica.keeperId)?.state;
-    return state === undefined || state === 'suspect' || state === 'gone';
+    const { context } = this;
+    return actsAsBackup({
+      trusted: replica.trusted,
+      quorate: context.view.quorate,
+      fresh: context.isFresh(),
+      keeperState: context.member(replica.keeperId)?.state,
+    });
   }
 
   /** A packet from a caller. */
@@ -36,9 +41,13 @@
     if (slot >= 0)
       return this.forward(this.context.catalogue.at(replica.table.backendIndex(slot)), packet, port);
     if (packet.syn && !packet.ack) return this.open(replica, fingerprint, packet, port);
-    // A keeper that was cut off from here, or is on the larger side of a cut, may have placed the flow elsewhere since.
-    const mayReconstruct = !replica.handedOn && (replica.lapsed || this.holder.isSurelyBackup(replica));
-    const entry = !mayReconstruct ? undefined : this.reconstruct(replica, fingerprint, port);
+    const { handedOn, lapsed } = replica;
+    const reconstructible = mayReconstruct({
+      handedOn,
+      lapsed,
+      surelyBackup: () => this.holder.isSurelyBackup(replica),
+    });
+    const entry = reconstructible ? this.reconstruct(replica, fingerprint, port) : undefined;
     if (entry) this.forward(entry, packet, port);
     else this.relay.relay(packet, replica.shard, undefined);
   }
@@ -73,7 +82,7 @@
     port: ServicePort | undefined,
   ): void {
     const { counters, components } = this.context;
-    const mayOpen = !replica.lapsed && this.holder.isSurelyBackup(replica);
+    const mayOpen = mayOpenAsBackup(replica.lapsed, () => this.holder.isSurelyBackup(replica));
     const entry = port?.service && mayOpen ? this.chooseFirst(replica, fingerprint, port) : undefined;
     if (!entry) {
       counters.deferred += 1;
--- a/src/gue-edge/flow/replica-holder.ts
+++ b/src/gue-edge/flow/replica-holder.ts
@@ -5,7 +5,7 @@
  * that are not acknowledged: a batch that refers to unknown back ends or comes out of order is left unanswered.
  */
 import type { InboundControlMessage } from '../control/types.js';
-import { HEARTBEAT_MS, LEASE_MARGIN_MS, LEASE_MS } from './constants.js';
+import { HEARTBEAT_MS } from './constants.js';
 import type { FlowContext } from './flow-context.js';
 import { shardOf } from './flow-key.js';
 import { FlowFlag } from './flow-table.js';
@@ -14,15 +14,14 @@
 import { sailquay } from './pb/flow.js';
 import { hasUnreported, keepOwnPlacements, OwnPlacements } from './own-placements.js';
 import { RecordOperation, RecordStatus, unpackBatch, type BatchRecord } from './record-codec.js';
+import { confirmsReplicas, isSurelyBackup, keeperHasFailed, silenceBreaksTrust } from './replica-rules.js';
 import type { ReplicaShard } from './shard-holding.js';
 import { fromBitmap, packShards, toBitmap, unpackShards } from './shard-set.js';
 
 const { ReplicationMessage, HandoverMessage } = sailquay.flow;
 
-/** A replica this young is not dropped by an assignment that may have been sent before it. */
+/** A replica this young, in ms, is not dropped by an assignment that may have been sent before it. Not measured; chosen longer than an assignment travels. */
 const ASSIGNMENT_GRACE_MS = 1_000;
-/** A keeper that is silent here but active in the view for this long may have chosen another backup. */
-const TRUSTED_SILENCE_MS = 10_000;
 
 /** Replicas of other keepers' shards. */
 export class ReplicaHolder {
@@ -66,21 +65,13 @@
   /** True when the keeper's process has ended, is gone from the view, or was replaced; its lease has expired then. */
   keeperFailed(replica: ReplicaShard): boolean {
     const link = this.keepers.get(replica.keeperId);
-    if (link && link.boot > replica.keeperBoot) return true;
-    if (replica.lapsed) return true;
-    if (this.context.member(replica.keeperId)) return false;
-    const silentMs = this.context.now() - (link?.lastAckSentAtMs ?? Number.NEGATIVE_INFINITY);
-    return silentMs > LEASE_MS + LEASE_MARGIN_MS;
+    const inView = this.context.member(replica.keeperId) !== undefined;
+    return keeperHasFailed({ replica, link, inView, nowMs: this.context.now() });
   }
 
-  /**
-   * True while the keeper cannot have replaced this backup: it does so only after a silence that began with an
-   * acknowledgement received, so not earlier than the same silence after the acknowledgement was sent.
-   */
+  /** True while the keeper cannot have replaced this backup. */
   isSurelyBackup(replica: ReplicaShard): boolean {
-    const link = this.keepers.get(replica.keeperId);
-    if (link?.boot !== replica.keeperBoot) return false;
-    return this.context.now() - link.lastAckSentAtMs <= LEASE_MS + LEASE_MARGIN_MS;
+    return isSurelyBackup(replica.keeperBoot, this.keepers.get(replica.keeperId), this.context.now());
   }
 
   /** Stops acknowledging a keeper's heartbeats, because its shards are being handed to others. */
@@ -106,9 +97,8 @@
   tick(): void {
     const nowMs = this.context.now();
     for (const [keeperId, link] of this.keepers) {
-      const state = this.context.member(keeperId)?.state;
-      if (state !== 'active' || nowMs - link.lastHeardAtMs < TRUSTED_SILENCE_MS) continue;
-      this.distrust(keeperId);
+      const active = this.context.member(keeperId)?.state === 'active';
+      if (silenceBreaksTrust(active, nowMs - link.lastHeardAtMs)) this.distrust(keeperId);
     }
     if (nowMs < this.nextReportMs) return;
     this.nextReportMs = nowMs + HEARTBEAT_MS;
@@ -161,10 +151,15 @@
     link.lastHeardAtMs = nowMs;
     link.generation = Math.max(link.generation, heartbeat.generation ?? 0);
     if (!link.lapsed) link.lastAckSentAtMs = nowMs;
-    const confirmed =
-      (heartbeat.digest ?? 0) === link.shards.digest && (heartbeat.echo ?? 0) > nowMs - LEASE_MS;
-    if (confirmed && !link.lapsed) this.trust(from.senderId, link);
     const { size, digest } = link.shards;
+    const confirmed = confirmsReplicas({
+      assignedDigest: heartbeat.digest ?? 0,
+      heldDigest: digest,
+      echoMs: heartbeat.echo ?? 0,
+      lapsed: link.lapsed,
+      nowMs,
+    });
+    if (confirmed) this.trust(from.senderId, link);
     this.reply(from, {
       heartbeatAck: { echo: heartbeat.sentAt, sentAt: nowMs, shards: size, digest, lapsed: link.lapsed },
     });
--- a/src/gue-edge/flow/replica-recovery.ts
+++ b/src/gue-edge/flow/replica-recovery.ts
@@ -3,6 +3,7 @@
 import type { FlowContext } from './flow-context.js';
 import { sailquay } from './pb/flow.js';
 import type { ReplicaHolder } from './replica-holder.js';
+import { judgeReplicaFate } from './replica-rules.js';
 import type { ReplicaShard } from './shard-holding.js';
 import type { ShardSnapshot } from './outgoing-shard.js';
 import type { ShardSender } from './shard-sender.js';
@@ -10,7 +11,7 @@
 
 const { ShardPurpose } = sailquay.flow;
 
-/** Delay before a refused recovery is offered again. */
+/** Delay in ms before a refused recovery is offered again. Not measured; chosen as three ticks, so that a refusal is not repeated at once. */
 const RECOVERY_RETRY_MS = 300;
 
 /** Takes replicas whose next keeper is this balancer. */
@@ -44,14 +45,20 @@
 
   /** Hands a replica on when its keeper has failed. */
   reconcile(replica: ReplicaShard): void {
-    if (replica.recovering || !this.context.view.quorate || !this.parts.holder.keeperFailed(replica)) return;
-    const nowMs = this.context.now();
-    const keeper = this.context.map.keeper(replica.shard);
-    if (!keeper || nowMs < replica.retryRecoveryAtMs) return;
-    // After a cut or a pause the view may lack a keeper that never failed.
-    if (!replica.trusted && nowMs < this.context.cautiousUntilMs) return;
-    if (keeper.id === this.context.selfId) this.target.promote(replica);
-    else if (keeper.state === 'active') this.recover(replica, keeper.id);
+    const { context } = this;
+    const keeper = context.map.keeper(replica.shard);
+    const fate = judgeReplicaFate({
+      recovering: replica.recovering,
+      quorate: context.view.quorate,
+      keeperFailed: () => this.parts.holder.keeperFailed(replica),
+      nextKeeper: keeper && { isSelf: keeper.id === context.selfId, active: keeper.state === 'active' },
+      nowMs: context.now(),
+      retryAtMs: replica.retryRecoveryAtMs,
+      trusted: replica.trusted,
+      cautiousUntilMs: context.cautiousUntilMs,
+    });
+    if (fate === 'promote') this.target.promote(replica);
+    else if (fate === 'hand-on') this.recover(replica, keeper!.id);
   }
 
   private recover(replica: ReplicaShard, keeperId: string): void {
--- a/src/gue-edge/flow/shard-claims.ts
+++ b/src/gue-edge/flow/shard-claims.ts
@@ -6,6 +6,7 @@
 import { HEARTBEAT_MS, MAX_CLAIM_TARGETS } from './constants.js';
 import type { FlowContext } from './flow-context.js';
 import { sailquay } from './pb/flow.js';
+import { isHeldForClaimant } from './replica-rules.js';
 import { fromBitmap, toBitmap } from './shard-set.js';
 
 const { HandoverMessage } = sailquay.flow;
@@ -40,13 +41,15 @@
 
   private holds(shard: number, claimant: InboundControlMessage): boolean {
     const kept = this.context.kept.get(shard);
-    if (kept !== undefined && kept.role !== 'acquiring') return true;
     const replica = this.context.replicas.get(shard);
-    if (!replica) return false;
-    // A replica of the claimant's own flows is handed to nobody else unless it lapsed.
-    const ownReplica =
-      replica.keeperId === claimant.senderId && replica.keeperBoot === claimant.senderIncarnation;
-    return replica.lapsed || !ownReplica;
+    return isHeldForClaimant({
+      kept: kept && { acquiring: kept.role === 'acquiring' },
+      replica: replica && {
+        lapsed: replica.lapsed,
+        ofClaimant:
+          replica.keeperId === claimant.senderId && replica.keeperBoot === claimant.senderIncarnation,
+      },
+    });
   }
 
   private awaitedByHolder(): Map<string, number[]> {
