--- a/src/gue-edge/health/own-vote-rules.ts
+++ b/src/gue-edge/health/own-vote-rules.ts
@@ -3,7 +3,8 @@
  * it gets. They prevent a restarted balancer from being outvoted by its own votes from before the restart. No input or
  * output.
  */
-import { CONFLICT_FRESH_MS, PASSIVE_FAILURE_THRESHOLD } from './constants.js';
+import { answersHere } from './backend-belief-rules.js';
+import { PASSIVE_FAILURE_THRESHOLD } from './constants.js';
 import type { PassiveTracker } from './passive-tracker.js';
 import { isNewer, Verdict, type Vote } from './votes.js';
 
@@ -55,7 +56,6 @@
   nowMs: number,
 ): number {
   const failures = passive.failures(nowMs);
-  const answersHere = nowMs - passive.lastAnsweredAtMs <= CONFLICT_FRESH_MS;
-  if (answersHere && failures < PASSIVE_FAILURE_THRESHOLD) return 0;
+  if (answersHere(passive.lastAnsweredAtMs, nowMs) && failures < PASSIVE_FAILURE_THRESHOLD) return 0;
   return Math.min(PASSIVE_FAILURE_THRESHOLD, failures);
 }
--- a/src/gue-edge/health/prober-assignment.ts
+++ b/src/gue-edge/health/prober-assignment.ts
@@ -84,22 +84,32 @@
     const sameZones =
       this.zoneNames.length === earlier.zoneNames.length &&
       this.zoneNames.every((zone) => earlier.hasZone(zone));
-    return new RankingChanges(this, earlier, added, removed, sameZones);
+    return new RankingChanges({ ranking: this, earlier, added, removed, sameZones });
   }
 }
 
+/** What changed between two rankings. */
+interface RankingDifference {
+  readonly ranking: ProberRanking;
+  readonly earlier: ProberRanking;
+  readonly added: readonly ProberCandidate[];
+  readonly removed: readonly ProberCandidate[];
+  readonly sameZones: boolean;
+}
+
 /** Members that came and went between two rankings. */
 class RankingChanges {
+  readonly earlier: ProberRanking;
+  readonly added: readonly ProberCandidate[];
+  readonly removed: readonly ProberCandidate[];
   private readonly removedHashes: ReadonlySet<number>;
   private readonly addedSalts: readonly number[];
 
-  constructor(
-    private readonly ranking: ProberRanking,
-    readonly earlier: ProberRanking,
-    readonly added: readonly ProberCandidate[],
-    readonly removed: readonly ProberCandidate[],
-    private readonly sameZones: boolean,
-  ) {
+  constructor(private readonly difference: RankingDifference) {
+    const { earlier, added, removed } = difference;
+    this.earlier = earlier;
+    this.added = added;
+    this.removed = removed;
     this.removedHashes = new Set(removed.map(({ hash }) => hash));
     this.addedSalts = added.map(({ hash }) => mix32(hash));
   }
@@ -110,10 +120,10 @@
    * leaving, nor by coming with a lower score.
    */
   leaves(backendId: number, probers: readonly number[], count: number): boolean {
-    if (!this.sameZones || probers.length < count) return false;
+    if (!this.difference.sameZones || probers.length < count) return false;
     let lowest = Number.POSITIVE_INFINITY;
     for (const hash of probers) {
-      const salt = this.ranking.saltOf(hash);
+      const salt = this.difference.ranking.saltOf(hash);
       if (salt === undefined || this.removedHashes.has(hash)) return false;
       lowest = Math.min(lowest, mix32(salt ^ backendId));
     }
--- a/src/gue-edge/placement/service-balance.ts
+++ b/src/gue-edge/placement/service-balance.ts
@@ -5,19 +5,14 @@
 import type { Candidate } from './candidates.js';
 import { DecayingRate } from '../../common/decaying-rate.js';
 import {
-  BIAS_GAIN,
-  EXCEPTION_AVERAGE_DECISIONS,
-  INITIAL_BIAS_FLOWS,
-  MAX_BIAS_FLOWS,
-  MIN_BIAS_FLOWS,
-  MIN_BIAS_SHARE,
-  REPORT_CORRECTION_SHARE,
-  REPORT_GAIN,
-  RATE_WINDOW_MS,
-  REPORT_MAX_AGE_LIFETIMES,
-  REPORT_MAX_AGE_MS,
-  REPORT_OFFSET_TURNOVERS,
-} from './constants.js';
+  limitedCorrection,
+  nextBias,
+  offsetOpenings,
+  reportMaxAgeMs,
+  reportWeight,
+  toleratedExcess,
+} from './balance-rule.js';
+import { EXCEPTION_AVERAGE_DECISIONS, INITIAL_BIAS_FLOWS, RATE_WINDOW_MS } from './constants.js';
 
 interface ReportSample {
   value: number;
@@ -47,7 +42,7 @@
 
   /** Flows beyond its share that a first choice with this share may hold. */
   toleratedExcess(candidate: Candidate): number {
-    return Math.max(this.bias, candidate.share * MIN_BIAS_SHARE);
+    return toleratedExcess(this.bias, candidate.share);
   }
 
   /** Computes every candidate's share and excess at `nowMs`, in place. */
@@ -66,15 +61,11 @@
     this.applyReports(candidates, flows, nowMs);
   }
 
-  /**
-   * Learns the outcome of one opening. The bias follows the share of exceptions: each exception raises it, each first
-   * choice lowers it, and it rests where the share is `targetShare`.
-   */
+  /** Learns the outcome of one opening: the bias follows the share of exceptions. */
   record(exception: boolean, targetShare: number): void {
     const outcome = exception ? 1 : 0;
     this.averageExceptions += (outcome - this.averageExceptions) / EXCEPTION_AVERAGE_DECISIONS;
-    const next = this.bias * (1 + BIAS_GAIN * (outcome - targetShare));
-    this.bias = Math.min(MAX_BIAS_FLOWS, Math.max(MIN_BIAS_FLOWS, next));
+    this.bias = nextBias(this.bias, exception, targetShare);
   }
 
   /**
@@ -94,21 +85,18 @@
       reportedWeight += candidate.weight;
     }
     if (reportedWeight === 0) return;
-    const turnover = Math.max(1, ownFlows * REPORT_OFFSET_TURNOVERS);
-    const lifetimeMs = ownFlows / this.openings.perMs;
-    const maxAgeMs = Math.min(REPORT_MAX_AGE_MS, lifetimeMs * REPORT_MAX_AGE_LIFETIMES);
+    const turnover = offsetOpenings(ownFlows);
+    const maxAgeMs = reportMaxAgeMs(ownFlows / this.openings.perMs);
     for (const candidate of weighed) {
       const value = candidate.health.reportedLoad;
       if (value === undefined) continue;
       const sample = this.sample(candidate, value, nowMs);
       const totalShare = (reportedFlows * candidate.weight) / reportedWeight;
       const totalExcess = value * candidate.backend.maxConnections - totalShare;
-      const limit = candidate.share * REPORT_CORRECTION_SHARE;
-      const others = (totalExcess - sample.ownExcess) * REPORT_GAIN;
-      const limited = Math.min(limit, Math.max(-limit, others));
+      const limited = limitedCorrection(totalExcess, sample.ownExcess, candidate.share);
       sample.usualCorrection += (limited - sample.usualCorrection) / turnover;
       candidate.excess +=
-        (limited - sample.usualCorrection) * freshness(nowMs - sample.learnedAtMs, maxAgeMs);
+        (limited - sample.usualCorrection) * reportWeight(nowMs - sample.learnedAtMs, maxAgeMs);
     }
   }
 
@@ -128,8 +116,3 @@
     return sample;
   }
 }
-
-/** Weight (0–1) of a report of this age. */
-function freshness(ageMs: number, maxAgeMs: number): number {
-  return Math.max(0, 1 - ageMs / maxAgeMs);
-}
