--- a/src/fabric/gue-edge-port.ts
+++ b/src/fabric/gue-edge-port.ts
@@ -1,4 +1,8 @@
-/** The edge over Generic UDP Encapsulation, variant 1: each datagram carries one bare IPv4 packet. */
+/**
+ * The edge over Generic UDP Encapsulation, variant 1: each datagram carries one bare IPv4 packet.
+ *
+ * Owns the sockets and the cache of sources. Relies on its handler, whose errors are logged and cost that packet only.
+ */
 import type { RemoteInfo } from 'node:dgram';
 import type { Clock, TimerHandle } from '../common/clock.js';
 import { SystemClock } from '../common/clock.js';
--- a/src/fabric/source-cache.ts
+++ b/src/fabric/source-cache.ts
@@ -1,4 +1,4 @@
-/** Remembers for a short time which kind of sender a datagram's source is, so that most packets ask nobody. */
+/** Cache of the class of datagram sources, so that most packets cause no look-up. Relies on its owner to clear it. */
 import type { Endpoint } from '../common/types.js';
 import { SOURCE_CACHE_ENTRIES } from './constants.js';
 
--- a/src/gue-edge/flow/rebase.ts
+++ b/src/gue-edge/flow/rebase.ts
@@ -17,9 +17,9 @@
 import type { KeptShard, RebaseProgress } from './shard-holding.js';
 import { packShards, unpackShards } from './shard-set.js';
 
-/** Delay before an unanswered advance is sent again. */
+/** Delay in ms before an unanswered advance is sent again. Not measured; chosen longer than `TRANSFER_RESEND_MS`, because nothing waits for it. */
 const ADVANCE_RESEND_MS = 250;
-/** Shards in one advance message. */
+/** Shards in one advance message. Not measured; chosen to fit one datagram. */
 const MAX_ADVANCE_SHARDS = 400;
 
 /** Starts and finishes rebases. */
--- a/src/gue-edge/flow/replica-peer.ts
+++ b/src/gue-edge/flow/replica-peer.ts
@@ -274,5 +274,5 @@
   }
 }
 
-/** Shards named in one release message. */
+/** Shards named in one release message. Not measured; chosen to fit one datagram. */
 const MAX_RELEASES = 400;
--- a/src/gue-edge/flow/replica-rules.ts
+++ b/src/gue-edge/flow/replica-rules.ts
@@ -94,7 +94,7 @@
   readonly recovering: boolean;
   readonly quorate: boolean;
   readonly keeperFailed: () => boolean;
-  /** Keeper of the shard in the present view; undefined when nobody may own shards. */
+  /** Keeper of the shard in the present view; undefined when no member may own shards. */
   readonly nextKeeper: { readonly isSelf: boolean; readonly active: boolean } | undefined;
   readonly nowMs: number;
   /** A refused recovery is not repeated before this time. */
@@ -127,7 +127,7 @@
 
 /**
  * True when a claimed shard is named as held here, so that the claimant waits for it. A replica of the claimant's own flows
- * is handed to nobody else unless it lapsed, so it is no reason to wait; a shard awaited here is held by neither.
+ * is handed to nobody else unless it lapsed, so it is no reason to wait; a shard awaited here too is not held.
  */
 export function isHeldForClaimant({ kept, replica }: ClaimInput): boolean {
   if (kept && !kept.acquiring) return true;
--- a/src/gue-edge/flow/shard-rules.ts
+++ b/src/gue-edge/flow/shard-rules.ts
@@ -7,7 +7,7 @@
  */
 import { ORPHAN_WAIT_MS } from './constants.js';
 
-/** Waits of `ORPHAN_WAIT_MS` during which a trusted replica held here keeps its shard from being started empty. */
+/** Waits of `ORPHAN_WAIT_MS` during which a trusted replica held here keeps its shard from being started empty. Not measured; chosen above one, because its keeper may still hand it over. */
 const REPLICA_WAITS = 3;
 
 /** Whether a replica that a keeper sends is taken. */
--- a/src/gue-edge/health/evidence.ts
+++ b/src/gue-edge/health/evidence.ts
@@ -1,4 +1,4 @@
-/** Writes down why a back end is believed to be as it is. */
+/** Evidence for the belief about a back end, as text for operators. Decides nothing. */
 import type { BackendBelief } from './backend-belief.js';
 import { MAX_EVIDENCE } from './constants.js';
 import type { LoadTrust } from './load-trust-rule.js';
--- a/src/gue-edge/health/load-trust-rule.ts
+++ b/src/gue-edge/health/load-trust-rule.ts
@@ -1,4 +1,10 @@
-/** Which reported loads of a service's back ends are believed. */
+/**
+ * Rule of trust in reported loads: which reports of a service's back ends placement may use.
+ *
+ * It prevents a back end that reports too little from drawing flows. A report that is missing or old is judged before its
+ * content; failing openings outweigh any report, and only then is it compared with the own count. With fewer than three
+ * reports to compare, it is trusted. Ages in monotonic ms. No input or output.
+ */
 import { LOAD_CONTRADICTION_DEVIATIONS, LOAD_MAX_AGE_MS } from './constants.js';
 import type { ReportedLoad, Vote } from './votes.js';
 
--- a/src/gue-edge/health/message.ts
+++ b/src/gue-edge/health/message.ts
@@ -1,9 +1,10 @@
-/** Reads and writes health messages. */
+/** Encodes and decodes health messages; ages on the wire become monotonic ms of the receiver. */
 import { VOTES_PER_MESSAGE } from './constants.js';
 import { sailquay } from './pb/health.js';
 import type { ReportedLoad, Vote } from './votes.js';
 
 const { HealthMessage } = sailquay.health;
+/** Limits that a received message must keep. Not measured; chosen above what any sender reaches. */
 const MAX_MEMBERS_PER_MESSAGE = 1_000;
 const MAX_PASSIVE_FAILURES = 1_000_000;
 
--- a/src/gue-edge/health/passive-tracker.ts
+++ b/src/gue-edge/health/passive-tracker.ts
@@ -1,4 +1,9 @@
-/** What the data path of this balancer saw of one back end. */
+/**
+ * What the data path of this balancer saw of one back end: counts openings in a row that were not answered.
+ *
+ * Owns the count and the times of openings that wait. Relies on the flow keeper to report each opening, answer and failure, and
+ * on its owner to call `forgiveSilence` after a pause. Times are monotonic ms. No input or output.
+ */
 import { OPENING_SILENCE_MS, PASSIVE_FAILURE_THRESHOLD, PASSIVE_WINDOW_MS } from './constants.js';
 import type { PassiveEvidence } from './types.js';
 
@@ -14,7 +19,7 @@
   /** Times of the first openings since the last answer, at most as many as the threshold. */
   private waitingSinceMs: number[] = [];
 
-  /** Takes one piece of evidence; true when the count of failures may have changed. */
+  /** Records one piece of evidence; true when the count of failures may have changed. */
   record(evidence: PassiveEvidence, nowMs: number): boolean {
     switch (evidence) {
       case 'opened':
--- a/src/gue-edge/health/probe-verdict-rule.ts
+++ b/src/gue-edge/health/probe-verdict-rule.ts
@@ -1,4 +1,9 @@
-/** What the probers of a back end say together. */
+/**
+ * Rules of the probers' common verdict: whose votes count, and what they say together.
+ *
+ * They prevent one prober with a broken path from taking a back end out of use, and a change of probers from losing what is
+ * known. A tie keeps the previous verdict; without any vote the verdict is unknown. No input or output.
+ */
 import { PROBERS_PER_BACKEND } from './constants.js';
 import { Verdict, type Vote } from './votes.js';
 
--- a/src/gue-edge/health/probe.ts
+++ b/src/gue-edge/health/probe.ts
@@ -1,4 +1,4 @@
-/** One HTTP request to a back end's health or load endpoint, and how its answer is read. */
+/** One HTTP request to a back end's health or load endpoint, and how its response is read. */
 import { Agent, request } from 'undici';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
 import { ProbeError } from './errors.js';
@@ -6,9 +6,9 @@
 export const HEALTH_PATH = '/health';
 export const LOAD_PATH = '/load';
 
-/** Longest answer read, in bytes. */
+/** Longest response read, in bytes. Not measured; chosen to bound what a faulty back end can make this process read. */
 const MAX_PROBE_BODY_BYTES = 4_096;
-/** Bytes of request and response headers, for the accounts only. */
+/** Estimated bytes of request and response headers, for the statistics only. Not measured; chosen as a typical size. */
 const PROBE_HEADER_BYTES = 250;
 const STATUS_OK = 200;
 const STATUS_REDIRECT = 300;
--- a/src/gue-edge/health/prober.ts
+++ b/src/gue-edge/health/prober.ts
@@ -28,7 +28,7 @@
 import { Verdict } from './votes.js';
 
 const MS_PER_SECOND = 1_000;
-/** An unchanged load is reported again after this part of the age at which it would be dropped. */
+/** An unchanged load is reported again after this part of the age at which it would be dropped. Not measured; chosen so that it is sent several times before. */
 const LOAD_REFRESH_SHARE = 0.25;
 
 /** What the prober is made with. */
--- a/src/gue-edge/health/types.ts
+++ b/src/gue-edge/health/types.ts
@@ -33,9 +33,9 @@
  */
 export type PassiveEvidence = 'opened' | 'open-timeout' | 'reset-on-open' | 'reset-mid-flow' | 'answered';
 
-/** What other slices use of health. */
+/** What other folders use of health. */
 export interface HealthFeed {
-  /** Belief about a back end; unknown ones are eligible until something speaks against them. */
+  /** Belief about a back end; an unknown one is eligible. */
   health(backendId: number): BackendHealth;
   /** Reports what the data path saw. */
   recordPassive(backendId: number, evidence: PassiveEvidence): void;
--- a/src/gue-edge/health/votes.ts
+++ b/src/gue-edge/health/votes.ts
@@ -1,4 +1,9 @@
-/** What each member says of each back end, with versions; the newest vote of a member wins. */
+/**
+ * Table of votes: each member's verdict, failures and load report on each back end.
+ *
+ * Owns the votes and their digest. Relies on each member to raise its version with every change: the newest wins, and a vote
+ * of the same version is ignored.
+ */
 import { combine32 } from '../../common/hash.js';
 import { VOTE_DIGEST_BUCKETS, REMOTE_FAILURE_CAP } from './constants.js';
 import { sailquay } from './pb/health.js';
@@ -30,6 +35,7 @@
 /** What a new vote changed. */
 export type VoteChange = 'stale' | 'load' | 'verdict';
 
+/** Half of the 32-bit serial numbers: a distance below it means newer. */
 const HALF_RANGE = 0x8000_0000;
 
 /** True when `left` is newer than `right` in 32-bit serial order. */
--- a/src/gue-edge/placement/baseline-policies.ts
+++ b/src/gue-edge/placement/baseline-policies.ts
@@ -1,4 +1,4 @@
-/** The policies that the product is measured against. */
+/** Baseline policies, which bounded load is compared with; each chooses among the same candidates. */
 import { pick } from '../../common/random.js';
 import { firstOnly } from './bounded-load-policy.js';
 import { listCandidates, type Candidate } from './candidates.js';
--- a/src/gue-edge/placement/candidates.ts
+++ b/src/gue-edge/placement/candidates.ts
@@ -1,4 +1,9 @@
-/** The back ends of a service that may take an opening now. */
+/**
+ * Rule of eligibility: the back ends of a service that may take an opening now.
+ *
+ * It prevents openings at back ends that drain, were tried already, are out of use or full. Conditions that need no look-up
+ * come first. An unknown load excludes nobody; then the own count alone limits. No input or output.
+ */
 import type { EffectiveBackend } from '../../settings/types.js';
 import type { BackendHealth } from '../health/types.js';
 import { CAPACITY_SLACK } from './constants.js';
@@ -19,6 +24,7 @@
   excess: number;
 }
 
+/** Least warm-up that a candidate's weight is computed with. Not measured; chosen above 0, because a weight must be. */
 const SMALLEST_WARMUP = 0.01;
 
 /**
--- a/src/gue-edge/placement/exception-budget.ts
+++ b/src/gue-edge/placement/exception-budget.ts
@@ -1,4 +1,8 @@
-/** Turns a budget of replication bytes a second into the share of openings that may be exceptions. */
+/**
+ * Exception budget: the share of openings that may be exceptions, from the bytes a second that their records may cost.
+ *
+ * Owns the rate of openings. Relies on its owner to count each opening.
+ */
 import type { Clock } from '../../common/clock.js';
 import { BYTES_PER_EXCEPTION, EXCEPTION_RATE_WINDOW_MS, TARGET_EXCEPTION_SHARE } from './constants.js';
 import { DecayingRate } from '../../common/decaying-rate.js';
--- a/src/gue-edge/placement/token-bucket.ts
+++ b/src/gue-edge/placement/token-bucket.ts
@@ -1,4 +1,4 @@
-/** A token bucket on a clock. */
+/** Token bucket: owns the tokens, relies on a monotonic clock. */
 import type { Clock } from '../../common/clock.js';
 
 const MS_PER_SECOND = 1_000;
