--- a/src/gue-edge/flow/kept-flows.ts
+++ b/src/gue-edge/flow/kept-flows.ts
@@ -11,14 +11,14 @@
 import { FLOW_EVENTS } from './events.js';
 import type { FlowContext } from './flow-context.js';
 import { FlowFlag } from './flow-table.js';
-import { isSurelyKeeper } from './keeper-authority.js';
+import { isSurelyKeeper } from './keeper-authority-rules.js';
 import { isForwardedAnyway, judgeKnownFlow, type KnownFlowVerdict } from './known-flow-rule.js';
 import type { Openings } from './openings.js';
 import type { PacketRelay } from './packet-relay.js';
 import type { ServicePort } from './service-index.js';
 import type { KeptShard } from './shard-holding.js';
 
-/** Least time between two log events about records of another service. */
+/** Least time in ms between two log events about records of another service. Not measured; chosen so that a burst does not fill the log. */
 const WRONG_SERVICE_EVENT_MS = 10_000;
 
 /** Forwards packets of known flows, opens new ones, and answers for unknown ones. */
--- a/src/gue-edge/health/gossip.ts
+++ b/src/gue-edge/health/gossip.ts
@@ -11,8 +11,8 @@
 import {
   ANTI_ENTROPY_INTERVAL_MS,
   ANTI_ENTROPY_JITTER,
-  DIGEST_BUCKETS,
-  GOSSIP_FANOUT,
+  VOTE_DIGEST_BUCKETS,
+  VOTE_GOSSIP_FANOUT,
   GOSSIP_INTERVAL_MS,
   LOAD_ROUNDS,
   LOAD_SENDS,
@@ -24,10 +24,10 @@
 import { decodeUpdate, encodeUpdate, pages, type HealthUpdate } from './message.js';
 import type { Vote, VoteTable } from './votes.js';
 
-/** Votes answered to one digest at most, so that a newcomer of a large fleet does not cause a burst; it asks again. */
+/** Votes answered to one digest at most, so that a newcomer of a large fleet does not cause a burst; its next digest requests the rest. Not measured; chosen as ten messages of `VOTES_PER_MESSAGE`. */
 const MAX_VOTES_PER_ANSWER = 320;
 
-/** Random picks before a round goes to fewer members than it could. */
+/** Random picks before a round goes to fewer members than it could. Not measured; chosen well above `VOTE_GOSSIP_FANOUT`, because picks may repeat. */
 const MAX_PICKS = 40;
 
 /** What the gossip is made with. */
@@ -104,7 +104,7 @@
     const urgent = this.pendingEntries(true);
     const entries = urgentOnly ? urgent : [...urgent, ...this.pendingEntries(false)];
     if (entries.length === 0) return;
-    const peers = this.randomPeers(GOSSIP_FANOUT);
+    const peers = this.randomPeers(VOTE_GOSSIP_FANOUT);
     if (peers.length === 0) {
       this.pending.clear();
       return;
@@ -127,7 +127,7 @@
     const payload = encodeUpdate({ votes, digest: [], answer: false }, this.options.clock.now());
     let sent = 0;
     for (const peer of peers) if (this.sendPayload(peer, payload)) sent += 1;
-    const everyoneHasIt = peers.length < GOSSIP_FANOUT && sent === peers.length;
+    const everyoneHasIt = peers.length < VOTE_GOSSIP_FANOUT && sent === peers.length;
     for (const [key, entry] of part) {
       entry.sendsLeft -= sent;
       if (entry.sendsLeft <= 0 || everyoneHasIt) this.pending.delete(key);
@@ -151,7 +151,7 @@
       return;
     }
     for (const vote of update.votes) this.learn(vote);
-    if (update.digest.length === DIGEST_BUCKETS) this.answerDigest(message, update);
+    if (update.digest.length === VOTE_DIGEST_BUCKETS) this.answerDigest(message, update);
   }
 
   private learn(vote: Vote): void {
--- a/src/gue-edge/health/votes.ts
+++ b/src/gue-edge/health/votes.ts
@@ -1,6 +1,11 @@
-/** What each member says of each back end, with versions; the newest vote of a member wins. */
+/**
+ * Table of votes: each member's verdict, failures and load report on each back end.
+ *
+ * Owns the votes and their digest. Relies on each member to raise its version with every change: the newest wins, and a vote
+ * of the same version is ignored.
+ */
 import { combine32 } from '../../common/hash.js';
-import { DIGEST_BUCKETS, REMOTE_FAILURE_CAP } from './constants.js';
+import { VOTE_DIGEST_BUCKETS, REMOTE_FAILURE_CAP } from './constants.js';
 import { sailquay } from './pb/health.js';
 
 export const Verdict = sailquay.health.Verdict;
@@ -30,6 +35,7 @@
 /** What a new vote changed. */
 export type VoteChange = 'stale' | 'load' | 'verdict';
 
+/** Half of the 32-bit serial numbers: a distance below it means newer. */
 const HALF_RANGE = 0x8000_0000;
 
 /** True when `left` is newer than `right` in 32-bit serial order. */
@@ -42,9 +48,9 @@
 export class VoteTable {
   private readonly byBackend = new Map<number, Map<number, Vote>>();
   /** Back ends with votes, by digest bucket. */
-  private readonly backendsByBucket = Array.from({ length: DIGEST_BUCKETS }, () => new Set<number>());
+  private readonly backendsByBucket = Array.from({ length: VOTE_DIGEST_BUCKETS }, () => new Set<number>());
   /** The digest, kept up to date with each change. */
-  private readonly buckets = new Uint32Array(DIGEST_BUCKETS);
+  private readonly buckets = new Uint32Array(VOTE_DIGEST_BUCKETS);
 
   /** Stores a vote unless a newer one of the same member is known. */
   apply(vote: Vote): VoteChange {
@@ -122,7 +128,7 @@
 
 /** Digest bucket of a back end. */
 export function bucketOf(backendId: number): number {
-  return backendId % DIGEST_BUCKETS;
+  return backendId % VOTE_DIGEST_BUCKETS;
 }
 
 function verdictHash(vote: Vote): number {
