--- a/src/fabric/index.ts
+++ b/src/fabric/index.ts
@@ -1,8 +1,8 @@
 /**
  * The edge of a balancer: encapsulated packets from the fabric, other balancers and back ends.
  *
- * Owns the data sockets and the formats of encapsulation, relay frames and resets. Relies on the handler for every decision on a
- * packet, and on `isPeer` and `isBackend` for the class of a source. Nothing is stored.
+ * Owns the data sockets and the formats of encapsulation, relay frames and resets. Relies on the handler for every
+ * decision on a packet, and on `isPeer` and `isBackend` for the class of a source. Nothing is stored.
  *
  * ```ts
  * const edge = await createEdgePort({ data, fabricReturn, isPeer, isBackend, handler, events });
--- a/src/fabric/packet-decoder.ts
+++ b/src/fabric/packet-decoder.ts
@@ -1,6 +1,6 @@
 /**
- * Decodes a bare IPv4/TCP packet in place into a reused view, without allocation. Owns no state; relies on the caller to
- * keep `bytes` unchanged for as long as it uses the view.
+ * Decodes a bare IPv4/TCP packet in place into a reused view, without allocation. Owns no state; relies on the
+ * caller to keep `bytes` unchanged for as long as it uses the view.
  */
 import { headerChecksum, isPlainHeaderIntact } from './checksum.js';
 import { IPV4_HEADER_BYTES, MAX_PACKET_BYTES, PROTOCOL_TCP, TCP_HEADER_BYTES } from './constants.js';
--- a/src/gue-edge/flow/acting-backup-rules.ts
+++ b/src/gue-edge/flow/acting-backup-rules.ts
@@ -2,9 +2,9 @@
  * Rules of a backup that answers for a shard while its keeper does not: when it does, when it opens flows, and when it
  * forwards a flow that it has no record of.
  *
- * They prevent flows from waiting for a takeover, without a second balancer deciding otherwise than the keeper: where the
- * keeper may still run, the backup acts only as long as it surely is the backup, so that both choose the same. Doubt in the
- * replica, the view or this process's own clock counts against acting. No input or output.
+ * They prevent flows from waiting for a takeover, without a second balancer deciding otherwise than the keeper:
+ * where the keeper may still run, the backup acts only as long as it surely is the backup, so that both choose the
+ * same. Doubt in the replica, the view or this process's own clock counts against acting. No input or output.
  */
 import type { MemberState } from '../membership/types.js';
 
@@ -34,8 +34,9 @@
 }
 
 /**
- * True when a flow without a record may be forwarded to its first choice. A keeper that was cut off from here, or is on the
- * larger side of a cut, may have placed the flow elsewhere since, unless it has lapsed or this surely is its backup.
+ * True when a flow without a record may be forwarded to its first choice. A keeper that was cut off from here, or
+ * is on the larger side of a cut, may have placed the flow elsewhere since, unless it has lapsed or this surely is
+ * its backup.
  */
 export function mayReconstruct({ handedOn, lapsed, surelyBackup }: ReconstructionInput): boolean {
   return !handedOn && (lapsed || surelyBackup());
--- a/src/gue-edge/flow/index.ts
+++ b/src/gue-edge/flow/index.ts
@@ -1,9 +1,10 @@
 /**
  * Flow keeping: one balancer, the keeper, decides for each flow; the others relay its packets there.
  *
- * Owns the flow tables of the shards kept here, the replicas held for other keepers, and the transfers between them.
- * Relies on membership for the owners of shards, on control for delivery (not for order), on placement for the choice of a
- * back end and on health for its eligibility. Nothing is stored: a shard outlives its keeper at its backup only.
+ * Owns the flow tables of the shards kept here, the replicas held for other keepers, and the transfers between
+ * them. Relies on membership for the owners of shards, on control for delivery (not for order), on placement for
+ * the choice of a back end and on health for its eligibility. Nothing is stored: a shard outlives its keeper at its
+ * backup only.
  *
  * ```ts
  * const forwarder = createForwarder('bounded-load', components);
--- a/src/gue-edge/flow/keeper-authority-rules.ts
+++ b/src/gue-edge/flow/keeper-authority-rules.ts
@@ -1,6 +1,7 @@
 /**
- * Rules of a keeper's authority over a shard: whether it may open flows, make exceptions, and answer for flows that it does
- * not know. They prevent two balancers from deciding for one flow after a pause, a partition or a change of backups.
+ * Rules of a keeper's authority over a shard: whether it may open flows, make exceptions, and answer for flows that
+ * it does not know. They prevent two balancers from deciding for one flow after a pause, a partition or a change of
+ * backups.
  *
  * Authority comes from the backup: while its lease is held it doesn't hand the shard on. Without a backup only a
  * balancer that surely needs none has authority. What is not known counts against it. No input or output; the functions
@@ -30,8 +31,8 @@
 }
 
 /**
- * True when the shard needs no backup, because no other balancer could be it. A paused process and one that may have been
- * replaced unknowingly (`cautiousUntilMs`) can't tell.
+ * True when the shard needs no backup, because no other balancer could be it. A paused process and one that may
+ * have been replaced unknowingly (`cautiousUntilMs`) can't tell.
  */
 function isAlone(context: AuthorityContext, kept: AuthorityShard): boolean {
   const self = context.member(context.selfId);
@@ -46,8 +47,8 @@
 }
 
 /**
- * True when an exception can be made safe now. The backup must have the whole snapshot, or it would serve the shard without
- * some records; a former backup must have let go, or two replicas could be handed on.
+ * True when an exception can be made safe now. The backup must have the whole snapshot, or it would serve the shard
+ * without some records; a former backup must have let go, or two replicas could be handed on.
  */
 export function canReplicate(context: AuthorityContext, kept: AuthorityShard): boolean {
   if (!kept.backup) return isAlone(context, kept);
--- a/src/gue-edge/flow/keeper-link.ts
+++ b/src/gue-edge/flow/keeper-link.ts
@@ -1,12 +1,15 @@
 /**
- * What a backup knows of one keeper's process: when it was heard, whether its shards were handed on, and which batches of
- * records have been applied. Makes batches idempotent and keeps them in order: a late copy of an old batch would undo the
- * records of a newer one. No input or output.
+ * What a backup knows of one keeper's process: when it was heard, whether its shards were handed on, and which
+ * batches of records have been applied. Makes batches idempotent and keeps them in order: a late copy of an old
+ * batch would undo the records of a newer one. No input or output.
  */
 import type { sailquay } from './pb/flow.js';
 import { DigestedShardSet } from './shard-set.js';
 
-/** Acknowledgements kept to answer copies of batches. Not measured; chosen because a batch is sent again only until it is acknowledged. */
+/**
+ * Acknowledgements kept to answer copies of batches. Not measured; chosen because a batch is sent again only until
+ * it is acknowledged.
+ */
 const REMEMBERED_ACKS = 64;
 
 type BatchAck = sailquay.flow.RecordBatchAck.$Properties;
--- a/src/gue-edge/flow/keeper-transfers.ts
+++ b/src/gue-edge/flow/keeper-transfers.ts
@@ -1,6 +1,6 @@
 /**
- * Transfers of kept shards to the keepers that the view names next. The shard stays here, forwards known flows and opens
- * none, until its next keeper has acknowledged it.
+ * Transfers of kept shards to the keepers that the view names next. The shard stays here, forwards known flows and
+ * opens none, until its next keeper has acknowledged it.
  */
 import type { Member } from '../membership/types.js';
 import { ORPHAN_WAIT_MS } from './constants.js';
--- a/src/gue-edge/flow/kept-flows.ts
+++ b/src/gue-edge/flow/kept-flows.ts
@@ -1,8 +1,8 @@
 /**
  * Packets of shards that are kept here: forwards those of known flows, opens flows, and answers for unknown ones.
  *
- * Owns the state of each flow in the kept tables. Relies on `known-flow-rule.ts` and `keeper-authority.ts` for what may be
- * done, and on `Openings` for flows without an answer.
+ * Owns the state of each flow in the kept tables. Relies on `known-flow-rule.ts` and `keeper-authority.ts` for what
+ * may be done, and on `Openings` for flows without an answer.
  */
 import { sameEndpoint, type Endpoint } from '../../common/types.js';
 import type { PacketView } from '../../fabric/types.js';
@@ -18,7 +18,10 @@
 import type { ServicePort } from './service-index.js';
 import type { KeptShard } from './shard-holding.js';
 
-/** Least time in ms between two log events about records of another service. Not measured; chosen so that a burst does not fill the log. */
+/**
+ * Least time in ms between two log events about records of another service. Not measured; chosen so that a burst
+ * does not fill the log.
+ */
 const WRONG_SERVICE_EVENT_MS = 10_000;
 
 /** Forwards packets of known flows, opens new ones, and answers for unknown ones. */
@@ -42,8 +45,8 @@
   }
 
   /**
-   * A packet of a shard that was given up and is awaited again: an established flow stays with its back end, whichever balancer
-   * holds the shard. False when the flow is not one of those.
+   * A packet of a shard that was given up and is awaited again: an established flow stays with its back end,
+   * whichever balancer holds the shard. False when the flow is not one of those.
    */
   forwardRetained(kept: KeptShard, fingerprint: FlowFingerprint, packet: PacketView): boolean {
     const { table } = kept;
--- a/src/gue-edge/flow/knowledge-exchange.ts
+++ b/src/gue-edge/flow/knowledge-exchange.ts
@@ -1,9 +1,9 @@
 /**
- * Back ends and base versions that a balancer has not seen itself are requested from the balancer whose message refers to
- * them. The message is left unanswered meanwhile, so that its sender repeats it.
+ * Back ends and base versions that a balancer has not seen itself are requested from the balancer whose message
+ * refers to them. The message is left unanswered meanwhile, so that its sender repeats it.
  *
- * Owns the requests of the last moments and the parts of bases that are not whole. Relies on the sender to know what its own
- * message refers to; a lost request is sent again with the repeated message.
+ * Owns the requests of the last moments and the parts of bases that are not whole. Relies on the sender to know
+ * what its own message refers to; a lost request is sent again with the repeated message.
  */
 import type { InboundControlMessage } from '../control/types.js';
 import { UNLIMITED_SERVICE, type EffectiveBackend, type EffectiveService } from '../../settings/types.js';
@@ -15,7 +15,10 @@
 
 const { HandoverMessage } = sailquay.flow;
 
-/** A request is not repeated before this time has passed. Not measured; chosen longer than the first repeats of a record batch (`RESEND_MS`). */
+/**
+ * A request is not repeated before this time has passed. Not measured; chosen longer than the first repeats of a
+ * record batch (`RESEND_MS`).
+ */
 const REPEAT_MS = 200;
 /** Back end entries in one response. Not measured; chosen to fit one datagram. */
 const ENTRIES_PER_REPLY = 15;
--- a/src/gue-edge/flow/known-flow-rule.ts
+++ b/src/gue-edge/flow/known-flow-rule.ts
@@ -1,9 +1,9 @@
 /**
  * Rule for a caller's packet of a flow that is in the table of a shard kept here.
  *
- * It prevents packets from reaching a back end of another service, a SYN from overtaking the record of its flow, and one
- * flow from being opened at two back ends. No input or output; most packets of answered flows don't come here,
- * see `isForwardedAnyway`.
+ * It prevents packets from reaching a back end of another service, a SYN from overtaking the record of its flow,
+ * and one flow from being opened at two back ends. No input or output; most packets of answered flows don't come
+ * here, see `isForwardedAnyway`.
  */
 import { FlowFlag } from './flow-table.js';
 
@@ -39,8 +39,8 @@
 }
 
 /**
- * True for a packet that is forwarded whatever else the rule would look at: its flow is answered and does not wait, and it
- * does not open a closed one again. Most packets are of this kind, so they are spared the rule's input.
+ * True for a packet that is forwarded whatever else the rule would look at: its flow is answered and does not wait,
+ * and it does not open a closed one again. Most packets are of this kind, so they are spared the rule's input.
  */
 export function isForwardedAnyway(flags: number, opening: boolean): boolean {
   if ((flags & (FlowFlag.PENDING | FlowFlag.ANSWERED)) !== FlowFlag.ANSWERED) return false;
@@ -48,9 +48,9 @@
 }
 
 /**
- * Judges a packet. Order: a record of another service is never used; a flow that waits for its backup sends nothing; a
- * closed flow is opened anew only where openings are made; an unanswered flow needs certainty, an answered one stays with
- * its back end at any keeper.
+ * Judges a packet. Order: a record of another service is never used; a flow that waits for its backup sends
+ * nothing; a closed flow is opened anew only where openings are made; an unanswered flow needs certainty, an
+ * answered one stays with its back end at any keeper.
  */
 export function judgeKnownFlow(input: KnownFlowInput): KnownFlowVerdict {
   const { flags, opening } = input;
--- a/src/gue-edge/flow/opening-rules.ts
+++ b/src/gue-edge/flow/opening-rules.ts
@@ -1,13 +1,14 @@
 /**
- * Rules of an opening in a shard that is kept here: whether it is admitted, on which choice it may be placed, whether its
- * back end must be recorded first, and whether it is tried on another back end after a reset.
+ * Rules of an opening in a shard that is kept here: whether it is admitted, on which choice it may be placed,
+ * whether its back end must be recorded first, and whether it is tried on another back end after a reset.
  *
- * They prevent one flow on two back ends: a flow whose back end is not the first choice of the base is found again after
- * the keeper failed only when the backup has its record, so its SYN waits for the acknowledgement of that record.
+ * They prevent one flow on two back ends: a flow whose back end is not the first choice of the base is found again
+ * after the keeper failed only when the backup has its record, so its SYN waits for the acknowledgement of that
+ * record.
  *
- * No input or output. Steps that spend something (tokens of a limit, a count of the load balance) are given as functions
- * and come after every condition that costs nothing. What is not known counts against the opening, which is then
- * deferred: dropped without an answer, so that the caller's retransmission is judged anew.
+ * No input or output. Steps that spend something (tokens of a limit, a count of the load balance) are given as
+ * functions and come after every condition that costs nothing. What is not known counts against the opening, which
+ * is then deferred: dropped without an answer, so that the caller's retransmission is judged anew.
  */
 import type { EffectiveBackend } from '../../settings/types.js';
 import type { PlacementDecision } from '../placement/types.js';
@@ -110,8 +111,9 @@
 }
 
 /**
- * Judges the backup's answer. An answer to an opening that has ended is ignored. A backup without the shard protects nothing, so the
- * opening is given up. A back end that is not known here cannot be sent to; the opening stays pending.
+ * Judges the backup's answer. An answer to an opening that has ended is ignored. A backup without the shard
+ * protects nothing, so the opening is given up. A back end that is not known here cannot be sent to; the opening
+ * stays pending.
  */
 export function judgeReplication(input: ReplicationInput): ReplicationVerdict {
   if (!input.isAwaited) return 'ignore';
@@ -141,9 +143,9 @@
 }
 
 /**
- * Judges a retry. Only a single SYN may be tried elsewhere: after a second one, the reset says nothing about the first,
- * which the back end may have accepted. The budget bounds what a failing service adds to the load of its other back ends,
- * and is asked last, so that only a retry that is made takes a token.
+ * Judges a retry. Only a single SYN may be tried elsewhere: after a second one, the reset says nothing about the
+ * first, which the back end may have accepted. The budget bounds what a failing service adds to the load of its
+ * other back ends, and is asked last, so that only a retry that is made takes a token.
  */
 export function judgeRetry(input: RetryInput): RetryVerdict {
   if (!input.hasSyn) return passReset('no-syn');
--- a/src/gue-edge/flow/openings.ts
+++ b/src/gue-edge/flow/openings.ts
@@ -2,8 +2,8 @@
  * Openings of flows in shards kept here: carries out what the rules of `opening-rules.ts` say, and follows each opening
  * until it is answered.
  *
- * Owns the openings without an answer, their retained SYNs and the retry budgets. Relies on the placement policy for the
- * choice, on the backup for the records of exceptions, and on the caller to repeat a SYN that was dropped.
+ * Owns the openings without an answer, their retained SYNs and the retry budgets. Relies on the placement policy
+ * for the choice, on the backup for the records of exceptions, and on the caller to repeat a SYN that was dropped.
  */
 import type { PacketView } from '../../fabric/types.js';
 import type { FlowFingerprint, PlacementDecision, RefusalReason } from '../placement/types.js';
--- a/src/gue-edge/flow/ownership.ts
+++ b/src/gue-edge/flow/ownership.ts
@@ -1,6 +1,7 @@
 /**
- * Who holds which shard: takes shards over, replicates them, and hands them on as the membership view changes, as the rules
- * of `shard-rules.ts` say. A shard is held until its next holder has acknowledged it; the view alone moves no shard.
+ * Who holds which shard: takes shards over, replicates them, and hands them on as the membership view changes, as
+ * the rules of `shard-rules.ts` say. A shard is held until its next holder has acknowledged it; the view alone
+ * moves no shard.
  *
  * Owns the shards kept here. Relies on the view for the keepers, on the senders of shards to repeat what was not
  * acknowledged, and on the replica holder for what is held for others.
--- a/src/gue-edge/flow/rebase.ts
+++ b/src/gue-edge/flow/rebase.ts
@@ -1,9 +1,9 @@
 /**
- * Moves shards to the back ends of a newer settings version. The open flows whose first choice would move are replicated
- * as exceptions first; then the backup takes the new base, then the keeper. Paced by the byte budget.
+ * Moves shards to the back ends of a newer settings version. The open flows whose first choice would move are
+ * replicated as exceptions first; then the backup takes the new base, then the keeper. Paced by the byte budget.
  *
- * Owns the progress of each move. Relies on `rebase-rules.ts` for when one starts, on the backup's acknowledgements for its
- * steps, and repeats an advance that is not answered.
+ * Owns the progress of each move. Relies on `rebase-rules.ts` for when one starts, on the backup's acknowledgements
+ * for its steps, and repeats an advance that is not answered.
  */
 import type { InboundControlMessage } from '../control/types.js';
 import { REBASE_RESERVE_BYTES_PER_SECOND, REBASE_SHARDS_PER_TICK } from './constants.js';
@@ -17,7 +17,10 @@
 import type { KeptShard, RebaseProgress } from './shard-holding.js';
 import { packShards, unpackShards } from './shard-set.js';
 
-/** Delay in ms before an unanswered advance is sent again. Not measured; chosen longer than `TRANSFER_RESEND_MS`, because nothing waits for it. */
+/**
+ * Delay in ms before an unanswered advance is sent again. Not measured; chosen longer than `TRANSFER_RESEND_MS`,
+ * because nothing waits for it.
+ */
 const ADVANCE_RESEND_MS = 250;
 /** Shards in one advance message. Not measured; chosen to fit one datagram. */
 const MAX_ADVANCE_SHARDS = 400;
--- a/src/gue-edge/flow/record-codec.ts
+++ b/src/gue-edge/flow/record-codec.ts
@@ -1,9 +1,9 @@
 /**
  * Packed flow records. All words are little-endian 32-bit.
  *
- * Part of a shard, 8 bytes a flow: lower fingerprint half; then the 20 bits of the upper half below the shard number,
- * shifted left by 12, with the position of the back end key in the part's list.
- * Record batch, 12 bytes a flow: upper half, lower half, then the operation in the top byte with the position of the key.
+ * Part of a shard, 8 bytes a flow: lower fingerprint half; then the 20 bits of the upper half below the shard
+ * number, shifted left by 12, with the position of the back end key in the part's list. Record batch, 12 bytes a
+ * flow: upper half, lower half, then the operation in the top byte with the position of the key.
  */
 import { SHARD_SHIFT } from './constants.js';
 import { MalformedRecordError } from './errors.js';
--- a/src/gue-edge/flow/replica-holder.ts
+++ b/src/gue-edge/flow/replica-holder.ts
@@ -1,8 +1,9 @@
 /**
  * The backup's side of replication: stores exceptions, acknowledges heartbeats, and answers with its own placements.
  *
- * Owns the replicas held for other keepers and what is known of each keeper's process. Relies on keepers to repeat batches
- * that are not acknowledged: a batch that refers to unknown back ends or comes out of order is left unanswered.
+ * Owns the replicas held for other keepers and what is known of each keeper's process. Relies on keepers to repeat
+ * batches that are not acknowledged: a batch that refers to unknown back ends or comes out of order is left
+ * unanswered.
  */
 import type { InboundControlMessage } from '../control/types.js';
 import { HEARTBEAT_MS } from './constants.js';
@@ -20,7 +21,10 @@
 
 const { ReplicationMessage, HandoverMessage } = sailquay.flow;
 
-/** A replica this young, in ms, is not dropped by an assignment that may have been sent before it. Not measured; chosen longer than an assignment travels. */
+/**
+ * A replica this young, in ms, is not dropped by an assignment that may have been sent before it. Not measured;
+ * chosen longer than an assignment travels.
+ */
 const ASSIGNMENT_GRACE_MS = 1_000;
 
 /** Replicas of other keepers' shards. */
--- a/src/gue-edge/flow/replica-rules.ts
+++ b/src/gue-edge/flow/replica-rules.ts
@@ -1,17 +1,17 @@
 /**
- * Rules of a replica at the backup: whether its keeper's lease is over, whether this balancer is still its backup, when it is
- * trusted, when it is handed on, and whether a claim for it is answered.
+ * Rules of a replica at the backup: whether its keeper's lease is over, whether this balancer is still its backup,
+ * when it is trusted, when it is handed on, and whether a claim for it is answered.
  *
- * They prevent two balancers from acting for one shard: the backup waits until the lease of a silent keeper has surely
- * ended, and a replica that another backup may have superseded is not used. Silence is counted from the last acknowledgement
- * sent, which is earlier than its receipt by the keeper. A keeper that was never acknowledged has no lease. Times are
- * monotonic ms. No input or output.
+ * They prevent two balancers from acting for one shard: the backup waits until the lease of a silent keeper has
+ * surely ended, and a replica that another backup may have superseded is not used. Silence is counted from the last
+ * acknowledgement sent, which is earlier than its receipt by the keeper. A keeper that was never acknowledged has
+ * no lease. Times are monotonic ms. No input or output.
  */
 import { LEASE_MARGIN_MS, LEASE_MS } from './constants.js';
 
 /**
- * A keeper that is silent here but active in the view for this long, in ms, may have chosen another backup. Not measured;
- * chosen above `LEASE_MS` several times, so that lost heartbeats alone do not distrust a replica.
+ * A keeper that is silent here but active in the view for this long, in ms, may have chosen another backup. Not
+ * measured; chosen above `LEASE_MS` several times, so that lost heartbeats alone do not distrust a replica.
  */
 const TRUSTED_SILENCE_MS = 10_000;
 
@@ -32,8 +32,8 @@
 }
 
 /**
- * True when the keeper's process has ended or its lease is over. A newer boot or a lapse is proof at once; a keeper in the
- * view has not failed; one that is gone keeps its lease for its length and the margin.
+ * True when the keeper's process has ended or its lease is over. A newer boot or a lapse is proof at once; a keeper
+ * in the view has not failed; one that is gone keeps its lease for its length and the margin.
  */
 export function keeperHasFailed({ replica, link, inView, nowMs }: KeeperInput): boolean {
   if (link && link.boot > replica.keeperBoot) return true;
@@ -43,8 +43,8 @@
 
 /**
  * True while the keeper cannot have replaced this backup: it does so only after a silence that began with an
- * acknowledgement received, so not earlier than the same silence after the acknowledgement was sent. Without knowledge of
- * this boot of the keeper, false.
+ * acknowledgement received, so not earlier than the same silence after the acknowledgement was sent. Without
+ * knowledge of this boot of the keeper, false.
  */
 export function isSurelyBackup(
   keeperBoot: number,
@@ -75,7 +75,10 @@
   return assignedDigest === heldDigest && echoMs > nowMs - LEASE_MS && !lapsed;
 }
 
-/** True when a keeper that is active in the view has been silent here for so long that it may have chosen another backup. */
+/**
+ * True when a keeper that is active in the view has been silent here for so long that it may have chosen another
+ * backup.
+ */
 export function silenceBreaksTrust(activeInView: boolean, silentMs: number): boolean {
   return activeInView && silentMs >= TRUSTED_SILENCE_MS;
 }
@@ -105,8 +108,9 @@
 }
 
 /**
- * Judges a replica. Conditions that cost nothing come first. A minority keeps what it holds. After a cut or a pause the view
- * may lack a keeper that never failed, so a doubtful replica waits. A next keeper that is not active gets nothing yet.
+ * Judges a replica. Conditions that cost nothing come first. A minority keeps what it holds. After a cut or a pause
+ * the view may lack a keeper that never failed, so a doubtful replica waits. A next keeper that is not active gets
+ * nothing yet.
  */
 export function judgeReplicaFate(input: FateInput): ReplicaFate {
   const { nextKeeper, nowMs } = input;
@@ -126,8 +130,9 @@
 }
 
 /**
- * True when a claimed shard is named as held here, so that the claimant waits for it. A replica of the claimant's own flows
- * is handed to nobody else unless it lapsed, so it is no reason to wait; a shard awaited here too is not held.
+ * True when a claimed shard is named as held here, so that the claimant waits for it. A replica of the claimant's
+ * own flows is handed to nobody else unless it lapsed, so it is no reason to wait; a shard awaited here too is not
+ * held.
  */
 export function isHeldForClaimant({ kept, replica }: ClaimInput): boolean {
   if (kept && !kept.acquiring) return true;
--- a/src/gue-edge/flow/shard-installer.ts
+++ b/src/gue-edge/flow/shard-installer.ts
@@ -58,7 +58,10 @@
     }
   }
 
-  /** Removes openings that wait for the backup: none has reached a back end, and the next SYN goes to the new keeper. */
+  /**
+   * Removes openings that wait for the backup: none has reached a back end, and the next SYN goes to the new
+   * keeper.
+   */
   dropPending(kept: KeptShard): void {
     for (let slot = kept.table.capacity - 1; slot >= 0; slot -= 1) {
       while (kept.table.isOccupied(slot) && kept.table.hasFlag(slot, FlowFlag.PENDING)) {
--- a/src/gue-edge/flow/shard-rules.ts
+++ b/src/gue-edge/flow/shard-rules.ts
@@ -2,12 +2,16 @@
  * Rules of holding shards: whether a replica sent here is taken, when an awaited shard is started without records, when
  * records of a doubtful replica are good enough, and what becomes of a shard whose transfer failed.
  *
- * They prevent two keepers of one shard and the loss of records: a shard is held until its next holder has acknowledged it,
- * and a shard is started empty only when no balancer can be left that holds it. Times are monotonic ms. No input or output.
+ * They prevent two keepers of one shard and the loss of records: a shard is held until its next holder has
+ * acknowledged it, and a shard is started empty only when no balancer can be left that holds it. Times are
+ * monotonic ms. No input or output.
  */
 import { ORPHAN_WAIT_MS } from './constants.js';
 
-/** Waits of `ORPHAN_WAIT_MS` during which a trusted replica held here keeps its shard from being started empty. Not measured; chosen above one, because its keeper may still hand it over. */
+/**
+ * Waits of `ORPHAN_WAIT_MS` during which a trusted replica held here keeps its shard from being started empty. Not
+ * measured; chosen above one, because its keeper may still hand it over.
+ */
 const REPLICA_WAITS = 3;
 
 /** Whether a replica that a keeper sends is taken. */
@@ -69,9 +73,9 @@
 }
 
 /**
- * Judges an awaited shard. A minority, a balancer without settings and one that may have been replaced can't know that
- * no other balancer holds the shard, so their wait doesn't count. A replica held here postpones the start too, but not for ever: its
- * keeper may be stuck.
+ * Judges an awaited shard. A minority, a balancer without settings and one that may have been replaced can't know
+ * that no other balancer holds the shard, so their wait doesn't count. A replica held here postpones the start too,
+ * but not for ever: its keeper may be stuck.
  */
 export function judgeAcquiring(input: AcquiringInput): AcquiringVerdict {
   if (!input.isKeeper) return 'forget';
@@ -91,8 +95,8 @@
 }
 
 /**
- * True when records of a replica that is not trusted may be used. Its keeper may have chosen another backup, which holds
- * newer records and is waited for; a shard that is held already only gains by them.
+ * True when records of a replica that is not trusted may be used. Its keeper may have chosen another backup, which
+ * holds newer records and is waited for; a shard that is held already only gains by them.
  */
 export function mayUseUntrusted({ kept, nowMs, cautiousUntilMs }: DoubtInput): boolean {
   if (!kept) return false;
@@ -117,7 +121,10 @@
   readonly targetPresent: boolean;
 }
 
-/** Judges a failed transfer. A target that is present has refused, and one that was sent nothing can't have the shard. */
+/**
+ * Judges a failed transfer. A target that is present has refused, and one that was sent nothing can't have the
+ * shard.
+ */
 export function judgeFailedTransfer(input: FailedTransferInput): FailedTransferVerdict {
   if (!input.isCurrent) return 'ignore';
   return input.transferring && !input.targetPresent ? 'await-targets-backup' : 'serve';
--- a/src/gue-edge/health/backend-belief-rules.ts
+++ b/src/gue-edge/health/backend-belief-rules.ts
@@ -1,11 +1,11 @@
 /**
- * Rules of the belief about one back end: when it is ejected and for how long, when answered openings contradict failing
- * probes, its condition, and the share of its weight that new flows may use.
+ * Rules of the belief about one back end: when it is ejected and for how long, when answered openings contradict
+ * failing probes, its condition, and the share of its weight that new flows may use.
  *
- * They prevent a back end that answers probes but no openings from getting new flows, a broken path of the probers from
- * emptying a service, and an unsteady back end from getting its full weight at once. Probes decide unless openings contradict them.
- * Times are monotonic ms, shares 0–1. Missing knowledge counts for the back end: without votes and failures it is usable.
- * No input or output.
+ * They prevent a back end that answers probes but no openings from getting new flows, a broken path of the probers
+ * from emptying a service, and an unsteady back end from getting its full weight at once. Probes decide unless
+ * openings contradict them. Times are monotonic ms, shares 0–1. Missing knowledge counts for the back end: without
+ * votes and failures it is usable. No input or output.
  */
 import {
   BASE_EJECTION_MS,
@@ -34,15 +34,18 @@
 }
 
 /**
- * True when the failures eject the back end. Own failures come first and suffice alone; those of others count only while
- * this balancer sees no answers, because their path may be what is broken.
+ * True when the failures eject the back end. Own failures come first and suffice alone; those of others count only
+ * while this balancer sees no answers, because their path may be what is broken.
  */
 export function isFailing({ ownFailures, remoteFailures, answersHere }: FailureInput): boolean {
   if (ownFailures >= PASSIVE_FAILURE_THRESHOLD) return true;
   return !answersHere && ownFailures + remoteFailures >= PASSIVE_FAILURE_THRESHOLD;
 }
 
-/** Length of the ejection in ms before jitter: doubles with each one in a row, up to the largest. `ejections` counts from 1. */
+/**
+ * Length of the ejection in ms before jitter: doubles with each one in a row, up to the largest. `ejections` counts
+ * from 1.
+ */
 export function ejectionLengthMs(ejections: number): number {
   return Math.min(MAX_EJECTION_MS, BASE_EJECTION_MS * 2 ** (ejections - 1));
 }
@@ -82,14 +85,20 @@
   readonly ejected: boolean;
 }
 
-/** Condition of a back end. The operator's wish comes first, then probes, then ejection: a longer-lasting cause hides a shorter one. */
+/**
+ * Condition of a back end. The operator's wish comes first, then probes, then ejection: a longer-lasting cause
+ * hides a shorter one.
+ */
 export function judgeCondition({ draining, probeState, ejected }: ConditionInput): BackendCondition {
   if (draining) return 'draining';
   if (probeState === 'unhealthy') return 'unhealthy';
   return ejected ? 'ejected' : probeState;
 }
 
-/** True when the back end may get new flows as far as it alone is concerned; an unhealthy one only during a conflict. */
+/**
+ * True when the back end may get new flows as far as it alone is concerned; an unhealthy one only during a
+ * conflict.
+ */
 export function isUsable(condition: BackendCondition, inConflict: boolean): boolean {
   if (condition === 'healthy' || condition === 'unknown') return true;
   return condition === 'unhealthy' && inConflict;
@@ -100,7 +109,10 @@
   return 1 - conflictMs / CONFLICT_FADE_MS;
 }
 
-/** Share of its weight that a back end has during a conflict; never rises, and stays at the start of slow start at least. */
+/**
+ * Share of its weight that a back end has during a conflict; never rises, and stays at the start of slow start at
+ * least.
+ */
 export function conflictWarmup(faded: number, previous: number): number {
   return Math.min(previous, Math.max(INITIAL_WARMUP, faded));
 }
--- a/src/gue-edge/health/gossip.ts
+++ b/src/gue-edge/health/gossip.ts
@@ -1,6 +1,6 @@
 /**
- * Spreads votes: a changed vote goes to a few random members at once, each of which passes it on a few times; a digest exchanged
- * with one random member now and then repairs what was lost.
+ * Spreads votes: a changed vote goes to a few random members at once, each of which passes it on a few times; a
+ * digest exchanged with one random member now and then repairs what was lost.
  */
 import type { Clock } from '../../common/clock.js';
 import { jitter, type RandomSource } from '../../common/random.js';
@@ -24,10 +24,16 @@
 import { decodeUpdate, encodeUpdate, pages, type HealthUpdate } from './message.js';
 import type { Vote, VoteTable } from './votes.js';
 
-/** Votes answered to one digest at most, so that a newcomer of a large fleet does not cause a burst; its next digest requests the rest. Not measured; chosen as ten messages of `VOTES_PER_MESSAGE`. */
+/**
+ * Votes answered to one digest at most, so that a newcomer of a large fleet does not cause a burst; its next digest
+ * requests the rest. Not measured; chosen as ten messages of `VOTES_PER_MESSAGE`.
+ */
 const MAX_VOTES_PER_ANSWER = 320;
 
-/** Random picks before a round goes to fewer members than it could. Not measured; chosen well above `VOTE_GOSSIP_FANOUT`, because picks may repeat. */
+/**
+ * Random picks before a round goes to fewer members than it could. Not measured; chosen well above
+ * `VOTE_GOSSIP_FANOUT`, because picks may repeat.
+ */
 const MAX_PICKS = 40;
 
 /** What the gossip is made with. */
--- a/src/gue-edge/health/health-monitor.test.ts
+++ b/src/gue-edge/health/health-monitor.test.ts
@@ -267,7 +267,10 @@
 /** Flows that each member keeps at each back end once the load has risen. */
 const FULL_LOAD = 200;
 
-/** Lets the load rise from nothing in `lengthMs`; the first back end says that it is idle. Returns the others that were ever distrusted. */
+/**
+ * Lets the load rise from nothing in `lengthMs`; the first back end says that it is idle. Returns the others that
+ * were ever distrusted.
+ */
 async function rise(simulation: HealthSimulation, lengthMs: number): Promise<number[]> {
   const wronged = new Set<number>();
   const stepMs = 50;
--- a/src/gue-edge/health/health-monitor.ts
+++ b/src/gue-edge/health/health-monitor.ts
@@ -1,8 +1,9 @@
 /**
  * Wires probing, gossip and beliefs together; the health feed of one balancer.
  *
- * Owns the vote table, the assignment of probers and one `ServiceHealth` for each service. Relies on settings for the back
- * ends, on membership for probers and witnesses, and on the data path to report each opening and its outcome.
+ * Owns the vote table, the assignment of probers and one `ServiceHealth` for each service. Relies on settings for
+ * the back ends, on membership for probers and witnesses, and on the data path to report each opening and its
+ * outcome.
  */
 import type { Clock } from '../../common/clock.js';
 import { Ticker } from '../../common/event-stream.js';
--- a/src/gue-edge/health/health-simulation.ts
+++ b/src/gue-edge/health/health-simulation.ts
@@ -1,6 +1,7 @@
 /**
- * Deterministic simulation of a fleet's health monitors: the real monitors on one virtual clock, joined by a simulated control
- * channel, in front of simulated back ends. For tests and for measuring what probing and gossip cost; no sockets.
+ * Deterministic simulation of a fleet's health monitors: the real monitors on one virtual clock, joined by a
+ * simulated control channel, in front of simulated back ends. For tests and for measuring what probing and gossip
+ * cost; no sockets.
  */
 import { VirtualClock, type Clock, type TimerHandle } from '../../common/clock.js';
 import { seededRandom, type RandomSource } from '../../common/random.js';
--- a/src/gue-edge/health/index.ts
+++ b/src/gue-edge/health/index.ts
@@ -1,8 +1,9 @@
 /**
- * Health: what is believed of each back end, from probes shared out over a few balancers, the data path and reported loads.
+ * Health: what is believed of each back end, from probes shared out over a few balancers, the data path and
+ * reported loads.
  *
- * Owns the votes of all members on all back ends, and the belief formed from them; nothing is stored.
- * Relies on membership for the probers and the witnesses, on control for gossip, and on the flow keeper for what the data
+ * Owns the votes of all members on all back ends, and the belief formed from them; nothing is stored. Relies on
+ * membership for the probers and the witnesses, on control for gossip, and on the flow keeper for what the data
  * path saw and for its own count of flows.
  *
  * ```ts
--- a/src/gue-edge/health/load-trust-rule.ts
+++ b/src/gue-edge/health/load-trust-rule.ts
@@ -1,9 +1,9 @@
 /**
  * Rule of trust in reported loads: which reports of a service's back ends placement may use.
  *
- * It prevents a back end that reports too little from drawing flows. A report that is missing or old is judged before its
- * content; failing openings outweigh any report, and only then is it compared with the own count. With fewer than three
- * reports to compare, it is trusted. Ages in monotonic ms. No input or output.
+ * It prevents a back end that reports too little from drawing flows. A report that is missing or old is judged
+ * before its content; failing openings outweigh any report, and only then is it compared with the own count. With
+ * fewer than three reports to compare, it is trusted. Ages in monotonic ms. No input or output.
  */
 import { LOAD_CONTRADICTION_DEVIATIONS, LOAD_MAX_AGE_MS } from './constants.js';
 import type { ReportedLoad, Vote } from './votes.js';
@@ -30,9 +30,10 @@
 }
 
 /**
- * Judges the reports of one service. Keepers split flows by hash, so a balancer's own count is a random sample of the total: the
- * median ratio of own to reported flows gives the sample's size, and a report that is off by more than a few standard deviations is
- * contradicted. A balancer with few flows at a back end can only detect gross errors; placement therefore limits any correction.
+ * Judges the reports of one service. Keepers split flows by hash, so a balancer's own count is a random sample of
+ * the total: the median ratio of own to reported flows gives the sample's size, and a report that is off by more
+ * than a few standard deviations is contradicted. A balancer with few flows at a back end can only detect gross
+ * errors; placement therefore limits any correction.
  */
 export function judgeLoads(observations: readonly LoadObservation[], nowMs: number): Map<number, LoadTrust> {
   const sampleShare = medianShare(observations, nowMs);
--- a/src/gue-edge/health/own-vote-rules.ts
+++ b/src/gue-edge/health/own-vote-rules.ts
@@ -26,15 +26,19 @@
   };
 }
 
-/** True when the contents differ, so that the vote has to be sent. A load report is another one although it reads the same. */
+/**
+ * True when the contents differ, so that the vote has to be sent. A load report is another one although it reads
+ * the same.
+ */
 export function isChanged(known: VoteContent = NOTHING, next: VoteContent): boolean {
   const sameVerdict = known.verdict === next.verdict && known.passiveFailures === next.passiveFailures;
   return !sameVerdict || known.load !== next.load;
 }
 
 /**
- * Version of the next vote, unsigned 32 bits in serial order: the wall clock's, or the one after the previous version when
- * that is newer. The clock keeps versions rising over a restart, the successor when the clock was set back.
+ * Version of the next vote, unsigned 32 bits in serial order: the wall clock's, or the one after the previous
+ * version when that is newer. The clock keeps versions rising over a restart, the successor when the clock was set
+ * back.
  *
  * @param previous version of the vote that the next one replaces; undefined when none is known
  * @param fromClock wall-clock time in units of `VERSION_UNIT_MS`
@@ -46,8 +50,8 @@
 }
 
 /**
- * Failures that the vote reports to the other members. A single failure beside openings that were just answered is not worth
- * a message; beyond the threshold the exact count adds nothing.
+ * Failures that the vote reports to the other members. A single failure beside openings that were just answered is
+ * not worth a message; beyond the threshold the exact count adds nothing.
  *
  * @param nowMs monotonic ms
  */
--- a/src/gue-edge/health/own-votes.ts
+++ b/src/gue-edge/health/own-votes.ts
@@ -1,8 +1,8 @@
 /**
  * This balancer's own votes: merges what its prober and its data path say, numbers each change and has it sent.
  *
- * Owns the votes in its name in the `VoteTable`; relies on gossip to deliver each change, and on the wall clock for versions
- * that rise over a restart.
+ * Owns the votes in its name in the `VoteTable`; relies on gossip to deliver each change, and on the wall clock for
+ * versions that rise over a restart.
  */
 import type { Clock } from '../../common/clock.js';
 import { isChanged, nextVersion, patchedVote, type VoteContent, type VotePatch } from './own-vote-rules.js';
--- a/src/gue-edge/health/passive-tracker.ts
+++ b/src/gue-edge/health/passive-tracker.ts
@@ -1,15 +1,15 @@
 /**
  * What the data path of this balancer saw of one back end: counts openings in a row that were not answered.
  *
- * Owns the count and the times of openings that wait. Relies on the flow keeper to report each opening, answer and failure, and
- * on its owner to call `forgiveSilence` after a pause. Times are monotonic ms. No input or output.
+ * Owns the count and the times of openings that wait. Relies on the flow keeper to report each opening, answer and
+ * failure, and on its owner to call `forgiveSilence` after a pause. Times are monotonic ms. No input or output.
  */
 import { OPENING_SILENCE_MS, PASSIVE_FAILURE_THRESHOLD, PASSIVE_WINDOW_MS } from './constants.js';
 import type { PassiveEvidence } from './types.js';
 
 /**
- * Counts openings in a row that a back end did not answer: those reported as failed, and those sent a while ago without any
- * answer of the back end since. One answer clears the count.
+ * Counts openings in a row that a back end did not answer: those reported as failed, and those sent a while ago
+ * without any answer of the back end since. One answer clears the count.
  */
 export class PassiveTracker {
   private reportedFailures = 0;
--- a/src/gue-edge/health/probe-verdict-rule.ts
+++ b/src/gue-edge/health/probe-verdict-rule.ts
@@ -1,8 +1,8 @@
 /**
  * Rules of the probers' common verdict: whose votes count, and what they say together.
  *
- * They prevent one prober with a broken path from taking a back end out of use, and a change of probers from losing what is
- * known. A tie keeps the previous verdict; without any vote the verdict is unknown. No input or output.
+ * They prevent one prober with a broken path from taking a back end out of use, and a change of probers from losing
+ * what is known. A tie keeps the previous verdict; without any vote the verdict is unknown. No input or output.
  */
 import { PROBERS_PER_BACKEND } from './constants.js';
 import { Verdict, type Vote } from './votes.js';
@@ -11,8 +11,9 @@
 export type ProbeState = 'healthy' | 'unhealthy' | 'unknown';
 
 /**
- * The votes that count: those of the assigned probers, and while some of them have not voted yet, the newest votes of other
- * members, so that a change of probers does not lose what is known. Votes of members that are gone are not in `votes`.
+ * The votes that count: those of the assigned probers, and while some of them have not voted yet, the newest votes
+ * of other members, so that a change of probers does not lose what is known. Votes of members that are gone are not
+ * in `votes`.
  */
 export function countingVotes(votes: Iterable<Vote>, assigned: readonly number[]): Vote[] {
   const given = [...votes].filter((vote) => vote.verdict !== Verdict.VERDICT_NONE);
--- a/src/gue-edge/health/prober-assignment.ts
+++ b/src/gue-edge/health/prober-assignment.ts
@@ -1,6 +1,6 @@
 /**
- * Which members probe which back end: the best by rendezvous hash, one of each zone first. A pure function of the membership, so
- * that all balancers agree without talking; a change of one member moves only that member's probes.
+ * Which members probe which back end: the best by rendezvous hash, one of each zone first. A pure function of the
+ * membership, so that all balancers agree without talking; a change of one member moves only that member's probes.
  */
 import { hashString, mix32 } from '../../common/hash.js';
 import type { Member, MembershipView } from '../membership/types.js';
--- a/src/gue-edge/health/prober.ts
+++ b/src/gue-edge/health/prober.ts
@@ -1,6 +1,6 @@
 /**
- * Probes the back ends that are assigned to this balancer. One loop a back end: a health probe each interval, and from the
- * first-ranked prober a load probe beside it.
+ * Probes the back ends that are assigned to this balancer. One loop a back end: a health probe each interval, and
+ * from the first-ranked prober a load probe beside it.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import { jitter, type RandomSource } from '../../common/random.js';
@@ -28,7 +28,10 @@
 import { Verdict } from './votes.js';
 
 const MS_PER_SECOND = 1_000;
-/** An unchanged load is reported again after this part of the age at which it would be dropped. Not measured; chosen so that it is sent several times before. */
+/**
+ * An unchanged load is reported again after this part of the age at which it would be dropped. Not measured; chosen
+ * so that it is sent several times before.
+ */
 const LOAD_REFRESH_SHARE = 0.25;
 
 /** What the prober is made with. */
--- a/src/gue-edge/health/service-health.ts
+++ b/src/gue-edge/health/service-health.ts
@@ -1,9 +1,9 @@
 /**
- * Health of one service: forms the beliefs about its back ends, applies the rules that hold for them together, judges their
- * reported loads, and publishes the result.
+ * Health of one service: forms the beliefs about its back ends, applies the rules that hold for them together,
+ * judges their reported loads, and publishes the result.
  *
- * Owns the beliefs and the published health. Relies on the vote table for what others say, on the flow keeper for its own
- * counts of flows, and on its owner to call `evaluate` when time alone changes a belief.
+ * Owns the beliefs and the published health. Relies on the vote table for what others say, on the flow keeper for
+ * its own counts of flows, and on its owner to call `evaluate` when time alone changes a belief.
  */
 import { formatEndpoint } from '../../common/types.js';
 import type { RandomSource } from '../../common/random.js';
--- a/src/gue-edge/health/service-rules.ts
+++ b/src/gue-edge/health/service-rules.ts
@@ -1,15 +1,15 @@
 /**
  * Rules that hold for the back ends of a service together: the cap on ejections and panic.
  *
- * They prevent a fault that all back ends seem to share, a fault of this balancer's own path among them, from leaving a
- * service without back ends. The cap limits what one balancer's view of openings may take out; panic uses every back end
- * once so few are healthy that they could not bear the load. No input or output.
+ * They prevent a fault that all back ends seem to share, a fault of this balancer's own path among them, from
+ * leaving a service without back ends. The cap limits what one balancer's view of openings may take out; panic uses
+ * every back end once so few are healthy that they could not bear the load. No input or output.
  */
 import type { BackendCondition } from './types.js';
 
 /**
- * A service is in panic until the usable share is this much above the limit. Not measured; chosen because without a gap a
- * share at the limit starts and ends the panic with each evaluation.
+ * A service is in panic until the usable share is this much above the limit. Not measured; chosen because without a
+ * gap a share at the limit starts and ends the panic with each evaluation.
  */
 const PANIC_HYSTERESIS = 0.05;
 
@@ -22,9 +22,9 @@
 }
 
 /**
- * Back ends that are used although they are ejected, because the cap allows fewer. The earliest ejections stand; a tie is
- * kept in the order given. One ejection is allowed beside another back end, unless the share is 0. Draining back ends
- * count neither way.
+ * Back ends that are used although they are ejected, because the cap allows fewer. The earliest ejections stand; a
+ * tie is kept in the order given. One ejection is allowed beside another back end, unless the share is 0. Draining
+ * back ends count neither way.
  *
  * @param maxEjectedShare share (0–1) of the back ends that may be ejected
  */
--- a/src/gue-edge/health/types.ts
+++ b/src/gue-edge/health/types.ts
@@ -27,9 +27,10 @@
 }
 
 /**
- * What was seen of a back end on the data path. opened: the opening packet was sent to it. answered: it answered an opening (the
- * return was seen, or the caller went on with the flow). open-timeout: an opening got no answer in time. reset-on-open: it
- * answered the opening with a reset. reset-mid-flow: it reset an established flow (kept as a count, never a reason to eject).
+ * What was seen of a back end on the data path. opened: the opening packet was sent to it. answered: it answered an
+ * opening (the return was seen, or the caller went on with the flow). open-timeout: an opening got no answer in
+ * time. reset-on-open: it answered the opening with a reset. reset-mid-flow: it reset an established flow (kept as
+ * a count, never a reason to eject).
  */
 export type PassiveEvidence = 'opened' | 'open-timeout' | 'reset-on-open' | 'reset-mid-flow' | 'answered';
 
--- a/src/gue-edge/health/votes.ts
+++ b/src/gue-edge/health/votes.ts
@@ -1,8 +1,8 @@
 /**
  * Table of votes: each member's verdict, failures and load report on each back end.
  *
- * Owns the votes and their digest. Relies on each member to raise its version with every change: the newest wins, and a vote
- * of the same version is ignored.
+ * Owns the votes and their digest. Relies on each member to raise its version with every change: the newest wins,
+ * and a vote of the same version is ignored.
  */
 import { combine32 } from '../../common/hash.js';
 import { VOTE_DIGEST_BUCKETS, REMOTE_FAILURE_CAP } from './constants.js';
--- a/src/gue-edge/placement/balance-rule.ts
+++ b/src/gue-edge/placement/balance-rule.ts
@@ -1,10 +1,10 @@
 /**
- * Rules of a service's balance: how the bias follows the share of exceptions, how much excess a first choice may hold, and
- * how far a load report corrects an own count.
+ * Rules of a service's balance: how the bias follows the share of exceptions, how much excess a first choice may
+ * hold, and how far a load report corrects an own count.
  *
- * They prevent exceptions from costing more control bytes than planned, and a false or old report from steering placement:
- * a correction is limited, fades with the report's age, and loses what it is always off by. Counts in flows, shares 0–1, times
- * in ms. A back end without a report is not corrected. No input or output.
+ * They prevent exceptions from costing more control bytes than planned, and a false or old report from steering
+ * placement: a correction is limited, fades with the report's age, and loses what it is always off by. Counts in
+ * flows, shares 0–1, times in ms. A back end without a report is not corrected. No input or output.
  */
 import {
   BIAS_GAIN,
--- a/src/gue-edge/placement/balance-simulation.ts
+++ b/src/gue-edge/placement/balance-simulation.ts
@@ -1,6 +1,7 @@
 /**
- * Deterministic simulation of placement: keepers that share the openings of one service, flows with random lifetimes, back ends
- * that report their load late, and faults on demand. It runs the real policies on a virtual clock; no network, no wall time.
+ * Deterministic simulation of placement: keepers that share the openings of one service, flows with random
+ * lifetimes, back ends that report their load late, and faults on demand. It runs the real policies on a virtual
+ * clock; no network, no wall time.
  */
 import { VirtualClock } from '../../common/clock.js';
 import { jitter, seededRandom, type RandomSource } from '../../common/random.js';
--- a/src/gue-edge/placement/bounded-load-policy.ts
+++ b/src/gue-edge/placement/bounded-load-policy.ts
@@ -1,6 +1,6 @@
 /**
- * The product's policy, bounded load over weighted rendezvous: lists the back ends that may be used, weighs them, applies
- * `bounded-load-rule.ts` and learns from the outcome.
+ * The product's policy, bounded load over weighted rendezvous: lists the back ends that may be used, weighs them,
+ * applies `bounded-load-rule.ts` and learns from the outcome.
  *
  * Owns the balance of each service. Relies on health for eligibility and reported loads, and on the flow keeper for the
  * count of open flows.
--- a/src/gue-edge/placement/bounded-load-rule.ts
+++ b/src/gue-edge/placement/bounded-load-rule.ts
@@ -1,11 +1,12 @@
 /**
  * Rule of bounded load: whether an opening stays with its first choice or becomes an exception, and where that goes.
  *
- * It prevents imbalance that plain rendezvous hashing leaves (peak to mean of open flows in `steady-balance`: 1.051 beside
- * 1.159, docs/records/MEASUREMENTS.md), at the price of a replicated record for each exception. No input or output.
+ * It prevents imbalance that plain rendezvous hashing leaves (peak to mean of open flows in `steady-balance`: 1.051
+ * beside 1.159, docs/records/MEASUREMENTS.md), at the price of a replicated record for each exception. No input or
+ * output.
  *
- * Inputs are the candidates as `ServiceBalance.weigh` has weighed them; loads are flows of this balancer beyond the back
- * end's share. A back end of which no report is known is judged by the own count alone.
+ * Inputs are the candidates as `ServiceBalance.weigh` has weighed them; loads are flows of this balancer beyond the
+ * back end's share. A back end of which no report is known is judged by the own count alone.
  */
 import type { Candidate } from './candidates.js';
 import { EXCEPTION_CANDIDATES, LEAST_GAIN_FLOWS, MIN_ZONE_TOLERANCE_FLOWS } from './constants.js';
@@ -48,10 +49,10 @@
 }
 
 /**
- * Chooses among weighed candidates. Order: a first choice that may not be used leaves only an exception; then the first
- * choice is kept for as long as its excess is tolerated, because it needs no record; then the exception must gain more than
- * the one flow that it moves, or the next opening would move back. Ties go to the first choice, and among alternatives to
- * the one that the flow's hash ranks higher.
+ * Chooses among weighed candidates. Order: a first choice that may not be used leaves only an exception; then the
+ * first choice is kept for as long as its excess is tolerated, because it needs no record; then the exception must
+ * gain more than the one flow that it moves, or the next opening would move back. Ties go to the first choice, and
+ * among alternatives to the one that the flow's hash ranks higher.
  */
 export function chooseBoundedLoad(input: BoundedLoadInput): BoundedLoadChoice {
   const { weighed, firstId } = input;
@@ -82,8 +83,8 @@
 }
 
 /**
- * The least loaded of a few candidates that the flow's hash picks: balancers that learn of one idle back end at the same
- * time send it only the openings whose hash picks it, not all of them.
+ * The least loaded of a few candidates that the flow's hash picks: balancers that learn of one idle back end at the
+ * same time send it only the openings whose hash picks it, not all of them.
  */
 function leastLoaded(input: BoundedLoadInput, others: readonly Candidate[]): Candidate | undefined {
   const picked = weightedRendezvous(input.fingerprint, others, EXCEPTION_CANDIDATES);
--- a/src/gue-edge/placement/candidates.ts
+++ b/src/gue-edge/placement/candidates.ts
@@ -1,8 +1,8 @@
 /**
  * Rule of eligibility: the back ends of a service that may take an opening now.
  *
- * It prevents openings at back ends that drain, were tried already, are out of use or full. Conditions that need no look-up
- * come first. An unknown load excludes nobody; then the own count alone limits. No input or output.
+ * It prevents openings at back ends that drain, were tried already, are out of use or full. Conditions that need no
+ * look-up come first. An unknown load excludes nobody; then the own count alone limits. No input or output.
  */
 import type { EffectiveBackend } from '../../settings/types.js';
 import type { BackendHealth } from '../health/types.js';
@@ -18,7 +18,10 @@
   /** Flows this balancer keeps there. */
   readonly ownFlows: number;
   readonly health: BackendHealth;
-  /** Flows of this balancer that the back end would hold if load followed weight exactly; set by `ServiceBalance.weigh`. */
+  /**
+   * Flows of this balancer that the back end would hold if load followed weight exactly; set by
+   * `ServiceBalance.weigh`.
+   */
   share: number;
   /** Flows beyond the share, corrected by reports; negative when below. Set by `ServiceBalance.weigh`. */
   excess: number;
--- a/src/gue-edge/placement/create-policy.ts
+++ b/src/gue-edge/placement/create-policy.ts
@@ -1,4 +1,7 @@
-/** Creates a policy by its mode, counts its decisions and logs a service without an eligible back end. Decides nothing itself. */
+/**
+ * Creates a policy by its mode, counts its decisions and logs a service without an eligible back end. Decides
+ * nothing itself.
+ */
 import { BaselinePolicy } from './baseline-policies.js';
 import { BoundedLoadPolicy } from './bounded-load-policy.js';
 import { UnknownPlacementModeError } from './errors.js';
--- a/src/gue-edge/placement/limit-rules.test.ts
+++ b/src/gue-edge/placement/limit-rules.test.ts
@@ -21,7 +21,10 @@
   };
 }
 
-/** Limit on connections, connections, share, tokens of the service and of the client; expected reason and tokens left. */
+/**
+ * Limit on connections, connections, share, tokens of the service and of the client; expected reason and tokens
+ * left.
+ */
 const OPENINGS = [
   ['no limit', undefined, 9, 1, undefined, undefined, undefined, undefined, undefined],
   ['admitted', 10, 9, 1, 1, 1, undefined, 0, 0],
--- a/src/gue-edge/placement/limit-rules.ts
+++ b/src/gue-edge/placement/limit-rules.ts
@@ -1,6 +1,6 @@
 /**
- * Rule of the limits on openings. It prevents one client or service from using up what the back ends or the others need.
- * A limit holds for the whole fleet, and each balancer enforces its share of it. No input or output.
+ * Rule of the limits on openings. It prevents one client or service from using up what the back ends or the others
+ * need. A limit holds for the whole fleet, and each balancer enforces its share of it. No input or output.
  */
 import { BURST_MS } from './constants.js';
 import type { RefusalReason } from './types.js';
@@ -23,14 +23,17 @@
   /** This balancer's part (0–1] of the fleet's limits. */
   readonly share: number;
   readonly serviceTokens: () => Tokens | undefined;
-  /** Tokens of the client address; asked for only when the service has some, so that other refusals remember no clients. */
+  /**
+   * Tokens of the client address; asked for only when the service has some, so that other refusals remember no
+   * clients.
+   */
   readonly clientTokens: () => Tokens | undefined;
 }
 
 /**
- * Judges one opening and takes its tokens when it is admitted; a refused one takes none. Order: connections cost nothing
- * to compare; the service's tokens are only looked at until the client's are taken, so that a client beyond its limit does
- * not use up the service's. Returns undefined when admitted.
+ * Judges one opening and takes its tokens when it is admitted; a refused one takes none. Order: connections cost
+ * nothing to compare; the service's tokens are only looked at until the client's are taken, so that a client beyond
+ * its limit does not use up the service's. Returns undefined when admitted.
  */
 export function judgeLimits(input: LimitInput): RefusalReason | undefined {
   const { maxConnections, openFlows, share } = input;
--- a/src/gue-edge/placement/opening-limiter.ts
+++ b/src/gue-edge/placement/opening-limiter.ts
@@ -1,11 +1,12 @@
 /**
  * Limits on openings: connections and openings a second of a service, openings a second of a client address.
  *
- * A limit holds for the whole fleet; each balancer enforces its share of it, limit / number of balancers that own shards.
- * Flows are split over the shards by hash, so the error is small: with n balancers and a limit of L a second, a balancer that
- * gets more than its part refuses although the fleet is below L (about sqrt(n / L) of the limit, one standard deviation), and a
- * client with few flows whose shards fall to one balancer gets about max(1, L / n) there. Each share allows at least one
- * opening a second and one connection, so a fleet larger than the limit admits up to one for each balancer.
+ * A limit holds for the whole fleet; each balancer enforces its share of it, limit / number of balancers that own
+ * shards. Flows are split over the shards by hash, so the error is small: with n balancers and a limit of L a
+ * second, a balancer that gets more than its part refuses although the fleet is below L (about sqrt(n / L) of the
+ * limit, one standard deviation), and a client with few flows whose shards fall to one balancer gets about max(1, L
+ * / n) there. Each share allows at least one opening a second and one connection, so a fleet larger than the limit
+ * admits up to one for each balancer.
  *
  * Owns the token buckets of services and of client addresses; the rule is in `limit-rules.ts`.
  */
--- a/src/gue-edge/placement/retry-budget.ts
+++ b/src/gue-edge/placement/retry-budget.ts
@@ -1,6 +1,6 @@
 /**
- * Budget of retries on another back end, as a share of openings. The flow keeper asks it before it repeats an opening whose
- * back end has accepted nothing; a retry after acceptance is never made and so never asked for.
+ * Budget of retries on another back end, as a share of openings. The flow keeper asks it before it repeats an
+ * opening whose back end has accepted nothing; a retry after acceptance is never made and so never asked for.
  */
 import type { Clock } from '../../common/clock.js';
 import { RETRY_FLOOR_PER_SECOND, RETRY_WINDOW_MS } from './constants.js';
--- a/src/gue-edge/placement/service-balance.ts
+++ b/src/gue-edge/placement/service-balance.ts
@@ -70,10 +70,11 @@
 
   /**
    * Corrects own counts by what the back ends report: the report minus the own count at the time is what the other
-   * keepers hold beyond the share. The correction is limited and fades with age; how fast follows
-   * from the lifetime of the flows, because an old total of short flows says little. What the other keepers hold beyond the share
-   * wanders around zero, because each of them balances its own flows; so a correction that stays is an error of the report, and
-   * its average over a few turnovers of the flows is taken off. A false report steers for a few lifetimes of a flow at most.
+   * keepers hold beyond the share. The correction is limited and fades with age; how fast follows from the lifetime
+   * of the flows, because an old total of short flows says little. What the other keepers hold beyond the share
+   * wanders around zero, because each of them balances its own flows; so a correction that stays is an error of the
+   * report, and its average over a few turnovers of the flows is taken off. A false report steers for a few
+   * lifetimes of a flow at most.
    */
   private applyReports(weighed: readonly Candidate[], ownFlows: number, nowMs: number): void {
     let reportedFlows = 0;
--- a/src/gue-edge/placement/simulated-service.ts
+++ b/src/gue-edge/placement/simulated-service.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of simulated services: the back ends and services that the balance simulation, the health simulation and the flow
- * model are run with. Ids are those that the settings tree would give: hashes of the names.
+ * Settings of simulated services: the back ends and services that the balance simulation, the health simulation and
+ * the flow model are run with. Ids are those that the settings tree would give: hashes of the names.
  */
 import { hashString } from '../../common/hash.js';
 import {
--- a/src/gue-edge/placement/weighted-rendezvous.ts
+++ b/src/gue-edge/placement/weighted-rendezvous.ts
@@ -1,6 +1,7 @@
 /**
- * Weighted rendezvous hashing: every balancer ranks the same back ends in the same order for a flow, a back end is first
- * for a share of the flows proportional to its weight, and a change of one back end moves only flows from or to it.
+ * Weighted rendezvous hashing: every balancer ranks the same back ends in the same order for a flow, a back end is
+ * first for a share of the flows proportional to its weight, and a change of one back end moves only flows from or
+ * to it.
  */
 import { combine32 } from '../../common/hash.js';
 import type { FlowFingerprint } from './types.js';
