--- a/src/gue-edge/control/index.ts
+++ b/src/gue-edge/control/index.ts
@@ -19,7 +19,5 @@
 export { CONTROL_EVENTS } from './events.js';
 export { KeyRing } from './key-ring.js';
 export type { MeterSnapshot } from './meter.js';
-export { PausableClock } from './pausable-clock.js';
-export { SimulatedChannel, SimulatedNetwork, type SimulatedNetworkOptions } from './simulated-network.js';
 export { UdpControlChannel, type ControlDropReason, type UdpControlChannelOptions } from './udp-channel.js';
 export type { VersionRange } from './version.js';
--- a/src/gue-edge/dissemination/distributor.test.ts
+++ b/src/gue-edge/dissemination/distributor.test.ts
@@ -9,7 +9,7 @@
   SimulatedCluster,
   type ClusterMember,
   type ClusterOptions,
-} from './simulated-cluster.js';
+} from '../testing/simulated-settings-cluster.js';
 import { settingsTreeCodec } from './tree-codec.js';
 import type { TreeHolder } from './tree-holder.js';
 
--- a/src/gue-edge/dissemination/store-reader.test.ts
+++ b/src/gue-edge/dissemination/store-reader.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { seededRandom } from '../../common/random.js';
-import { PausableClock } from '../control/index.js';
+import { PausableClock } from '../testing/pausable-clock.js';
 import type { Member } from '../membership/types.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { InMemoryPlatform } from '../../standin/platform/in-memory-platform.js';
--- a/src/gue-edge/flow/baselines/baselines.test.ts
+++ b/src/gue-edge/flow/baselines/baselines.test.ts
@@ -8,7 +8,7 @@
 import type { EffectiveSettings } from '../../../settings/types.js';
 import { createForwarder } from '../create-forwarder.js';
 import { FlowKeeper } from '../flow-keeper.js';
-import { serviceAddress, SettingsScript } from '../model/settings-script.js';
+import { serviceAddress, SettingsScript } from '../../testing/flow-model/settings-script.js';
 import type { FlowComponents } from '../packet-forwarder.js';
 import { LocalTableForwarder } from './local-table-forwarder.js';
 import { RendezvousForwarder } from './rendezvous-forwarder.js';
--- a/src/gue-edge/flow/flow-keeper.test.ts
+++ b/src/gue-edge/flow/flow-keeper.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
-import type { SimulatedChannel } from '../control/simulated-network.js';
+import type { SimulatedChannel } from '../testing/simulated-network.js';
 import { backendKey } from './backend-catalogue.js';
 import { fingerprintFlow, shardOf } from './flow-key.js';
-import { ModelCluster } from './model/model-cluster.js';
-import type { ModelOptions } from './model/model-world.js';
-import type { ModelFlow } from './model/model-flow.js';
-import { serviceAddress } from './model/settings-script.js';
+import { ModelCluster } from '../testing/flow-model/model-cluster.js';
+import type { ModelOptions } from '../testing/flow-model/model-world.js';
+import type { ModelFlow } from '../testing/flow-model/model-flow.js';
+import { serviceAddress } from '../testing/flow-model/settings-script.js';
 import { sailquay } from './pb/flow.js';
 import { packPart } from './record-codec.js';
 
--- a/src/gue-edge/flow/model-check.test.ts
+++ b/src/gue-edge/flow/model-check.test.ts
@@ -3,7 +3,7 @@
  * membership views differ. The rules stand in model/; a failure prints its seed, and `checkSeed` shortens the schedule.
  */
 import test from 'ava';
-import { checkSeed, type ActionKind, type ScheduleOptions } from './model/schedule.js';
+import { checkSeed, type ActionKind, type ScheduleOptions } from '../testing/flow-model/schedule.js';
 
 interface Mix {
   readonly name: string;
--- a/src/gue-edge/flow/refusals.test.ts
+++ b/src/gue-edge/flow/refusals.test.ts
@@ -9,7 +9,7 @@
 import { ORPHAN_WAIT_MS } from './constants.js';
 import { FlowKeeper } from './flow-keeper.js';
 import type { FlowComponents } from './packet-forwarder.js';
-import { serviceAddress, SettingsScript } from './model/settings-script.js';
+import { serviceAddress, SettingsScript } from '../testing/flow-model/settings-script.js';
 import type { RefusalCause } from './types.js';
 
 const ENDPOINT = { host: '127.0.0.1', port: 1 };
--- a/src/gue-edge/flow/sole-owner.test.ts
+++ b/src/gue-edge/flow/sole-owner.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { ModelCluster } from './model/model-cluster.js';
+import { ModelCluster } from '../testing/flow-model/model-cluster.js';
 
 const SETTINGS = { nodes: 2, spreadMs: 0, resetRate: 0, sprayRate: 1, budgetBytesPerSecond: 28_000 } as const;
 
--- a/src/gue-edge/health/health-monitor.test.ts
+++ b/src/gue-edge/health/health-monitor.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import fc from 'fast-check';
-import { HealthSimulation, simulatedBackend, type HealthSimulationOptions } from './health-simulation.js';
+import { HealthSimulation, simulatedBackend, type HealthSimulationOptions } from '../testing/index.js';
 import { HEALTH_EVENTS } from './events.js';
 import type { BackendHealth } from './types.js';
 
--- a/src/gue-edge/health/settings-change.test.ts
+++ b/src/gue-edge/health/settings-change.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { HealthSimulation } from './health-simulation.js';
+import { HealthSimulation } from '../testing/health-simulation.js';
 import { ProberRanking } from './prober-assignment.js';
 import { ServiceHealth } from './service-health.js';
 
--- a/src/gue-edge/membership/quorum.test.ts
+++ b/src/gue-edge/membership/quorum.test.ts
@@ -3,7 +3,7 @@
 import type { VirtualClock } from '../../common/clock.js';
 import { seededRandom, pick } from '../../common/random.js';
 import { StoreError } from '../../store/errors.js';
-import { SimulatedCluster } from './simulated-cluster.js';
+import { SimulatedCluster } from '../testing/simulated-membership-cluster.js';
 import type { MembershipPlatform } from './membership-options.js';
 
 /** The platform's leases; members in `unreachable` get no answer. */
--- a/src/gue-edge/membership/swim-membership.test.ts
+++ b/src/gue-edge/membership/swim-membership.test.ts
@@ -2,9 +2,9 @@
 import { Subject } from '../../common/event-stream.js';
 import { hashString } from '../../common/hash.js';
 import type { EventDefinition } from '../../observability/event.js';
-import { measureMembershipCost } from './cost-model.js';
+import { measureMembershipCost } from '../testing/membership-cost.js';
 import { MEMBERSHIP_EVENTS } from './events.js';
-import { SimulatedCluster, type SimulatedMember } from './simulated-cluster.js';
+import { SimulatedCluster, type SimulatedMember } from '../testing/simulated-membership-cluster.js';
 import { encodeMessage, MessageType } from './wire.js';
 
 /** Ids of the members that own shards in a member's view. */
--- a/src/gue-edge/flow/model/model-cluster.ts
+++ b/src/gue-edge/testing/flow-model/model-cluster.ts
@@ -2,11 +2,11 @@
 import { VirtualClock } from '../../../common/clock.js';
 import { pick, seededRandom, type RandomSource } from '../../../common/random.js';
 import type { Endpoint } from '../../../common/types.js';
-import { PausableClock } from '../../control/pausable-clock.js';
-import { SimulatedNetwork } from '../../control/simulated-network.js';
+import { PausableClock } from '../pausable-clock.js';
+import { SimulatedNetwork } from '../simulated-network.js';
 import type { PacketView } from '../../../fabric/types.js';
 import type { Member, MemberState } from '../../membership/types.js';
-import { SHARD_COUNT } from '../constants.js';
+import { SHARD_COUNT } from '../../flow/constants.js';
 import { ModelFlow } from './model-flow.js';
 import { ModelNode, type ModelWire } from './model-node.js';
 import { ModelPartition } from './model-partition.js';
--- a/src/gue-edge/flow/model/model-node.ts
+++ b/src/gue-edge/testing/flow-model/model-node.ts
@@ -2,15 +2,15 @@
 import { Subject } from '../../../common/event-stream.js';
 import type { RandomSource } from '../../../common/random.js';
 import type { Endpoint } from '../../../common/types.js';
-import type { PausableClock } from '../../control/pausable-clock.js';
-import type { SimulatedChannel } from '../../control/simulated-network.js';
+import type { PausableClock } from '../pausable-clock.js';
+import type { SimulatedChannel } from '../simulated-network.js';
 import type { EdgePort, PacketView } from '../../../fabric/types.js';
 import type { BackendHealth } from '../../health/types.js';
 import type { Member, MembershipView, MemberState } from '../../membership/types.js';
 import { createPlacementPolicy } from '../../placement/index.js';
 import { SILENT_EVENT_LOG } from '../../../observability/event.js';
 import type { EffectiveSettings } from '../../../settings/types.js';
-import { FlowKeeper } from '../flow-keeper.js';
+import { FlowKeeper } from '../../flow/flow-keeper.js';
 
 /** Short, so that rebases happen while flows are still unknown to their keeper. */
 const LEARNING_MS = 12_000;
--- a/src/gue-edge/health/health-simulation.ts
+++ b/src/gue-edge/testing/health-simulation.ts
@@ -21,9 +21,9 @@
   EffectiveSettings,
   HealthPolicy,
 } from '../../settings/types.js';
-import { HealthMonitor } from './health-monitor.js';
-import { HEALTH_PATH, type ProbeResponse } from './probe.js';
-import type { BackendHealth } from './types.js';
+import { HealthMonitor } from '../health/health-monitor.js';
+import { HEALTH_PATH, type ProbeResponse } from '../health/probe.js';
+import type { BackendHealth } from '../health/types.js';
 
 /** What is simulated. */
 export interface HealthSimulationOptions {
--- a/src/gue-edge/membership/cost-model.ts
+++ b/src/gue-edge/testing/membership-cost.ts
@@ -1,5 +1,5 @@
 /** Measures what membership costs and how fast it notices a crash, on the simulated network. */
-import { SimulatedCluster, type SimulatedMember } from './simulated-cluster.js';
+import { SimulatedCluster, type SimulatedMember } from './simulated-membership-cluster.js';
 
 /** Figures of one run. Bytes include envelope, IP and UDP headers. */
 interface MembershipCost {
--- a/src/gue-edge/membership/simulated-cluster.ts
+++ b/src/gue-edge/testing/simulated-membership-cluster.ts
@@ -6,13 +6,14 @@
 import { VirtualClock } from '../../common/clock.js';
 import { combine32 } from '../../common/hash.js';
 import { seededRandom } from '../../common/random.js';
-import { PausableClock, SimulatedNetwork, type SimulatedChannel } from '../control/index.js';
+import { PausableClock } from './pausable-clock.js';
+import { SimulatedNetwork, type SimulatedChannel } from './simulated-network.js';
 import type { Endpoint } from '../../common/types.js';
 import type { EventLog } from '../../observability/event.js';
-import type { MembershipTiming } from './constants.js';
-import type { MemberIdentity } from './member-record.js';
-import type { MembershipPlatform } from './membership-options.js';
-import { SwimMembership } from './swim-membership.js';
+import type { MembershipTiming } from '../membership/constants.js';
+import type { MemberIdentity } from '../membership/member-record.js';
+import type { MembershipPlatform } from '../membership/membership-options.js';
+import { SwimMembership } from '../membership/swim-membership.js';
 
 /** Shape of the region. */
 export interface SimulatedClusterOptions {
--- a/src/gue-edge/control/simulated-network.test.ts
+++ b/src/gue-edge/testing/simulated-network.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { seededRandom } from '../../common/random.js';
-import { messageWireBytes } from './envelope.js';
+import { messageWireBytes } from '../control/envelope.js';
 import { PausableClock } from './pausable-clock.js';
 import {
   SimulatedNetwork,
--- a/src/gue-edge/control/simulated-network.ts
+++ b/src/gue-edge/testing/simulated-network.ts
@@ -7,16 +7,16 @@
 import type { Clock } from '../../common/clock.js';
 import type { RandomSource } from '../../common/random.js';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
-import { ControlBudget } from './budget.js';
-import { DEFAULT_BUDGET_BYTES_PER_SECOND, PROTOCOL_VERSION_MAX } from './constants.js';
-import { messageWireBytes } from './envelope.js';
-import { ControlMeter, type MeterSnapshot } from './meter.js';
+import { ControlBudget } from '../control/budget.js';
+import { DEFAULT_BUDGET_BYTES_PER_SECOND, PROTOCOL_VERSION_MAX } from '../control/constants.js';
+import { messageWireBytes } from '../control/envelope.js';
+import { ControlMeter, type MeterSnapshot } from '../control/meter.js';
 import {
   MAX_CONTROL_PAYLOAD_BYTES,
   type ControlChannel,
   type ControlKind,
   type InboundControlMessage,
-} from './types.js';
+} from '../control/types.js';
 
 /** Faults and delays; rates are 0–1. */
 export interface SimulatedNetworkOptions {
--- a/src/gue-edge/dissemination/simulated-cluster.ts
+++ b/src/gue-edge/testing/simulated-settings-cluster.ts
@@ -6,13 +6,14 @@
 import { VirtualClock } from '../../common/clock.js';
 import { seededRandom, type RandomSource } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
-import { PausableClock, SimulatedNetwork, type SimulatedChannel } from '../control/index.js';
+import { PausableClock } from './pausable-clock.js';
+import { SimulatedNetwork, type SimulatedChannel } from './simulated-network.js';
 import type { Member, MembershipFeed, MembershipView } from '../membership/types.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import type { EffectiveSettings, TreeDocument, TreeNode } from '../../settings/index.js';
 import { TREE_OBJECT_KEY } from '../../settings/index.js';
 import { InMemoryPlatform } from '../../standin/platform/in-memory-platform.js';
-import { SettingsDistributor } from './distributor.js';
+import { SettingsDistributor } from '../dissemination/distributor.js';
 
 const REGION = 'test';
 const CONTROL_PORT = 7_946;
