--- a/src/cookie-edge/backend-health/constants.ts
+++ b/src/cookie-edge/backend-health/constants.ts
@@ -2,7 +2,7 @@
 
 /**
  * An opening that its caller has not continued after this long is unanswered. Derived: below the 200 ms after which
- * callers retransmit a SYN. The forwarder checks once a `GOSSIP_TICK_MS`, so the failure is counted up to that much
+ * callers retransmit a SYN. The forwarder checks once a `HOUSEKEEPING_TICK_MS`, so the failure is counted up to that much
  * later.
  */
 export const OPENING_ANSWER_MS = 150;
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -48,7 +48,7 @@
   readonly events: EventLog;
   readonly knowledge: RoutingKnowledge;
   readonly edge: CookieEdgePort;
-  /** Ticked by the forwarder every `GOSSIP_TICK_MS`. */
+  /** Ticked by the forwarder every `HOUSEKEEPING_TICK_MS`. */
   readonly pauses: PauseDetector;
   readonly zone: string;
   /** Flows for each unit of capacity that a back end of another zone must have less. */
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -25,7 +25,7 @@
   readonly expiry: FlowExpiry;
 }
 
-/** Runs every `GOSSIP_TICK_MS`. Times are monotonic ms. */
+/** Runs every `HOUSEKEEPING_TICK_MS`. Times are monotonic ms. */
 export class Housekeeping {
   constructor(private readonly options: HousekeepingOptions) {}
 
--- a/src/gue-edge/flow/kept-flows.ts
+++ b/src/gue-edge/flow/kept-flows.ts
@@ -1,7 +1,7 @@
 /**
  * Packets of shards that are kept here: forwards those of known flows, opens flows, and answers for unknown ones.
  *
- * Owns the state of each flow in the kept tables. Relies on `known-flow-rule.ts` and `keeper-authority.ts` for what
+ * Owns the state of each flow in the kept tables. Relies on `known-flow-rule.ts` and `keeper-authority-rules.ts` for what
  * may be done, and on `Openings` for flows without an answer.
  */
 import { sameEndpoint, type Endpoint } from '../../common/types.js';
