--- a/src/cookie-edge/backend-health/constants.ts
+++ b/src/cookie-edge/backend-health/constants.ts
@@ -2,8 +2,8 @@
 
 /**
  * An opening that its caller has not continued after this long is unanswered. Derived: below the 200 ms after which
- * callers retransmit a SYN. The forwarder checks once a `HOUSEKEEPING_TICK_MS`, so the failure is counted up to that much
- * later.
+ * callers retransmit a SYN. The forwarder checks once a `HOUSEKEEPING_TICK_MS`, so the failure is counted up to
+ * that much later.
  */
 export const OPENING_ANSWER_MS = 150;
 
--- a/src/gue-edge/flow/kept-flows.ts
+++ b/src/gue-edge/flow/kept-flows.ts
@@ -1,8 +1,8 @@
 /**
  * Packets of shards that are kept here: forwards those of known flows, opens flows, and answers for unknown ones.
  *
- * Owns the state of each flow in the kept tables. Relies on `known-flow-rule.ts` and `keeper-authority-rules.ts` for what
- * may be done, and on `Openings` for flows without an answer.
+ * Owns the state of each flow in the kept tables. Relies on `known-flow-rule.ts` and `keeper-authority-rules.ts`
+ * for what may be done, and on `Openings` for flows without an answer.
  */
 import { sameEndpoint, type Endpoint } from '../../common/types.js';
 import type { PacketView } from '../../fabric/types.js';
