--- a/src/cookie-edge/admission/crowd-admission.ts
+++ b/src/cookie-edge/admission/crowd-admission.ts
@@ -4,11 +4,11 @@
  * the roster and gossip for the size of the fleet.
  */
 import type { Route, RoutingKnowledge } from '../routing/index.js';
-import { RETURN_MS } from './constants.js';
-import { mustYield } from './yield-rule.js';
+import { RECOVERY_MS } from './constants.js';
+import { shouldDefer } from './yield-rule.js';
 
 /** Collaborators. */
-interface CrowdAdmissionOptions {
+interface RecoveryAdmissionOptions {
   readonly knowledge: RoutingKnowledge;
   /** Number of daemons, this one included; undefined while unknown. */
   readonly fleetSize: () => number | undefined;
@@ -26,19 +26,19 @@
 
 /** Admission of one daemon. Times are monotonic ms. */
 export class CrowdAdmission {
-  private returnedAtMs: number | undefined;
+  private recoveryStartedAtMs: number | undefined;
 
-  constructor(private readonly options: CrowdAdmissionOptions) {}
+  constructor(private readonly options: RecoveryAdmissionOptions) {}
 
   /** Call at the first opening, and whenever openings had to be held for want of back ends. */
   recordReturn(nowMs: number): void {
-    this.returnedAtMs = nowMs;
+    this.recoveryStartedAtMs = nowMs;
   }
 
   /** True while late openings may have to yield. The first opening begins the return after a start. */
   isReturning(nowMs: number): boolean {
-    this.returnedAtMs ??= nowMs;
-    return nowMs - this.returnedAtMs < RETURN_MS;
+    this.recoveryStartedAtMs ??= nowMs;
+    return nowMs - this.recoveryStartedAtMs < RECOVERY_MS;
   }
 
   /** True when an opening of `route` is to be held in favour of others. */
@@ -50,8 +50,8 @@
       slots += this.slotsOf(service);
       inProgress += inProgressAt(service, nowMs);
     }
-    const daemons = fleetSize();
-    return mustYield({ isReturning: true, ...caller, targetLatencyMs, inProgress, slots, daemons });
+    const daemonCount = fleetSize();
+    return shouldDefer({ isRecovering: true, ...caller, targetLatencyMs, inProgress, slots, daemonCount });
   }
 
   /** Slots of the back ends that may get flows, those included that are only remembered. */
--- a/src/cookie-edge/admission/yield-rule.ts
+++ b/src/cookie-edge/admission/yield-rule.ts
@@ -15,9 +15,9 @@
  */
 
 /** What the rule looks at. */
-export interface YieldSituation {
+export interface DeferralInputs {
   /** This daemon, or the back ends of the route, came back less than `RETURN_MS` ago. */
-  readonly isReturning: boolean;
+  readonly isRecovering: boolean;
   /** Time since the caller sent its first packet. */
   readonly waitedMs: number;
   /** Time within which the route's requests should be answered; undefined: none. */
@@ -29,18 +29,18 @@
   /** Requests that the services work on at once, all back ends together. */
   readonly slots: number;
   /** Daemons that share them; undefined while unknown. */
-  readonly daemons: number | undefined;
+  readonly daemonCount: number | undefined;
 }
 
 /** True when the opening is held in favour of others. */
-export function mustYield(situation: YieldSituation): boolean {
-  const { isReturning, waitedMs, targetLatencyMs, isLastChance, inProgress, slots } = situation;
-  if (!isReturning || targetLatencyMs === undefined || waitedMs < targetLatencyMs) return false;
+export function shouldDefer(inputs: DeferralInputs): boolean {
+  const { isRecovering, waitedMs, targetLatencyMs, isLastChance, inProgress, slots } = inputs;
+  if (!isRecovering || targetLatencyMs === undefined || waitedMs < targetLatencyMs) return false;
   if (isLastChance || slots === 0) return false;
-  return inProgress >= shareOf(situation);
+  return inProgress >= slotShareOf(inputs);
 }
 
 /** Requests that this daemon may have in progress before late ones yield, rounded up: an idle slot serves nobody. */
-function shareOf({ slots, daemons }: YieldSituation): number {
-  return daemons === undefined ? 1 : Math.max(1, Math.ceil(slots / daemons));
+function slotShareOf({ slots, daemonCount }: DeferralInputs): number {
+  return daemonCount === undefined ? 1 : Math.max(1, Math.ceil(slots / daemonCount));
 }
--- a/src/cookie-edge/placement/backend-eligibility.test.ts
+++ b/src/cookie-edge/placement/backend-eligibility.test.ts
@@ -18,53 +18,53 @@
 const COLD_MS = 2_000;
 
 /** Back ends `a`, `b`, ... in the given zones. */
-function inZones(...zones: readonly string[]): RoutedBackend[] {
+function backendsInZones(...zones: readonly string[]): RoutedBackend[] {
   return backends(zones.length).map((backend, index) => ({ ...backend, zone: zones[index] as string }));
 }
 
-function harnessOf(surroundings: HarnessSurroundings): ForwarderHarness {
+function createHarness(surroundings: HarnessSurroundings): ForwarderHarness {
   return new ForwarderHarness(new VirtualClock(), 1, [], surroundings);
 }
 
 /** Back ends that `count` new flows get; undefined for a reset. */
-function targetsOf(harness: ForwarderHarness, count: number, fromPort = 50_000): (string | undefined)[] {
+function openNewFlows(harness: ForwarderHarness, count: number, fromPort = 50_000): (string | undefined)[] {
   return Array.from({ length: count }, (_unused, index) => harness.open(fromPort + index)?.backend);
 }
 
 test('no new flow goes to a cordoned zone, and the zone gets flows again when that is taken back', (t) => {
-  const harness = new ForwarderHarness().know(inZones('north', 'south', 'south'));
+  const harness = new ForwarderHarness().know(backendsInZones('north', 'south', 'south'));
   harness.cordon(['north'], 11);
-  t.false(targetsOf(harness, 30).includes('a'));
+  t.false(openNewFlows(harness, 30).includes('a'));
   harness.cordon([], 12);
-  t.true(targetsOf(harness, 30, 51_000).includes('a'));
+  t.true(openNewFlows(harness, 30, 51_000).includes('a'));
 });
 
 test('open flows at a back end of a cordoned zone go on', (t) => {
-  const harness = new ForwarderHarness().know(inZones('north'));
+  const harness = new ForwarderHarness().know(backendsInZones('north'));
   const { cookie } = harness.establish(40_002);
   harness.cordon(['north'], 11);
   t.is(harness.goOn(40_002, cookie)?.backend, 'a');
 });
 
 test('a copy of a SYN goes where the first one went, though its zone was cordoned meanwhile', (t) => {
-  const harness = new ForwarderHarness().know(inZones('north', 'south'));
+  const harness = new ForwarderHarness().know(backendsInZones('north', 'south'));
   const first = harness.open(40_002)?.backend;
   harness.cordon([first === 'a' ? 'north' : 'south'], 11);
   t.is(harness.open(40_002, 1)?.backend, first);
 });
 
 /** What is left where every back end outside of the cordoned zone cannot serve. */
-const LEFT: readonly (readonly [string, (harness: ForwarderHarness) => void])[] = [
-  ['nothing', (harness) => void harness.know(inZones('north', 'north'))],
+const REMAINING_BACKEND_CASES: readonly (readonly [string, (harness: ForwarderHarness) => void])[] = [
+  ['nothing', (harness) => void harness.know(backendsInZones('north', 'north'))],
   [
     'one that drains',
     (harness) =>
-      void harness.know([...inZones('north'), backendAt('z', 2, { zone: 'south', draining: true })]),
+      void harness.know([...backendsInZones('north'), backendAt('z', 2, { zone: 'south', draining: true })]),
   ],
   [
     'a record that may only have lapsed, in the cordoned zone as well',
     (harness) => {
-      harness.know(inZones('north'));
+      harness.know(backendsInZones('north'));
       harness.establish(40_002);
       harness.depart('a', 11, true);
     },
@@ -72,14 +72,14 @@
   [
     'an ejected one, in the cordoned zone as well',
     (harness) => {
-      harness.know(inZones('north', 'north'));
+      harness.know(backendsInZones('north', 'north'));
       failOpenings(harness, 'a', 3, 41_000);
       harness.clock.advance(5_000);
     },
   ],
 ];
 
-for (const [name, prepare] of LEFT) {
+for (const [name, prepare] of REMAINING_BACKEND_CASES) {
   test(`a caller is refused at once where a cordoned zone leaves ${name}`, (t) => {
     const harness = new ForwarderHarness();
     prepare(harness);
@@ -103,15 +103,19 @@
     ],
   };
   const beta = backendAt('b', 2, { service: 'beta', zone: 'south' });
-  const harness = new ForwarderHarness().know([...inZones('north'), beta], { routes: [route] });
+  const harness = new ForwarderHarness().know([...backendsInZones('north'), beta], { routes: [route] });
   harness.cordon(['north'], 11);
-  t.deepEqual(new Set(targetsOf(harness, 20)), new Set(['b']));
+  t.deepEqual(new Set(openNewFlows(harness, 20)), new Set(['b']));
 });
 
 const REGIONS = { north: 'east-coast', south: 'west-coast', middle: 'inland' };
 
 /** Allowed regions of a route, zones of the back ends `a`, `b`, ..., and the back ends that get its flows. */
-const HOMES: readonly (readonly [readonly string[] | undefined, readonly string[], readonly string[]])[] = [
+const REGION_CASES: readonly (readonly [
+  readonly string[] | undefined,
+  readonly string[],
+  readonly string[],
+])[] = [
   [undefined, ['north', 'south'], ['a', 'b']],
   [['east-coast'], ['north', 'south'], ['a']],
   [
@@ -123,44 +127,48 @@
   [['east-coast'], ['north', 'nowhere'], ['a']],
 ];
 
-for (const [allowedRegions, zones, expected] of HOMES) {
+for (const [allowedRegions, zones, expected] of REGION_CASES) {
   test(`a route of ${allowedRegions ?? 'all regions'} is served from ${zones} by ${expected.join() || 'nobody'}`, (t) => {
-    const harness = harnessOf({ regions: REGIONS });
+    const harness = createHarness({ regions: REGIONS });
     const targets = [{ service: 'alpha', weight: 1 }];
     const route = { name: 'r', address: SERVICE_ADDRESS, port: SERVICE_PORT, targets, allowedRegions };
-    harness.know(inZones(...zones), { routes: [route] });
-    const chosen = targetsOf(harness, 30).filter((backend) => backend !== undefined);
+    harness.know(backendsInZones(...zones), { routes: [route] });
+    const chosen = openNewFlows(harness, 30).filter((backend) => backend !== undefined);
     t.deepEqual([...new Set(chosen)].sort(), [...expected]);
   });
 }
 
 /** A cold back end `c` beside warm ones, with a rate for cold ones. */
-function withColdOne(surroundings: HarnessSurroundings, warm: number, rate: number): ForwarderHarness {
+function harnessWithColdBackend(
+  surroundings: HarnessSurroundings,
+  warmCount: number,
+  rate: number,
+): ForwarderHarness {
   const services = [{ name: 'alpha', maxConnections: 2_000, coldRequestsPerSecond: rate }];
   const cold = backendAt('cold', 5, { coldMs: COLD_MS });
-  return harnessOf(surroundings).know([...backends(warm), cold], { services });
+  return createHarness(surroundings).know([...backends(warmCount), cold], { services });
 }
 
 test('a cold back end gets flows from its owners only, and from all balancers once it is warm', (t) => {
-  const owner = withColdOne({ isOwner: () => true }, 3, 5);
-  const other = withColdOne({ isOwner: () => false }, 3, 5);
-  t.true(targetsOf(owner, 20).includes('cold'));
-  t.false(targetsOf(other, 20).includes('cold'));
+  const owner = harnessWithColdBackend({ isOwner: () => true }, 3, 5);
+  const other = harnessWithColdBackend({ isOwner: () => false }, 3, 5);
+  t.true(openNewFlows(owner, 20).includes('cold'));
+  t.false(openNewFlows(other, 20).includes('cold'));
   other.clock.advance(COLD_MS);
-  t.true(targetsOf(other, 20, 51_000).includes('cold'));
+  t.true(openNewFlows(other, 20, 51_000).includes('cold'));
 });
 
 test('a caller is refused at once where nothing but a cold back end is left that has had its flows', (t) => {
-  const harness = withColdOne({}, 0, 1);
-  const chosen = targetsOf(harness, 10);
+  const harness = harnessWithColdBackend({}, 0, 1);
+  const chosen = openNewFlows(harness, 10);
   t.deepEqual(chosen.slice(0, 2), ['cold', undefined]);
   t.is(chosen.filter((backend) => backend === 'cold').length, 1);
 });
 
 test('a cold back end without a rate is not limited', (t) => {
   const cold = backendAt('cold', 5, { coldMs: COLD_MS });
-  const harness = harnessOf({ isOwner: () => false }).know([...backends(1), cold]);
-  t.true(targetsOf(harness, 10).includes('cold'));
+  const harness = createHarness({ isOwner: () => false }).know([...backends(1), cold]);
+  t.true(openNewFlows(harness, 10).includes('cold'));
 });
 
 /** Rates of a cold back end, views of the fleet that differ, and balancers in each of them. */
@@ -181,21 +189,21 @@
     const admittedAtMs: number[] = [];
     for (let nowMs = 0; nowMs < 30_000; nowMs += 5) {
       for (const owner of owners) {
-        if (random() < 0.3 || !owner.admits(cold!, rate, nowMs)) continue;
+        if (random() < 0.3 || !owner.canAdmit(cold!, rate, nowMs)) continue;
         owner.recordPlacement(cold!, nowMs);
         admittedAtMs.push(nowMs);
       }
     }
-    const most = Math.max(
+    const maxPerSecond = Math.max(
       ...admittedAtMs.map((from) => admittedAtMs.filter((at) => at >= from && at < from + 1_000).length),
     );
-    t.true(most <= rate * OVERAGE + SLACK, `${most} in a second`);
+    t.true(maxPerSecond <= rate * OVERAGE + SLACK, `${maxPerSecond} in a second`);
     t.true(admittedAtMs.length >= rate * 10, `${admittedAtMs.length} in 30 s`);
   });
 }
 
 /** What a record is like, and which exclusion is found; of several the first in the rule's order. */
-const RECORDS: readonly (readonly [
+const RECORD_CASES: readonly (readonly [
   string,
   Partial<KnownBackend>,
   Partial<RoutedBackend>,
@@ -213,10 +221,10 @@
   ['cold no longer', { coldUntilMs: 0 }, {}, undefined],
 ];
 
-for (const [name, change, record, expected] of RECORDS) {
+for (const [name, change, record, expected] of RECORD_CASES) {
   test(`a back end that is ${name} is ${expected ?? 'not'} excluded by its record`, (t) => {
     const services = [{ name: 'alpha', maxConnections: 10, coldRequestsPerSecond: 1 }];
-    const harness = harnessOf({}).know([], { services });
+    const harness = createHarness({}).know([], { services });
     harness.cordon(['south'], 11);
     const { knowledge } = harness;
     const backend: KnownBackend = {
@@ -249,7 +257,7 @@
 }
 
 /** Open flows, end of a dead verdict, and which exclusion is found with two connections at 1,000 ms. */
-const STATES: readonly (readonly [number, number, StateExclusion?])[] = [
+const STATE_CASES: readonly (readonly [number, number, StateExclusion?])[] = [
   [0, 0, undefined],
   [1, 1_000, undefined],
   [2, 0, 'full'],
@@ -257,7 +265,7 @@
   [1, 1_001, 'dead'],
 ];
 
-for (const [openFlows, deadUntilMs, expected] of STATES) {
+for (const [openFlows, deadUntilMs, expected] of STATE_CASES) {
   test(`a back end with ${openFlows} flows, dead until ${deadUntilMs} ms, is ${expected ?? 'not'} excluded by its state`, (t) => {
     const state = new LocalBackendState({ id: 'a' } as KnownBackend);
     state.openFlows = openFlows;
--- a/src/cookie-edge/placement/backend-eligibility.ts
+++ b/src/cookie-edge/placement/backend-eligibility.ts
@@ -81,7 +81,7 @@
     if (record.draining) return 'draining';
     if (knowledge.cordons.has(record.zone)) return 'cordoned';
     if (!this.isInAllowedRegion(record.zone, route)) return 'region';
-    return nowMs < backend.coldUntilMs && !this.admitsCold(backend, nowMs) ? 'cold' : undefined;
+    return nowMs < backend.coldUntilMs && !this.isWithinColdRate(backend, nowMs) ? 'cold' : undefined;
   }
 
   /** Back ends of a route's services that their records exclude, by reason: for the log of a refusal. */
@@ -96,10 +96,10 @@
     return counts;
   }
 
-  private admitsCold(backend: KnownBackend, nowMs: number): boolean {
+  private isWithinColdRate(backend: KnownBackend, nowMs: number): boolean {
     const { knowledge, coldAdmission } = this.options;
-    const limit = knowledge.routes()?.coldRequestsPerSecondOf(backend.record.service);
-    return coldAdmission.admits(backend, limit, nowMs);
+    const requestsPerSecond = knowledge.routes()?.coldRequestsPerSecondOf(backend.record.service);
+    return coldAdmission.canAdmit(backend, requestsPerSecond, nowMs);
   }
 
   private isInAllowedRegion(zone: string, { allowedRegions }: Route): boolean {
--- a/src/cookie-edge/placement/backend-load.test.ts
+++ b/src/cookie-edge/placement/backend-load.test.ts
@@ -6,14 +6,14 @@
 
 const NOW_MS = 1_000;
 
-function withFlows(state: LocalBackendState, open: number, closed = 0): LocalBackendState {
-  state.openFlows = open + closed;
-  for (let flow = 0; flow < closed; flow += 1) state.recordClosed(NOW_MS);
+function withFlows(state: LocalBackendState, openCount: number, closedCount = 0): LocalBackendState {
+  state.openFlows = openCount + closedCount;
+  for (let flow = 0; flow < closedCount; flow += 1) state.recordClosed(NOW_MS);
   return state;
 }
 
-const cold = { coldUntilMs: NOW_MS + 1 };
-const far = { zone: 'south' };
+const inSlowStart = { coldUntilMs: NOW_MS + 1 };
+const otherZone = { zone: 'south' };
 
 /** What it is, its state, its load with one flow more, and a mechanism that is off. */
 const CASES: readonly (readonly [string, LocalBackendState, number, Mechanism?])[] = [
@@ -22,16 +22,16 @@
   ['with one open flow and two just closed', withFlows(stateOf('a'), 1, 2), 2],
   ['with one open flow and two just closed', withFlows(stateOf('a'), 1, 2), 1, 'closed-flows'],
   ['without a capacity', withFlows(stateOf('a', { capacity: 0 }), 1), 2],
-  ['in slow start', withFlows(stateOf('a', {}, cold), 1), 2],
-  ['in slow start', withFlows(stateOf('a', {}, cold), 1), 1, 'cold-share'],
+  ['in slow start', withFlows(stateOf('a', {}, inSlowStart), 1), 2],
+  ['in slow start', withFlows(stateOf('a', {}, inSlowStart), 1), 1, 'cold-share'],
   ['past its slow start', withFlows(stateOf('a', {}, { coldUntilMs: NOW_MS }), 1), 1],
-  ['of another zone', withFlows(stateOf('a', far), 1), 1.5 + 0.25],
+  ['of another zone', withFlows(stateOf('a', otherZone), 1), 1.5 + 0.25],
 ];
 
-for (const [name, state, expected, off] of CASES) {
-  test(`a back end ${name} has the load ${expected}${off ? ` without ${off}` : ''}`, (t) => {
-    const isOn = allBut(off ? [off] : []);
-    const weights = { zone: 'north', zoneMargin: 0.25, zoneLoadFactor: 1.5, isOn };
-    t.is(loadWithNewFlow(state, NOW_MS, weights), expected);
+for (const [name, state, expected, switchedOff] of CASES) {
+  test(`a back end ${name} has the load ${expected}${switchedOff ? ` without ${switchedOff}` : ''}`, (t) => {
+    const isOn = allBut(switchedOff ? [switchedOff] : []);
+    const options = { zone: 'north', zoneMargin: 0.25, zoneLoadFactor: 1.5, isOn };
+    t.is(loadWithNewFlow(state, NOW_MS, options), expected);
   });
 }
--- a/src/cookie-edge/placement/backend-load.ts
+++ b/src/cookie-edge/placement/backend-load.ts
@@ -14,7 +14,7 @@
 import { COLD_CAPACITY_SHARE } from './constants.js';
 
 /** How zones and mechanisms count. */
-export interface LoadWeights {
+export interface LoadOptions {
   /** Zone of this balancer. */
   readonly zone: string;
   /** Flows for each unit of capacity that a back end of another zone must have less. */
@@ -25,11 +25,11 @@
 }
 
 /** Load of a back end as it would be with one flow more. */
-export function loadWithNewFlow(state: LocalBackendState, nowMs: number, weights: LoadWeights): number {
+export function loadWithNewFlow(state: LocalBackendState, nowMs: number, options: LoadOptions): number {
   const { record, coldUntilMs } = state.backend;
-  const share = nowMs < coldUntilMs && weights.isOn('cold-share') ? COLD_CAPACITY_SHARE : 1;
-  const flows = weights.isOn('closed-flows') ? state.flowsAt(nowMs) : state.openFlows;
-  const load = (flows + 1) / (Math.max(1, record.capacity) * share);
-  if (record.zone === weights.zone) return load;
-  return load * weights.zoneLoadFactor + weights.zoneMargin;
+  const capacityShare = nowMs < coldUntilMs && options.isOn('cold-share') ? COLD_CAPACITY_SHARE : 1;
+  const flows = options.isOn('closed-flows') ? state.flowsAt(nowMs) : state.openFlows;
+  const load = (flows + 1) / (Math.max(1, record.capacity) * capacityShare);
+  if (record.zone === options.zone) return load;
+  return load * options.zoneLoadFactor + options.zoneMargin;
 }
--- a/src/cookie-edge/placement/candidate-classes.test.ts
+++ b/src/cookie-edge/placement/candidate-classes.test.ts
@@ -15,74 +15,83 @@
   readonly expected: CandidateClass | undefined;
   readonly nowMs?: number;
   readonly isOutlier?: boolean;
-  readonly off?: Mechanism;
+  readonly switchedOff?: Mechanism;
 }
 
-function plain(): LocalBackendState {
+function healthyState(): LocalBackendState {
   return stateOf('a');
 }
 
-function failed(): LocalBackendState {
+function failedState(): LocalBackendState {
   const state = stateOf('a');
   state.recordFailure(NOW_MS - 10, NOW_MS - 160);
   return state;
 }
 
-function ejected(): LocalBackendState {
+function ejectedState(): LocalBackendState {
   const state = stateOf('a');
   eject(state);
   return state;
 }
 
-function waiting(): LocalBackendState {
+function stateWithSlowHandshake(): LocalBackendState {
   const state = stateOf('a');
   state.pendingOpenings = 1;
   state.pendingSinceMs = NOW_MS - SLOW_HANDSHAKE_MS - 1;
   return state;
 }
 
-function lapsed(lastSignOfLifeMs?: number): LocalBackendState {
+function lapsedState(lastSignOfLifeMs?: number): LocalBackendState {
   const state = stateOf('a', {}, { departed: true, lapsed: true, departedAtMs: 1_000 });
   if (lastSignOfLifeMs !== undefined) state.recordSignOfLife(lastSignOfLifeMs);
   return state;
 }
 
-function remembered(): LocalBackendState {
+function rememberedState(): LocalBackendState {
   return stateOf('a', {}, { departed: true, lapsed: true, remembered: true, departedAtMs: 1_000 });
 }
 
 const CASES: readonly Case[] = [
-  { name: 'without failures', state: plain, expected: 'alive' },
-  { name: 'that is an outlier', state: plain, isOutlier: true, expected: 'outlier' },
-  { name: 'with one failure', state: failed, expected: 'suspect' },
-  { name: 'with one failure that is an outlier', state: failed, isOutlier: true, expected: 'suspect' },
-  { name: 'with a slow handshake', state: waiting, expected: 'suspect' },
+  { name: 'without failures', state: healthyState, expected: 'alive' },
+  { name: 'that is an outlier', state: healthyState, isOutlier: true, expected: 'outlier' },
+  { name: 'with one failure', state: failedState, expected: 'suspect' },
+  { name: 'with one failure that is an outlier', state: failedState, isOutlier: true, expected: 'suspect' },
+  { name: 'with a slow handshake', state: stateWithSlowHandshake, expected: 'suspect' },
   {
     name: 'with a slow handshake, avoidance off',
-    state: waiting,
-    off: 'slow-answer-avoidance',
+    state: stateWithSlowHandshake,
+    switchedOff: 'slow-answer-avoidance',
     expected: 'alive',
   },
-  { name: 'that was ejected', state: ejected, nowMs: 1_099, expected: 'ejected' },
-  { name: 'that is due for a trial opening', state: ejected, expected: 'trial' },
-  { name: 'that is due, trial openings off', state: ejected, off: 'trial-openings', expected: 'alive' },
-  { name: 'with a lapsed record and a sign of life', state: () => lapsed(1_100), expected: 'lapsed' },
+  { name: 'that was ejected', state: ejectedState, nowMs: 1_099, expected: 'ejected' },
+  { name: 'that is due for a trial opening', state: ejectedState, expected: 'trial' },
+  {
+    name: 'that is due, trial openings off',
+    state: ejectedState,
+    switchedOff: 'trial-openings',
+    expected: 'alive',
+  },
+  { name: 'with a lapsed record and a sign of life', state: () => lapsedState(1_100), expected: 'lapsed' },
   {
     name: 'with a lapsed record, lapsed records off',
-    state: () => lapsed(1_100),
-    off: 'lapsed-records',
+    state: () => lapsedState(1_100),
+    switchedOff: 'lapsed-records',
+    expected: undefined,
+  },
+  {
+    name: 'with a lapsed record and no sign of life since',
+    state: () => lapsedState(1_000),
     expected: undefined,
   },
-  { name: 'with a lapsed record and no sign of life since', state: () => lapsed(1_000), expected: undefined },
   {
     name: 'that is remembered, without any sign of life',
-    state: () => remembered(),
+    state: () => rememberedState(),
     expected: 'lapsed',
   },
   {
     name: 'that is remembered and has failed',
     state: () => {
-      const state = remembered();
+      const state = rememberedState();
       state.recordFailure(NOW_MS - 10, NOW_MS - 160);
       return state;
     },
@@ -90,21 +99,21 @@
   },
   {
     name: 'that was remembered long ago',
-    state: () => remembered(),
+    state: () => rememberedState(),
     nowMs: 1_000 + LAPSED_RECORD_MS,
     expected: undefined,
   },
   {
     name: 'with a record that lapsed long ago',
-    state: () => lapsed(1_100),
+    state: () => lapsedState(1_100),
     nowMs: 1_000 + LAPSED_RECORD_MS,
     expected: undefined,
   },
 ];
 
-for (const { name, state, expected, nowMs = NOW_MS, isOutlier = false, off } of CASES) {
+for (const { name, state, expected, nowMs = NOW_MS, isOutlier = false, switchedOff } of CASES) {
   test(`a back end ${name} is ${expected ?? 'no candidate'}`, (t) => {
-    const classifier = new CandidateClassifier(allBut(off ? [off] : []));
+    const classifier = new CandidateClassifier(allBut(switchedOff ? [switchedOff] : []));
     const subject = state();
     const request = {
       backends: [subject.backend],
@@ -125,7 +134,7 @@
 
 test('an excluded back end is no candidate', (t) => {
   const { alive } = new CandidateClassifier().classify({
-    backends: [plain().backend],
+    backends: [healthyState().backend],
     eligibleStateOf: () => undefined,
     nowMs: NOW_MS,
     slowHandshakeMs: SLOW_HANDSHAKE_MS,
--- a/src/cookie-edge/placement/candidate-classes.ts
+++ b/src/cookie-edge/placement/candidate-classes.ts
@@ -90,8 +90,8 @@
     liveness: Liveness,
     nowMs: number,
   ): boolean {
-    const missedAtMs = backend.departedAtMs ?? 0;
-    if (nowMs - missedAtMs >= LAPSED_RECORD_MS || !this.isOn('lapsed-records')) return false;
-    return liveness === 'alive' && (backend.remembered === true || lastSignOfLifeMs > missedAtMs);
+    const departedAtMs = backend.departedAtMs ?? 0;
+    if (nowMs - departedAtMs >= LAPSED_RECORD_MS || !this.isOn('lapsed-records')) return false;
+    return liveness === 'alive' && (backend.remembered === true || lastSignOfLifeMs > departedAtMs);
   }
 }
--- a/src/cookie-edge/placement/class-choice.test.ts
+++ b/src/cookie-edge/placement/class-choice.test.ts
@@ -1,7 +1,7 @@
 /** Each rule of placement, and the order among them. */
 import test from 'ava';
 import type { Candidates } from './candidate-classes.js';
-import { candidatesUnder, choosePlacementRule, type PlacementRule } from './class-choice.js';
+import { candidatesForRule, choosePlacementRule, type PlacementRule } from './class-choice.js';
 import { stateOf } from './placement-test-support.js';
 
 /** Numbers of candidates: alive, outlier, suspect, ejected, lapsed; whether an ejected one is due for a trial. */
@@ -46,13 +46,13 @@
   test(`alive, outlier, suspect, ejected, lapsed, trial: ${counts.join()} lead to ${rule ?? 'nothing'}`, (t) => {
     const candidates = candidatesOf(counts);
     t.is(choosePlacementRule(candidates), rule);
-    if (rule !== undefined && rule !== 'trial') t.is(candidatesUnder(rule, candidates).length, weighed);
+    if (rule !== undefined && rule !== 'trial') t.is(candidatesForRule(rule, candidates).length, weighed);
   });
 }
 
 test('panic mode weighs the recorded candidates in the order of the classes', (t) => {
   const candidates = candidatesOf([1, 1, 1, 9, 1, false]);
-  const weighed = candidatesUnder('ejected-majority', candidates).map(({ backend }) => backend.id);
+  const weighed = candidatesForRule('ejected-majority', candidates).map(({ backend }) => backend.id);
   t.deepEqual(weighed.slice(0, 4), ['alive-0', 'outlier-0', 'suspect-0', 'ejected-0']);
   t.false(weighed.includes('lapsed-0'));
 });
--- a/src/cookie-edge/placement/class-choice.ts
+++ b/src/cookie-edge/placement/class-choice.ts
@@ -37,7 +37,7 @@
 }
 
 /** The candidates that are weighed under a rule other than the trial opening. */
-export function candidatesUnder(
+export function candidatesForRule(
   rule: Exclude<PlacementRule, 'trial'>,
   { alive, outlier, suspect, ejected, lapsed }: Candidates,
 ): readonly LocalBackendState[] {
--- a/src/cookie-edge/placement/cold-admission.test.ts
+++ b/src/cookie-edge/placement/cold-admission.test.ts
@@ -25,8 +25,8 @@
     const admission = new ColdAdmission({ overage: 2, slack: 10, isOwner: () => isOwner });
     const { backend } = stateOf('a', {}, { coldUntilMs: COLD_UNTIL_MS });
     if (lastMs !== undefined) admission.recordPlacement(backend, lastMs);
-    t.is(admission.admits(backend, rate, nowMs), expected);
+    t.is(admission.canAdmit(backend, rate, nowMs), expected);
     admission.forget(backend);
-    t.is(admission.admits(backend, rate, nowMs), rate === undefined || nowMs >= COLD_UNTIL_MS || isOwner);
+    t.is(admission.canAdmit(backend, rate, nowMs), rate === undefined || nowMs >= COLD_UNTIL_MS || isOwner);
   });
 }
--- a/src/cookie-edge/placement/cold-admission.ts
+++ b/src/cookie-edge/placement/cold-admission.ts
@@ -10,7 +10,7 @@
  * start, is not limited.
  */
 import type { KnownBackend } from '../routing/index.js';
-import { COLD_OWNERS, COLD_VIEWS } from './constants.js';
+import { COLD_BACKEND_OWNERS, MAX_MEMBERSHIP_VIEWS } from './constants.js';
 
 /** What the admission looks at. */
 export interface ColdAdmissionOptions {
@@ -22,11 +22,11 @@
   readonly isOwner: (backendId: string, count: number) => boolean;
 }
 
-const MILLISECONDS_A_SECOND = 1_000;
+const MS_PER_SECOND = 1_000;
 
 /** Owns the time of the last flow to each cold back end. Times are monotonic ms. */
 export class ColdAdmission {
-  private readonly admittedAtMs = new Map<KnownBackend, number>();
+  private readonly lastPlacedAtMs = new Map<KnownBackend, number>();
 
   constructor(private readonly options: ColdAdmissionOptions) {}
 
@@ -35,22 +35,22 @@
    *
    * @param requestsPerSecond rate that the back end bears while it is cold; undefined: no limit
    */
-  admits(backend: KnownBackend, requestsPerSecond: number | undefined, nowMs: number): boolean {
+  canAdmit(backend: KnownBackend, requestsPerSecond: number | undefined, nowMs: number): boolean {
     if (requestsPerSecond === undefined || nowMs >= backend.coldUntilMs) return true;
     const spacingMs = this.spacingMs(requestsPerSecond);
-    const admittedAtMs = this.admittedAtMs.get(backend) ?? Number.NEGATIVE_INFINITY;
-    return nowMs - admittedAtMs >= spacingMs && this.options.isOwner(backend.id, COLD_OWNERS);
+    const lastPlacedMs = this.lastPlacedAtMs.get(backend) ?? Number.NEGATIVE_INFINITY;
+    return nowMs - lastPlacedMs >= spacingMs && this.options.isOwner(backend.id, COLD_BACKEND_OWNERS);
   }
 
   /** Records that a new flow was sent to `backend`. */
   recordPlacement(backend: KnownBackend, nowMs: number): void {
-    if (nowMs < backend.coldUntilMs) this.admittedAtMs.set(backend, nowMs);
-    else this.admittedAtMs.delete(backend);
+    if (nowMs < backend.coldUntilMs) this.lastPlacedAtMs.set(backend, nowMs);
+    else this.lastPlacedAtMs.delete(backend);
   }
 
   /** Forgets a back end. */
   forget(backend: KnownBackend): void {
-    this.admittedAtMs.delete(backend);
+    this.lastPlacedAtMs.delete(backend);
   }
 
   /**
@@ -60,7 +60,7 @@
   private spacingMs(requestsPerSecond: number): number {
     const { overage, slack } = this.options;
     const limit = requestsPerSecond * overage + slack;
-    const rate = Math.min(requestsPerSecond, limit / COLD_VIEWS - COLD_OWNERS);
-    return rate > 0 ? (MILLISECONDS_A_SECOND * COLD_OWNERS) / rate : Number.POSITIVE_INFINITY;
+    const ownersRate = Math.min(requestsPerSecond, limit / MAX_MEMBERSHIP_VIEWS - COLD_BACKEND_OWNERS);
+    return ownersRate > 0 ? (MS_PER_SECOND * COLD_BACKEND_OWNERS) / ownersRate : Number.POSITIVE_INFINITY;
   }
 }
--- a/src/cookie-edge/placement/constants.ts
+++ b/src/cookie-edge/placement/constants.ts
@@ -17,13 +17,13 @@
  * Back ends of equal load among which one that is not busy elsewhere is looked for. More gain
  * nothing.
  */
-export const LOAD_CHOICES = 4;
+export const MAX_TIED_CANDIDATES = 4;
 
 /**
  * Own flows for each candidate below which load reports are used. Above it the balancer's own counts tell busy from
  * idle better than a report that is seconds old.
  */
-export const LOAD_MAX_OWN_SHARE = 0.25;
+export const MAX_OWN_FLOWS_PER_CANDIDATE = 0.25;
 
 /**
  * Share of its capacity that a back end in slow start counts with. It works slower until
@@ -35,10 +35,10 @@
  * Balancers that may send new flows to one cold back end. The second covers the loss of the first, which the others
  * notice only after seconds, and more would make each one's part of a low rate too small to use.
  */
-export const COLD_OWNERS = 2;
+export const COLD_BACKEND_OWNERS = 2;
 
 /**
  * Differing views of the fleet, each with its own owners, that must stay within a cold back end's limit together. The
  * two sides of a network partition.
  */
-export const COLD_VIEWS = 2;
+export const MAX_MEMBERSHIP_VIEWS = 2;
--- a/src/cookie-edge/placement/equal-candidates.ts
+++ b/src/cookie-edge/placement/equal-candidates.ts
@@ -12,10 +12,10 @@
 import { combine32 } from '../../common/hash.js';
 import type { LocalBackendState } from '../backend-health/index.js';
 import type { LoadLevels } from '../load/index.js';
-import { LOAD_CHOICES, LOAD_MAX_OWN_SHARE } from './constants.js';
+import { MAX_OWN_FLOWS_PER_CANDIDATE, MAX_TIED_CANDIDATES } from './constants.js';
 
 /** A candidate with its rank in the order of the flow; the highest goes first. */
-interface RankedState {
+interface RankedCandidate {
   readonly state: LocalBackendState;
   readonly rank: number;
 }
@@ -24,57 +24,57 @@
 const NOT_BUSY = 1;
 
 /** Number of equals to look at: more than one only while load reports are known and own flows are few. */
-export function countEqualsToWeigh(
+export function countTiedToCompare(
   states: readonly LocalBackendState[],
   reports: LoadLevels | undefined,
   nowMs: number,
 ): number {
   if (!reports?.isKnown(nowMs)) return 1;
   const ownFlows = states.reduce((sum, { openFlows }) => sum + openFlows, 0);
-  return ownFlows < states.length * LOAD_MAX_OWN_SHARE ? LOAD_CHOICES : 1;
+  return ownFlows < states.length * MAX_OWN_FLOWS_PER_CANDIDATE ? MAX_TIED_CANDIDATES : 1;
 }
 
 /** The candidates with the least load that rank highest for a flow, at most `count`, in descending order. */
 export function findLeastLoaded(
   states: readonly LocalBackendState[],
   flowHash: number,
-  count: number,
+  maxCount: number,
   loadOf: (state: LocalBackendState) => number,
-): readonly RankedState[] {
-  let leastLoaded: RankedState[] = [];
+): readonly RankedCandidate[] {
+  let leastLoaded: RankedCandidate[] = [];
   let leastLoad = Number.POSITIVE_INFINITY;
   for (const state of states) {
     const load = loadOf(state);
     if (load > leastLoad) continue;
     if (load < leastLoad) leastLoaded = [];
     leastLoad = load;
-    insertByRank(leastLoaded, { state, rank: combine32(flowHash, state.idHash) }, count);
+    insertByRank(leastLoaded, { state, rank: combine32(flowHash, state.idHash) }, maxCount);
   }
   return leastLoaded;
 }
 
 /** Index of the first of the equals that is not busy, or of the least busy where all are; -1 where there are none. */
-export function findLeastBusy(
-  equals: readonly RankedState[],
+export function findLeastBusyIndex(
+  tied: readonly RankedCandidate[],
   reports: LoadLevels | undefined,
   nowMs: number,
 ): number {
-  let leastBusy = -1;
+  let leastBusyIndex = -1;
   let leastLevel = Number.POSITIVE_INFINITY;
-  for (let index = 0; index < equals.length; index += 1) {
-    const { state } = equals[index] as RankedState;
+  for (let index = 0; index < tied.length; index += 1) {
+    const { state } = tied[index] as RankedCandidate;
     const level = reports?.levelOf(state.idHash, nowMs) ?? NOT_BUSY;
     if (level >= leastLevel) continue;
-    leastBusy = index;
+    leastBusyIndex = index;
     leastLevel = level;
   }
-  return leastBusy;
+  return leastBusyIndex;
 }
 
 /** Adds an entry to the `count` highest ranks, which stand in descending order. */
-function insertByRank(highest: RankedState[], entry: RankedState, count: number): void {
-  const lower = highest.findIndex(({ rank }) => rank < entry.rank);
-  if (lower < 0 && highest.length >= count) return;
-  highest.splice(lower < 0 ? highest.length : lower, 0, entry);
-  highest.length = Math.min(highest.length, count);
+function insertByRank(ranked: RankedCandidate[], candidate: RankedCandidate, maxCount: number): void {
+  const insertAt = ranked.findIndex(({ rank }) => rank < candidate.rank);
+  if (insertAt < 0 && ranked.length >= maxCount) return;
+  ranked.splice(insertAt < 0 ? ranked.length : insertAt, 0, candidate);
+  ranked.length = Math.min(ranked.length, maxCount);
 }
--- a/src/cookie-edge/placement/load-balance.test.ts
+++ b/src/cookie-edge/placement/load-balance.test.ts
@@ -18,12 +18,12 @@
 const BALANCERS = 195;
 const BACKENDS = 164;
 const CALLERS = 726;
-const FLOW_MEAN_MS = 20_000;
-const CALL_MEAN_MS = 1_136;
-const DAY_MS = 36_000;
+const MEAN_FLOW_MS = 20_000;
+const MEAN_CALL_INTERVAL_MS = 1_136;
+const SIMULATION_MS = 36_000;
 const STEP_MS = 100;
 /** Time from a reading until all balancers know of it. */
-const TELL_MS = 600;
+const REPORT_DELAY_MS = 600;
 
 interface Balancer {
   readonly placement: OpeningPlacement;
@@ -36,15 +36,15 @@
 }
 
 /** What the simulated day changes. */
-interface Day {
-  readonly reports: boolean;
+interface Scenario {
+  readonly hasReports: boolean;
   /** Reports no longer arrive after this time. */
-  readonly lostAfterMs?: number;
+  readonly reportsLostAfterMs?: number;
   /** All balancers forget everything at this time. */
   readonly restartAtMs?: number;
 }
 
-function recorded(): KnownBackend[] {
+function registerBackends(): KnownBackend[] {
   const registry = new BackendRegistry({
     clock: new VirtualClock(),
     events: SILENT_EVENT_LOG,
@@ -55,81 +55,91 @@
   return ids.map((id) => registry.get(id)!);
 }
 
-function balancersOf(backends: readonly KnownBackend[], loads: LoadView): Balancer[] {
+function createBalancers(backends: readonly KnownBackend[], loads: LoadView): Balancer[] {
   return Array.from({ length: BALANCERS }, () => ({
     placement: new OpeningPlacement({ zone: 'north', zoneMargin: 0, zoneLoadFactor: 1, loads }),
     states: new Map(backends.map((backend) => [backend, new LocalBackendState(backend)])),
   }));
 }
 
-function exponential(mean: number, random: RandomSource): number {
+function sampleExponential(mean: number, random: RandomSource): number {
   return -Math.log(1 - random()) * mean;
 }
 
 /** Calls at the busiest back end of a day as a multiple of the mean. */
-function busiestToMean(day: Day, seed: number): number {
+function maxToMeanCalls(scenario: Scenario, seed: number): number {
   const random = seededRandom(seed);
-  const backends = recorded();
+  const backends = registerBackends();
   const loads = new LoadView();
-  let balancers = balancersOf(backends, loads);
+  let balancers = createBalancers(backends, loads);
   const calls = new Map(backends.map(({ id }) => [id, 0]));
   const callers = Array.from({ length: CALLERS }, (): Caller => ({
     state: undefined,
     opensAtMs: random() * 1_500,
   }));
   const rates = new CallRates();
-  for (let nowMs = 0; nowMs < DAY_MS; nowMs += STEP_MS) {
-    if (nowMs === day.restartAtMs) balancers = balancersOf(backends, loads);
+  for (let nowMs = 0; nowMs < SIMULATION_MS; nowMs += STEP_MS) {
+    if (nowMs === scenario.restartAtMs) balancers = createBalancers(backends, loads);
     for (const caller of callers) {
-      if (caller.opensAtMs <= nowMs) openAnew(caller, nowMs, balancers, random);
-      if (!caller.state || random() >= STEP_MS / CALL_MEAN_MS) continue;
+      if (caller.opensAtMs <= nowMs) reopenFlow(caller, nowMs, balancers, random);
+      if (!caller.state || random() >= STEP_MS / MEAN_CALL_INTERVAL_MS) continue;
       const { id } = caller.state.backend;
       calls.set(id, (calls.get(id) ?? 0) + 1);
     }
-    if (!day.reports || nowMs % LOAD_READ_INTERVAL_MS !== 0 || nowMs > (day.lostAfterMs ?? DAY_MS)) continue;
+    if (
+      !scenario.hasReports ||
+      nowMs % LOAD_READ_INTERVAL_MS !== 0 ||
+      nowMs > (scenario.reportsLostAfterMs ?? SIMULATION_MS)
+    )
+      continue;
     rates.record(
       backends.map(({ id }) => ({ id, service: 'alpha', capacity: 2, calls: calls.get(id) ?? 0 })),
       nowMs,
     );
     const validMs = LOAD_READ_INTERVAL_MS * VALID_READINGS;
-    loads.applyReport({ page: 0, measuredAtMs: nowMs + TELL_MS, validMs, busy: rates.busy() });
+    loads.applyReport({ page: 0, measuredAtMs: nowMs + REPORT_DELAY_MS, validMs, busy: rates.busy() });
   }
   const counts = [...calls.values()];
   return Math.max(...counts) / (counts.reduce((sum, count) => sum + count, 0) / BACKENDS);
 }
 
-function openAnew(caller: Caller, nowMs: number, balancers: readonly Balancer[], random: RandomSource): void {
+function reopenFlow(
+  caller: Caller,
+  nowMs: number,
+  balancers: readonly Balancer[],
+  random: RandomSource,
+): void {
   if (caller.state) caller.state.recordClosed(nowMs);
   const { placement, states } = balancers[Math.floor(random() * BALANCERS)] as Balancer;
   const flow = Math.floor(random() * 2 ** 32);
-  const choice = placement.choose({ ...placementRequest(states, flow), nowMs });
+  const choice = placement.chooseBackend({ ...placementRequest(states, flow), nowMs });
   caller.state = choice!.state;
   caller.state.openFlows += 1;
-  caller.opensAtMs = nowMs + exponential(FLOW_MEAN_MS, random);
+  caller.opensAtMs = nowMs + sampleExponential(MEAN_FLOW_MS, random);
 }
 
-function median(day: Day): number {
-  const ratios = [1, 2, 3].map((seed) => busiestToMean(day, seed));
+function medianRatio(scenario: Scenario): number {
+  const ratios = [1, 2, 3].map((seed) => maxToMeanCalls(scenario, seed));
   return ratios.sort((left, right) => left - right)[1] as number;
 }
 
 test('reports of load halve what the busiest back end gets above the mean', (t) => {
-  const without = median({ reports: false });
-  const reported = median({ reports: true });
+  const without = medianRatio({ hasReports: false });
+  const reported = medianRatio({ hasReports: true });
   t.log({ without, reported });
   t.true(reported - 1 <= (without - 1) * 0.6, `${without} without reports, ${reported} with them`);
 });
 
 test('lost reports make it no worse than none', (t) => {
-  const without = median({ reports: false });
-  const lost = median({ reports: true, lostAfterMs: 6_000 });
+  const without = medianRatio({ hasReports: false });
+  const lost = medianRatio({ hasReports: true, reportsLostAfterMs: 6_000 });
   t.log({ without, lost });
   t.true(lost <= without * 1.1, `${without} without reports, ${lost} with lost ones`);
 });
 
 test('balancers that forget everything go on by the reports', (t) => {
-  const without = median({ reports: false, restartAtMs: 18_000 });
-  const reported = median({ reports: true, restartAtMs: 18_000 });
+  const without = medianRatio({ hasReports: false, restartAtMs: 18_000 });
+  const reported = medianRatio({ hasReports: true, restartAtMs: 18_000 });
   t.log({ without, reported });
   t.true(reported - 1 <= (without - 1) * 0.7, `${without} without reports, ${reported} with them`);
 });
--- a/src/cookie-edge/placement/new-flow-rule.test.ts
+++ b/src/cookie-edge/placement/new-flow-rule.test.ts
@@ -21,7 +21,7 @@
 };
 const NOW_MS = 1_200;
 
-function ruleFor(harness: ForwarderHarness) {
+function createRule(harness: ForwarderHarness) {
   const { knowledge } = harness;
   const states = new LocalBackendStates(SILENT_EVENT_LOG, () => undefined);
   const coldAdmission = new ColdAdmission({ overage: 2, slack: 10, isOwner: () => true });
@@ -44,27 +44,27 @@
 }
 
 test('without complete knowledge the SYN is dropped', (t) => {
-  const { rule } = ruleFor(new ForwarderHarness());
+  const { rule } = createRule(new ForwarderHarness());
   t.deepEqual(rule.decide(FLOW, NOW_MS), { kind: 'drop', reason: 'starting' });
   t.is(rule.chooseAgain(FLOW, NOW_MS), undefined);
 });
 
 test('without a route the flow is refused', (t) => {
-  const { rule } = ruleFor(new ForwarderHarness().know([backendAt('a', 1)]));
-  const elsewhere = { ...FLOW, destinationPort: SERVICE_PORT + 1 };
-  t.deepEqual(rule.decide(elsewhere, NOW_MS), { kind: 'refuse', reason: 'no-route' });
-  t.is(rule.chooseAgain(elsewhere, NOW_MS), undefined);
+  const { rule } = createRule(new ForwarderHarness().know([backendAt('a', 1)]));
+  const unroutedFlow = { ...FLOW, destinationPort: SERVICE_PORT + 1 };
+  t.deepEqual(rule.decide(unroutedFlow, NOW_MS), { kind: 'refuse', reason: 'no-route' });
+  t.is(rule.chooseAgain(unroutedFlow, NOW_MS), undefined);
 });
 
 test('without a candidate the flow is refused', (t) => {
-  const { rule } = ruleFor(new ForwarderHarness().know([backendAt('a', 1, { draining: true })]));
+  const { rule } = createRule(new ForwarderHarness().know([backendAt('a', 1, { draining: true })]));
   t.like(rule.decide(FLOW, NOW_MS), { kind: 'refuse', reason: 'no-backend', route: { name: 'route-1' } });
   t.is(rule.chooseAgain(FLOW, NOW_MS), undefined);
 });
 
 test('with a candidate the flow is placed', (t) => {
   const harness = new ForwarderHarness().know([backendAt('a', 1)]);
-  const { rule, states } = ruleFor(harness);
+  const { rule, states } = createRule(harness);
   const placement = {
     state: states.of(harness.knowledge.backends.get('a')!),
     rule: 'least-flows',
@@ -77,7 +77,7 @@
 
 test('a trial opening that was carried out is not chosen again', (t) => {
   const harness = new ForwarderHarness().know([backendAt('a', 1), backendAt('b', 2)]);
-  const { rule, states } = ruleFor(harness);
+  const { rule, states } = createRule(harness);
   eject(states.of(harness.knowledge.backends.get('a')!));
   const trial = rule.chooseAgain(FLOW, NOW_MS)!;
   t.is(trial.rule, 'trial');
--- a/src/cookie-edge/placement/new-flow-rule.ts
+++ b/src/cookie-edge/placement/new-flow-rule.ts
@@ -49,8 +49,8 @@
   readonly slowHandshakeMs: () => number;
 }
 
-const STARTING: NewFlowOutcome = { kind: 'drop', reason: 'starting' };
-const NO_ROUTE: NewFlowOutcome = { kind: 'refuse', reason: 'no-route' };
+const DROP_WHILE_STARTING: NewFlowOutcome = { kind: 'drop', reason: 'starting' };
+const REFUSE_WITHOUT_ROUTE: NewFlowOutcome = { kind: 'refuse', reason: 'no-route' };
 
 /** Decides about new flows. */
 export class NewFlowRule {
@@ -60,10 +60,10 @@
   decide(flow: FlowAddresses, nowMs: number): NewFlowOutcome {
     const { knowledge } = this.options;
     const routes = knowledge.routes();
-    if (!routes || !knowledge.isComplete()) return STARTING;
+    if (!routes || !knowledge.isComplete()) return DROP_WHILE_STARTING;
     const route = routes.find(flow.destinationAddress, flow.destinationPort);
-    if (!route) return NO_ROUTE;
-    const placement = this.choose(flow, route, nowMs);
+    if (!route) return REFUSE_WITHOUT_ROUTE;
+    const placement = this.choosePlacement(flow, route, nowMs);
     if (placement) return { kind: 'place', route, placement };
     return this.decideWithoutBackend(route) === 'hold'
       ? { kind: 'hold', route }
@@ -78,7 +78,7 @@
   /** The back end for a flow whose SYN was placed before; undefined without a route or a candidate. */
   chooseAgain(flow: FlowAddresses, nowMs: number): Placement | undefined {
     const route = this.routeOf(flow);
-    return route && this.choose(flow, route, nowMs);
+    return route && this.choosePlacement(flow, route, nowMs);
   }
 
   /** Records a choice, also one that leads back to the first back end: a trial opening and a cold flow count once. */
@@ -90,26 +90,26 @@
   private decideWithoutBackend({ targets }: Route): NoBackendOutcome {
     const { knowledge, settlement } = this.options;
     return decideWithoutBackend({
-      knowledge: settlement.state,
+      listState: settlement.state,
       hasServingRecord: targets.some(({ service }) => knowledge.backends.hasServing(service)),
       isKnownEmpty: targets.every(({ service }) => settlement.isKnownEmpty(service)),
     });
   }
 
-  private choose(flow: FlowAddresses, route: Route, nowMs: number): Placement | undefined {
+  private choosePlacement(flow: FlowAddresses, route: Route, nowMs: number): Placement | undefined {
     const flowHash = hashFlow(flow);
     const placements = new Map<string, Placement | undefined>();
-    const chosen = this.options.splitter.choose(route, (service) => {
-      const placement = this.chooseWithin(service, route, flowHash, nowMs);
+    const chosenService = this.options.splitter.chooseService(route, (service) => {
+      const placement = this.choosePlacementWithin(service, route, flowHash, nowMs);
       placements.set(service, placement);
       return placement !== undefined;
     });
-    if (chosen === undefined) return undefined;
-    if (placements.has(chosen)) return placements.get(chosen);
-    return this.chooseWithin(chosen, route, flowHash, nowMs);
+    if (chosenService === undefined) return undefined;
+    if (placements.has(chosenService)) return placements.get(chosenService);
+    return this.choosePlacementWithin(chosenService, route, flowHash, nowMs);
   }
 
-  private chooseWithin(
+  private choosePlacementWithin(
     service: string,
     route: Route,
     flowHash: number,
@@ -117,7 +117,7 @@
   ): Placement | undefined {
     const { knowledge, eligibility, placement, isOutlier, slowHandshakeMs } = this.options;
     const maxConnections = knowledge.routes()?.maxConnectionsOf(service) ?? 0;
-    return placement.choose({
+    return placement.chooseBackend({
       backends: knowledge.backends.ofService(service),
       eligibleStateOf: (backend) => eligibility.eligibleStateOf(backend, route, maxConnections, nowMs),
       isOutlier: (state) => isOutlier(state, flowHash, nowMs),
@@ -129,6 +129,6 @@
 }
 
 function hashFlow(flow: FlowAddresses): number {
-  const caller = combine32(flow.sourceAddress, flow.sourcePort);
-  return combine32(caller, combine32(flow.destinationAddress, flow.destinationPort));
+  const callerHash = combine32(flow.sourceAddress, flow.sourcePort);
+  return combine32(callerHash, combine32(flow.destinationAddress, flow.destinationPort));
 }
--- a/src/cookie-edge/placement/no-backend-rule.ts
+++ b/src/cookie-edge/placement/no-backend-rule.ts
@@ -14,8 +14,8 @@
 export type NoBackendOutcome = 'hold' | 'refuse';
 
 /** What is known of the services behind the opening's route. */
-export interface NoBackendSituation {
-  readonly knowledge: BackendKnowledge;
+export interface NoBackendInputs {
+  readonly listState: BackendKnowledge;
   /** Some back end of them is recorded and not leaving. */
   readonly hasServingRecord: boolean;
   /** The roster shows that none is to be expected. */
@@ -24,10 +24,10 @@
 
 /** Decides on an opening without a candidate. */
 export function decideWithoutBackend({
-  knowledge,
+  listState,
   hasServingRecord,
   isKnownEmpty,
-}: NoBackendSituation): NoBackendOutcome {
-  if (knowledge === 'settled') return 'refuse';
+}: NoBackendInputs): NoBackendOutcome {
+  if (listState === 'settled') return 'refuse';
   return hasServingRecord || isKnownEmpty ? 'refuse' : 'hold';
 }
--- a/src/cookie-edge/placement/opening-placement.test.ts
+++ b/src/cookie-edge/placement/opening-placement.test.ts
@@ -11,7 +11,7 @@
 import { OpeningPlacement } from './opening-placement.js';
 
 /** Known back ends with these ids, recorded in this order. */
-function known(...ids: string[]): KnownBackend[] {
+function registerBackends(...ids: string[]): KnownBackend[] {
   const clock = new VirtualClock();
   const registry = new BackendRegistry({ clock, events: SILENT_EVENT_LOG, retentionMs: 1_000 });
   ids.forEach((id, index) => registry.put(backendAt(id, index + 1), -1));
@@ -19,13 +19,13 @@
 }
 
 test('new flows spread evenly by capacity, and a cold back end gets half', (t) => {
-  const all = known('a', 'b', 'c');
+  const all = registerBackends('a', 'b', 'c');
   all[1]!.record = backendAt('b', 9, { capacity: 4 });
   all[2]!.coldUntilMs = 1_000;
   const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
   const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 0, zoneLoadFactor: 1 });
   for (let flow = 0; flow < 140; flow += 1) {
-    const choice = placement.choose(placementRequest(states, flow));
+    const choice = placement.chooseBackend(placementRequest(states, flow));
     choice!.state.openFlows += 1;
   }
   t.deepEqual(
@@ -35,47 +35,49 @@
 });
 
 test('among equals a busy back end is passed over, while own flows are few', (t) => {
-  const all = known('a', 'b', 'c', 'd', 'e', 'f', 'g', 'h', 'i');
+  const all = registerBackends('a', 'b', 'c', 'd', 'e', 'f', 'g', 'h', 'i');
   const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
   const stateOf = (index: number): LocalBackendState => states.get(all[index]!)!;
-  const idle = stateOf(2).idHash;
-  const loads = { isKnown: () => true, levelOf: (idHash: number) => (idHash === idle ? 1 : 1.5) };
+  const idleHash = stateOf(2).idHash;
+  const loads = { isKnown: () => true, levelOf: (idHash: number) => (idHash === idleHash ? 1 : 1.5) };
   const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 0, zoneLoadFactor: 1, loads });
-  const choices = (): number => {
-    const chosen = Array.from({ length: 90 }, (_, flow) => placement.choose(placementRequest(states, flow)));
+  const countIdleChoices = (): number => {
+    const chosen = Array.from({ length: 90 }, (_, flow) =>
+      placement.chooseBackend(placementRequest(states, flow)),
+    );
     return chosen.filter((choice) => choice!.state === stateOf(2)).length;
   };
-  t.true(choices() > 30, 'among four of nine, the idle one is found in four of nine choices');
+  t.true(countIdleChoices() > 30, 'among four of nine, the idle one is found in four of nine choices');
   stateOf(0).openFlows = 1;
   stateOf(1).openFlows = 1;
-  t.true(choices() > 30);
+  t.true(countIdleChoices() > 30);
   stateOf(3).openFlows = 1;
-  t.true(choices() < 25, 'own flows at a third of the back ends tell more than the reports');
+  t.true(countIdleChoices() < 25, 'own flows at a third of the back ends tell more than the reports');
   stateOf(2).openFlows = 1;
-  t.is(choices(), 0, 'fewer own flows go before what is reported');
+  t.is(countIdleChoices(), 0, 'fewer own flows go before what is reported');
 });
 
 test('balancers that know the same report choose equally, so that copies of a SYN meet one back end', (t) => {
   const ids = Array.from({ length: 40 }, (_, index) => `b-${index}`);
-  const all = known(...ids);
+  const all = registerBackends(...ids);
   const busy = new Set(ids.slice(0, 16).map((id) => hashString(id)));
   const loads = { isKnown: () => true, levelOf: (idHash: number) => (busy.has(idHash) ? 1.3 : 1) };
-  const chooser = (): ((flow: number) => string) => {
+  const createChooser = (): ((flow: number) => string) => {
     const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
     const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 0.5, zoneLoadFactor: 1, loads });
-    return (flow) => placement.choose(placementRequest(states, flow))!.state.backend.id;
+    return (flow) => placement.chooseBackend(placementRequest(states, flow))!.state.backend.id;
   };
-  const [first, second] = [chooser(), chooser()];
+  const [first, second] = [createChooser(), createChooser()];
   for (let flow = 0; flow < 200; flow += 1) t.is(first(flow), second(flow));
 });
 
 test('the own zone goes first within the margin only', (t) => {
-  const all = known('near', 'far');
+  const all = registerBackends('near', 'far');
   all[1]!.record = backendAt('far', 9, { zone: 'south' });
   const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
   const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 1, zoneLoadFactor: 1 });
   for (let flow = 0; flow < 20; flow += 1) {
-    const choice = placement.choose(placementRequest(states, flow));
+    const choice = placement.chooseBackend(placementRequest(states, flow));
     choice!.state.openFlows += 1;
   }
   const [near, far] = all.map((backend) => states.get(backend)!.openFlows);
@@ -84,7 +86,7 @@
 
 /** Flows that the own zone and another one of four back ends each get of `flows`, with the daemon's defaults. */
 function flowsByZone(flows: number): { readonly own: number; readonly other: number } {
-  const all = known('a', 'b', 'c', 'd', 'e', 'f', 'g', 'h');
+  const all = registerBackends('a', 'b', 'c', 'd', 'e', 'f', 'g', 'h');
   all.slice(4).forEach((backend) => (backend.record = { ...backend.record, zone: 'south' }));
   const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
   const placement = new OpeningPlacement({
@@ -94,7 +96,7 @@
   });
   const counts = { own: 0, other: 0 };
   for (let flow = 0; flow < flows; flow += 1) {
-    const chosen = placement.choose(placementRequest(states, flow))!.state;
+    const chosen = placement.chooseBackend(placementRequest(states, flow))!.state;
     chosen.openFlows += 1;
     counts[chosen.backend.record.zone === 'north' ? 'own' : 'other'] += 1;
   }
--- a/src/cookie-edge/placement/opening-placement.ts
+++ b/src/cookie-edge/placement/opening-placement.ts
@@ -6,10 +6,10 @@
 import { ALL_MECHANISMS_ON } from '../../common/mechanisms.js';
 import type { LocalBackendState } from '../backend-health/index.js';
 import type { LoadLevels } from '../load/index.js';
-import { loadWithNewFlow, type LoadWeights } from './backend-load.js';
+import { loadWithNewFlow, type LoadOptions } from './backend-load.js';
 import { CandidateClassifier, type ClassificationRequest } from './candidate-classes.js';
-import { candidatesUnder, choosePlacementRule, type PlacementRule } from './class-choice.js';
-import { countEqualsToWeigh, findLeastBusy, findLeastLoaded } from './equal-candidates.js';
+import { candidatesForRule, choosePlacementRule, type PlacementRule } from './class-choice.js';
+import { countTiedToCompare, findLeastBusyIndex, findLeastLoaded } from './equal-candidates.js';
 
 /** What a choice looks at. */
 export interface PlacementRequest extends ClassificationRequest {
@@ -28,31 +28,31 @@
 }
 
 /** What a placement needs; all mechanisms are on unless given. */
-interface OpeningPlacementOptions extends Omit<LoadWeights, 'isOn'>, Partial<Pick<LoadWeights, 'isOn'>> {
+interface OpeningPlacementOptions extends Omit<LoadOptions, 'isOn'>, Partial<Pick<LoadOptions, 'isOn'>> {
   /** Load reports of other balancers; none unless given. */
   readonly loads?: LoadLevels;
 }
 
 /** Chooses among the back ends of one service. */
 export class OpeningPlacement {
-  private readonly weights: LoadWeights;
+  private readonly loadOptions: LoadOptions;
   private readonly classifier: CandidateClassifier;
 
   constructor(private readonly options: OpeningPlacementOptions) {
     const { zone, zoneMargin, zoneLoadFactor, isOn = ALL_MECHANISMS_ON } = options;
-    this.weights = { zone, zoneMargin, zoneLoadFactor, isOn };
+    this.loadOptions = { zone, zoneMargin, zoneLoadFactor, isOn };
     this.classifier = new CandidateClassifier(isOn);
   }
 
   /** The back end for a flow; undefined when there is no candidate. */
-  choose(request: PlacementRequest): Placement | undefined {
+  chooseBackend(request: PlacementRequest): Placement | undefined {
     const candidates = this.classifier.classify(request);
     const rule = choosePlacementRule(candidates);
     if (rule === undefined) return undefined;
     if (rule === 'trial') {
       return candidates.trial && { state: candidates.trial, rule, candidates: 1, passedOver: 0 };
     }
-    return this.chooseAmong(candidatesUnder(rule, candidates), rule, request);
+    return this.chooseAmong(candidatesForRule(rule, candidates), rule, request);
   }
 
   private chooseAmong(
@@ -61,12 +61,12 @@
     { flowHash, nowMs }: PlacementRequest,
   ): Placement | undefined {
     const { loads } = this.options;
-    const count = countEqualsToWeigh(states, loads, nowMs);
-    const equals = findLeastLoaded(states, flowHash, count, (state) =>
-      loadWithNewFlow(state, nowMs, this.weights),
+    const maxTied = countTiedToCompare(states, loads, nowMs);
+    const tied = findLeastLoaded(states, flowHash, maxTied, (state) =>
+      loadWithNewFlow(state, nowMs, this.loadOptions),
     );
-    const passedOver = findLeastBusy(equals, loads, nowMs);
-    const chosen = equals[passedOver];
+    const passedOver = findLeastBusyIndex(tied, loads, nowMs);
+    const chosen = tied[passedOver];
     return chosen && { state: chosen.state, rule, candidates: states.length, passedOver };
   }
 }
--- a/src/cookie-edge/placement/placement-test-support.ts
+++ b/src/cookie-edge/placement/placement-test-support.ts
@@ -6,18 +6,18 @@
 /** The state of a back end that is recorded and has given no sign of life yet. */
 export function stateOf(
   id: string,
-  record: Partial<RoutedBackend> = {},
-  known: Partial<KnownBackend> = {},
+  recordFields: Partial<RoutedBackend> = {},
+  knownFields: Partial<KnownBackend> = {},
 ): LocalBackendState {
   return new LocalBackendState({
     id,
-    record: backendAt(id, 1, record),
+    record: backendAt(id, 1, recordFields),
     departed: false,
     lapsed: false,
     removedRevision: -1,
     departedAtMs: undefined,
     coldUntilMs: 0,
-    ...known,
+    ...knownFields,
   });
 }
 
--- a/src/cookie-edge/placement/replayed-load.ts
+++ b/src/cookie-edge/placement/replayed-load.ts
@@ -39,14 +39,14 @@
   readonly isFresh: boolean;
 }
 
-const SLOTS = 2;
+const SLOTS_PER_BACKEND = 2;
 /** Standard deviation of the logarithm of the work. */
-const WORK_SPREAD = 0.5;
+const SERVICE_TIME_SIGMA = 0.5;
 /** Time in ms in which a report reaches the other balancers. Two to three messages, 150 ms apart. */
-const GOSSIP_MS = 400;
+const GOSSIP_DELAY_MS = 400;
 /** A caller closes the flow of a request that takes longer than this, in ms. */
-const DEADLINE_MS = 2_000;
-const SECOND_MS = 1_000;
+const REQUEST_TIMEOUT_MS = 2_000;
+const MS_PER_SECOND = 1_000;
 
 /** Callers, balancers and back ends of one replayed day. */
 export class ReplayedLoad {
@@ -54,77 +54,87 @@
   readonly requests: ReplayedRequest[] = [];
   readonly balancers: readonly ForwarderHarness[];
   private readonly random: RandomSource;
-  private readonly freeAtMs: number[][];
+  private readonly slotsFreeAtMs: number[][];
   private nextPort = 0;
 
-  constructor(private readonly day: ReplayedDay) {
-    this.random = seededRandom(day.seed);
-    this.freeAtMs = Array.from({ length: day.backends }, () => new Array<number>(SLOTS).fill(0));
-    const records = this.freeAtMs.map((_slots, index) => backendAt(`b-${index}`, index + 1));
-    this.balancers = Array.from({ length: day.balancers }, (_unused, index) => {
+  constructor(private readonly parameters: ReplayedDay) {
+    this.random = seededRandom(parameters.seed);
+    this.slotsFreeAtMs = Array.from({ length: parameters.backends }, () =>
+      new Array<number>(SLOTS_PER_BACKEND).fill(0),
+    );
+    const records = this.slotsFreeAtMs.map((_slots, index) => backendAt(`b-${index}`, index + 1));
+    this.balancers = Array.from({ length: parameters.balancers }, (_unused, index) => {
       const onBadAnswer = (
         report: Parameters<ForwarderHarness['forwarder']['applyBadAnswerReport']>[0],
       ): void => {
-        if (day.gossipLostAt?.(this.clock.now())) return;
-        this.clock.schedule(GOSSIP_MS, () => {
+        if (parameters.gossipLostAt?.(this.clock.now())) return;
+        this.clock.schedule(GOSSIP_DELAY_MS, () => {
           for (const other of this.balancers) other.forwarder.applyBadAnswerReport(report);
         });
       };
       const surroundings = { observer: index + 1, onBadAnswer };
-      return new ForwarderHarness(this.clock, index, day.switchedOff ?? [], surroundings).know(records);
+      return new ForwarderHarness(this.clock, index, parameters.switchedOff ?? [], surroundings).know(
+        records,
+      );
     });
   }
 
   /** Plays `milliseconds` of the day. */
   run(milliseconds: number): void {
-    for (let flow = 0; flow < this.day.keptFlows; flow += 1) this.pauseThen(() => this.openKept());
-    this.openFreshLater();
+    for (let flow = 0; flow < this.parameters.keptFlows; flow += 1)
+      this.scheduleAfterPause(() => this.openPersistentFlow());
+    this.scheduleNewFlow();
     this.clock.advance(milliseconds);
     for (const balancer of this.balancers) balancer.stop();
   }
 
-  /** Share of the requests sent in a time that were not answered within `aimMs`. */
-  lateShare(fromMs: number, toMs: number, aimMs: number): number {
+  /** Share of the requests sent in a time that were not answered within `targetMs`. */
+  lateShare(fromMs: number, toMs: number, targetMs: number): number {
     const sent = this.requests.filter(({ sentAtMs }) => sentAtMs >= fromMs && sentAtMs < toMs);
-    return sent.filter(({ tookMs }) => tookMs > aimMs).length / sent.length;
+    return sent.filter(({ tookMs }) => tookMs > targetMs).length / sent.length;
   }
 
-  private openFreshLater(): void {
-    const rate = this.day.freshPerSecond * (this.day.burstAt?.(this.clock.now()) ?? 1);
-    this.clock.schedule((-Math.log(1 - this.random()) * SECOND_MS) / rate, () => {
-      this.openFreshLater();
-      this.open((port, balancer, cookie, backend) => {
-        this.request(backend, true, (isAnswered) => {
+  private scheduleNewFlow(): void {
+    const flowsPerSecond =
+      this.parameters.freshPerSecond * (this.parameters.burstAt?.(this.clock.now()) ?? 1);
+    this.clock.schedule((-Math.log(1 - this.random()) * MS_PER_SECOND) / flowsPerSecond, () => {
+      this.scheduleNewFlow();
+      this.openFlow((port, balancer, cookie, backend) => {
+        this.sendRequest(backend, true, (isAnswered) => {
           balancer.goOn(port, cookie, { sequence: 2, acknowledgement: isAnswered ? 2 : 1, fin: true });
         });
       });
     });
   }
 
-  private openKept(): void {
-    this.open((port, balancer, cookie, backend) =>
-      this.useKept({ port, balancer, cookie, backend, sent: 1 }),
+  private openPersistentFlow(): void {
+    this.openFlow((port, balancer, cookie, backend) =>
+      this.sendOnPersistentFlow({ port, balancer, cookie, backend, requestCount: 1 }),
     );
   }
 
-  private useKept(flow: KeptFlow): void {
-    this.request(flow.backend, false, (isAnswered) => {
-      const { port, balancer, cookie, sent } = flow;
+  private sendOnPersistentFlow(flow: PersistentFlow): void {
+    this.sendRequest(flow.backend, false, (isAnswered) => {
+      const { port, balancer, cookie, requestCount } = flow;
       if (!isAnswered) {
-        balancer.goOn(port, cookie, { sequence: sent + 1, acknowledgement: sent, fin: true });
-        return this.openKept();
+        balancer.goOn(port, cookie, { sequence: requestCount + 1, acknowledgement: requestCount, fin: true });
+        return this.openPersistentFlow();
       }
-      balancer.goOn(port, cookie, { sequence: sent + 1, acknowledgement: sent + 1 });
-      this.pauseThen(() => {
-        balancer.goOn(port, cookie, { sequence: sent + 1, acknowledgement: sent + 1, payloadBytes: 100 });
-        this.useKept({ ...flow, sent: sent + 1 });
+      balancer.goOn(port, cookie, { sequence: requestCount + 1, acknowledgement: requestCount + 1 });
+      this.scheduleAfterPause(() => {
+        balancer.goOn(port, cookie, {
+          sequence: requestCount + 1,
+          acknowledgement: requestCount + 1,
+          payloadBytes: 100,
+        });
+        this.sendOnPersistentFlow({ ...flow, requestCount: requestCount + 1 });
       });
     });
   }
 
   /** Opens a flow through any balancer and sends the first data of a request on it. */
-  private open(
-    then: (port: number, balancer: ForwarderHarness, cookie: number, backend: number) => void,
+  private openFlow(
+    onOpened: (port: number, balancer: ForwarderHarness, cookie: number, backend: number) => void,
   ): void {
     this.nextPort += 1;
     const port = this.nextPort;
@@ -133,40 +143,43 @@
     if (!opened?.backend) return;
     const { cookie, backend } = opened;
     balancer.goOn(port, cookie, { payloadBytes: 100 });
-    then(port, balancer, cookie, Number(backend.slice(2)));
+    onOpened(port, balancer, cookie, Number(backend.slice(2)));
   }
 
   /** A request at a back end; `whenDone` is called with its answer, or when its caller gives up. */
-  private request(backend: number, isFresh: boolean, whenDone: (isAnswered: boolean) => void): void {
+  private sendRequest(backend: number, isFresh: boolean, whenDone: (isAnswered: boolean) => void): void {
     const sentAtMs = this.clock.now();
-    const slowness = this.day.slownessOf(backend, sentAtMs);
-    const slots = this.freeAtMs[backend] as number[];
+    const slowness = this.parameters.slownessOf(backend, sentAtMs);
+    const slots = this.slotsFreeAtMs[backend] as number[];
     const slot = slots.indexOf(Math.min(...slots));
-    const doneAtMs = Math.max(sentAtMs, slots[slot] as number) + this.work() * slowness;
+    const doneAtMs = Math.max(sentAtMs, slots[slot] as number) + this.sampleServiceTimeMs() * slowness;
     if (Number.isFinite(slowness)) slots[slot] = doneAtMs;
     const tookMs = doneAtMs - sentAtMs;
-    const isAnswered = tookMs <= DEADLINE_MS;
+    const isAnswered = tookMs <= REQUEST_TIMEOUT_MS;
     this.requests.push({ sentAtMs, backend, isFresh, tookMs: isAnswered ? tookMs : Infinity });
-    this.clock.schedule(Math.min(tookMs, DEADLINE_MS), () => whenDone(isAnswered));
+    this.clock.schedule(Math.min(tookMs, REQUEST_TIMEOUT_MS), () => whenDone(isAnswered));
   }
 
   /** Log-normal, with the mean of the day. */
-  private work(): number {
-    const normal = Math.sqrt(-2 * Math.log(1 - this.random())) * Math.cos(2 * Math.PI * this.random());
-    return this.day.workMs * Math.exp(WORK_SPREAD * normal - WORK_SPREAD ** 2 / 2);
+  private sampleServiceTimeMs(): number {
+    const standardNormal =
+      Math.sqrt(-2 * Math.log(1 - this.random())) * Math.cos(2 * Math.PI * this.random());
+    return (
+      this.parameters.workMs * Math.exp(SERVICE_TIME_SIGMA * standardNormal - SERVICE_TIME_SIGMA ** 2 / 2)
+    );
   }
 
-  private pauseThen(callback: () => void): void {
-    const burst = this.day.burstAt?.(this.clock.now()) ?? 1;
-    this.clock.schedule((-Math.log(1 - this.random()) * this.day.pauseMs) / burst, callback);
+  private scheduleAfterPause(callback: () => void): void {
+    const rateFactor = this.parameters.burstAt?.(this.clock.now()) ?? 1;
+    this.clock.schedule((-Math.log(1 - this.random()) * this.parameters.pauseMs) / rateFactor, callback);
   }
 }
 
 /** A flow that its caller keeps; `sent` counts its requests. */
-interface KeptFlow {
+interface PersistentFlow {
   readonly port: number;
   readonly balancer: ForwarderHarness;
   readonly cookie: number;
   readonly backend: number;
-  readonly sent: number;
+  readonly requestCount: number;
 }
--- a/src/cookie-edge/placement/traffic-splitter.test.ts
+++ b/src/cookie-edge/placement/traffic-splitter.test.ts
@@ -28,7 +28,7 @@
     const targets = weights.map((weight, index) => ({ service: String(index), weight }));
     const route = { name: 'r', address: 1, port: 1, targets };
     const chosen = expected.map(() =>
-      splitter.choose(route, (service) => withCandidate.includes(Number(service))),
+      splitter.chooseService(route, (service) => withCandidate.includes(Number(service))),
     );
     t.deepEqual(chosen, [...expected]);
   });
@@ -43,11 +43,11 @@
   ];
   const route = { name: 'r', address: 1, port: 1, targets };
   t.is(
-    splitter.choose(route, () => true),
+    splitter.chooseService(route, () => true),
     '0',
   );
   t.is(
-    splitter.choose(route, () => true),
+    splitter.chooseService(route, () => true),
     '1',
   );
 });
@@ -66,12 +66,14 @@
   test(`shares of ${weights.join(':')} hold within any 200 flows`, (t) => {
     const splitter = new TrafficSplitter(seededRandom(5));
     const route = routeWith(...weights);
-    const chosen = Array.from({ length: 1_000 }, () => splitter.choose(route, () => true));
+    const chosen = Array.from({ length: 1_000 }, () => splitter.chooseService(route, () => true));
     const total = weights.reduce((sum, weight) => sum + weight, 0);
     for (let start = 0; start + 200 <= chosen.length; start += 50) {
       weights.forEach((weight, index) => {
-        const taken = chosen.slice(start, start + 200).filter((name) => name === `service-${index}`).length;
-        t.true(Math.abs(taken / 200 - weight / total) <= 0.01, `${taken} of 200 from ${start}`);
+        const chosenCount = chosen
+          .slice(start, start + 200)
+          .filter((name) => name === `service-${index}`).length;
+        t.true(Math.abs(chosenCount / 200 - weight / total) <= 0.01, `${chosenCount} of 200 from ${start}`);
       });
     }
   });
@@ -81,10 +83,10 @@
   const splitter = new TrafficSplitter(seededRandom(5));
   for (let flow = 0; flow < 50; flow += 1) {
     t.is(
-      splitter.choose(routeWith(90, 10), (service) => service === 'service-1'),
+      splitter.chooseService(routeWith(90, 10), (service) => service === 'service-1'),
       'service-1',
     );
   }
-  const chosen = Array.from({ length: 100 }, () => splitter.choose(routeWith(10, 90), () => true));
+  const chosen = Array.from({ length: 100 }, () => splitter.chooseService(routeWith(10, 90), () => true));
   t.true(Math.abs(chosen.filter((name) => name === 'service-1').length - 90) <= 1);
 });
--- a/src/cookie-edge/placement/traffic-splitter.ts
+++ b/src/cookie-edge/placement/traffic-splitter.ts
@@ -33,24 +33,26 @@
    * Returns the service of the next flow of `route`; undefined for a route without services. `hasCandidate` is not
    * called for a route with one service.
    */
-  choose(route: Route, hasCandidate: (service: string) => boolean): string | undefined {
+  chooseService(route: Route, hasCandidate: (service: string) => boolean): string | undefined {
     if (route.targets.length <= 1) return route.targets[0]?.service;
     const credits = this.creditsOf(route);
     for (const target of credits) target.credit += target.share;
-    const open = credits.filter((target) => hasCandidate(target.service));
-    const eligible = open.length > 0 ? open : credits;
-    const chosen = this.isOn('split-credit') ? highestCredit(eligible) : byChance(eligible, this.random);
+    const withCandidate = credits.filter((target) => hasCandidate(target.service));
+    const eligible = withCandidate.length > 0 ? withCandidate : credits;
+    const chosen = this.isOn('split-credit')
+      ? findHighestCredit(eligible)
+      : drawByShare(eligible, this.random);
     if (chosen) chosen.credit -= 1;
     return chosen?.service;
   }
 
   private creditsOf(route: Route): TargetCredit[] {
-    const known = this.credits.get(route.name);
-    if (known && sameShares(known, route.targets)) return known;
-    const total = sumOfWeights(route.targets);
+    const existing = this.credits.get(route.name);
+    if (existing && hasSameShares(existing, route.targets)) return existing;
+    const totalWeight = sumOfWeights(route.targets);
     const credits = route.targets.map(({ service, weight }) => ({
       service,
-      share: weight / total,
+      share: weight / totalWeight,
       credit: this.random() - 1 / 2,
     }));
     this.credits.set(route.name, credits);
@@ -62,22 +64,22 @@
   return targets.reduce((total, { weight }) => total + weight, 0);
 }
 
-function sameShares(credits: readonly TargetCredit[], targets: readonly RouteTarget[]): boolean {
+function hasSameShares(credits: readonly TargetCredit[], targets: readonly RouteTarget[]): boolean {
   if (credits.length !== targets.length) return false;
-  const total = sumOfWeights(targets);
+  const totalWeight = sumOfWeights(targets);
   return credits.every(({ service, share }, index) => {
     const target = targets[index];
-    return target?.service === service && target.weight / total === share;
+    return target?.service === service && target.weight / totalWeight === share;
   });
 }
 
 /** A service by its share alone: what credits are measured against. */
-function byChance(credits: readonly TargetCredit[], random: RandomSource): TargetCredit | undefined {
-  let rest = random() * credits.reduce((total, { share }) => total + share, 0);
-  return credits.find(({ share }) => (rest -= share) < 0) ?? credits.at(-1);
+function drawByShare(credits: readonly TargetCredit[], random: RandomSource): TargetCredit | undefined {
+  let remaining = random() * credits.reduce((total, { share }) => total + share, 0);
+  return credits.find(({ share }) => (remaining -= share) < 0) ?? credits.at(-1);
 }
 
-function highestCredit(credits: readonly TargetCredit[]): TargetCredit | undefined {
+function findHighestCredit(credits: readonly TargetCredit[]): TargetCredit | undefined {
   let highest: TargetCredit | undefined;
   for (const target of credits) if (!highest || target.credit > highest.credit) highest = target;
   return highest;
