--- a/src/cookie-edge/admission/yield-rule.test.ts
+++ b/src/cookie-edge/admission/deferral-rule.test.ts
@@ -1,6 +1,6 @@
 /** Each condition under which a late opening yields. */
 import test from 'ava';
-import { shouldDefer, type DeferralInputs } from './yield-rule.js';
+import { shouldDefer, type DeferralInputs } from './deferral-rule.js';
 
 /** A late caller at a daemon that has its share of 20 slots among 7 daemons in progress. */
 const LATE_OPENING: DeferralInputs = {
--- a/src/cookie-edge/admission/index.ts
+++ b/src/cookie-edge/admission/index.ts
@@ -7,4 +7,4 @@
  * if (crowd.mustYield(route, { waitedMs, isLastChance }, nowMs)) hold(packet);
  * ```
  */
-export { CrowdAdmission, type WaitingCaller } from './crowd-admission.js';
+export { CrowdAdmission, type WaitingCaller } from './recovery-admission.js';
--- a/src/cookie-edge/admission/crowd-admission.ts
+++ b/src/cookie-edge/admission/recovery-admission.ts
@@ -1,11 +1,11 @@
 /**
- * Paces the callers that come back together after an interruption, by the rule in `yield-rule.ts`. Owns the time of the
- * last return. Relies on the routing knowledge for the back ends' slots, on forwarding for what is in progress, and on
- * the roster and gossip for the size of the fleet.
+ * Paces the callers that come back together after an interruption, by the rule in `deferral-rule.ts`. Owns the time of
+ * the last return. Relies on the routing knowledge for the back ends' slots, on forwarding for what is in progress, and
+ * on the roster and gossip for the size of the fleet.
  */
 import type { Route, RoutingKnowledge } from '../routing/index.js';
 import { RECOVERY_MS } from './constants.js';
-import { shouldDefer } from './yield-rule.js';
+import { shouldDefer } from './deferral-rule.js';
 
 /** Collaborators. */
 interface RecoveryAdmissionOptions {
--- a/src/cookie-edge/placement/opening-placement.ts
+++ b/src/cookie-edge/placement/opening-placement.ts
@@ -1,7 +1,7 @@
 /**
  * Chooses the back end of a new flow within one service, by four rules in this order: class of each candidate
  * (`candidate-classes.ts`), class to place in (`class-choice.ts`), load (`backend-load.ts`), order among equals
- * (`equal-candidates.ts`). Owns no state; does no input or output. The caller carries out and logs the choice.
+ * (`tie-breaking.ts`). Owns no state; does no input or output. The caller carries out and logs the choice.
  */
 import { ALL_MECHANISMS_ON } from '../../common/mechanisms.js';
 import type { LocalBackendState } from '../backend-health/index.js';
@@ -9,7 +9,7 @@
 import { loadWithNewFlow, type LoadOptions } from './backend-load.js';
 import { CandidateClassifier, type ClassificationRequest } from './candidate-classes.js';
 import { candidatesForRule, choosePlacementRule, type PlacementRule } from './class-choice.js';
-import { countTiedToCompare, findLeastBusyIndex, findLeastLoaded } from './equal-candidates.js';
+import { countTiedToCompare, findLeastBusyIndex, findLeastLoaded } from './tie-breaking.js';
 
 /** What a choice looks at. */
 export interface PlacementRequest extends ClassificationRequest {
--- a/src/cookie-edge/placement/equal-candidates.test.ts
+++ b/src/cookie-edge/placement/tie-breaking.test.ts
@@ -2,7 +2,7 @@
 import { combine32 } from '../../common/hash.js';
 import type { LoadLevels } from '../load/index.js';
 import { MAX_TIED_CANDIDATES } from './constants.js';
-import { countTiedToCompare, findLeastBusyIndex, findLeastLoaded } from './equal-candidates.js';
+import { countTiedToCompare, findLeastBusyIndex, findLeastLoaded } from './tie-breaking.js';
 import { stateOf } from './placement-test-support.js';
 
 const FLOW_HASH = 7;
