--- a/src/cookie-edge/admission/constants.ts
+++ b/src/cookie-edge/admission/constants.ts
@@ -1,7 +1,7 @@
 /** Durations of admission, in ms. */
 
 /**
- * How long after its return a daemon makes late openings yield. Callers that waited come back within one attempt of
- * 1,400 ms, and what they ask is worked off within about as long.
+ * Duration of a recovery, in which late openings may be deferred. Callers that waited reconnect within one attempt of
+ * 1,400 ms, and the back ends need about as long again to serve them.
  */
 export const RECOVERY_MS = 3_000;
--- a/src/cookie-edge/admission/deferral-rule.ts
+++ b/src/cookie-edge/admission/deferral-rule.ts
@@ -1,38 +1,38 @@
 /**
- * Rule: whether an opening that is late already yields to those that can still be answered in time. Does no input or
- * output; times are ms.
+ * Rule: whether an opening that is already late is deferred in favour of openings that can still be answered in time.
+ * Does no input or output; times are ms.
  *
- * Load it answers: all daemons, or all back ends, were away for a second or two. Everybody who called meanwhile comes
- * back at once, on top of those who call as usual, and asks for several times what the back ends have room for. Served
- * in the order of arrival, all are late, and back ends turn away what their queues cannot take, which costs callers
- * their few attempts. Those who have waited beyond their target lose little by some hundred ms more; those who call now
- * lose their target.
+ * Handles the thundering herd after an outage of a second or two of all daemons or all back ends. Callers that arrived
+ * during the outage retry together, in addition to the usual callers, and demand several times what the back ends can
+ * serve. In the order of arrival all of them would be served late, and back ends would reject what exceeds their
+ * queues, which costs callers some of their few attempts. A caller that has already waited longer than the target
+ * latency loses little by waiting some hundred ms more; a new caller would miss its target.
  *
- * Order: outside of a return, and for a route without a target, nothing yields. A caller that is not late goes at once.
- * A late one goes where this daemon's share of the slots has room, and in any case at its last chance: it is never kept
- * until it gives up. Missing knowledge: without a back end there is no room to share, and the opening is decided by the
- * other rules; without the size of the fleet the share is one.
+ * Order: no opening is deferred outside of a recovery or on a route without a target latency. A caller that is not late
+ * is admitted at once. A late caller is admitted while this daemon's share of the slots is not used up, and always on
+ * its last chance, so that it is never held until it gives up. Missing knowledge: without a back end there are no slots
+ * to share, and other rules decide; without the size of the fleet the share is one slot.
  */
 
-/** What the rule looks at. */
+/** Inputs of the rule for one opening. */
 export interface DeferralInputs {
-  /** This daemon, or the back ends of the route, came back less than `RETURN_MS` ago. */
+  /** True for `RECOVERY_MS` after this daemon's first opening, and after it held an opening for lack of a back end. */
   readonly isRecovering: boolean;
   /** Time since the caller sent its first packet. */
   readonly waitedMs: number;
-  /** Time within which the route's requests should be answered; undefined: none. */
+  /** Time within which the route's requests should be answered; undefined: no target. */
   readonly targetLatencyMs: number | undefined;
-  /** Its caller sends no further copy, and gives up soon. */
+  /** True when the caller sends no further retransmission and gives up soon. */
   readonly isLastChance: boolean;
-  /** Openings and requests of this daemon at the route's services that are not answered yet. */
+  /** Openings and requests that this daemon sent to the route's services and that are not answered yet. */
   readonly inProgress: number;
-  /** Requests that the services work on at once, all back ends together. */
+  /** Requests that all back ends of the services can process concurrently. */
   readonly slots: number;
-  /** Daemons that share them; undefined while unknown. */
+  /** Daemons that share the slots; undefined while unknown. */
   readonly daemonCount: number | undefined;
 }
 
-/** True when the opening is held in favour of others. */
+/** True when the opening should be held so that others go first. */
 export function shouldDefer(inputs: DeferralInputs): boolean {
   const { isRecovering, waitedMs, targetLatencyMs, isLastChance, inProgress, slots } = inputs;
   if (!isRecovering || targetLatencyMs === undefined || waitedMs < targetLatencyMs) return false;
@@ -40,7 +40,10 @@
   return inProgress >= slotShareOf(inputs);
 }
 
-/** Requests that this daemon may have in progress before late ones yield, rounded up: an idle slot serves nobody. */
+/**
+ * Requests that this daemon may have in progress before it defers late openings. Rounded up, because rounding down
+ * would leave slots idle.
+ */
 function slotShareOf({ slots, daemonCount }: DeferralInputs): number {
   return daemonCount === undefined ? 1 : Math.max(1, Math.ceil(slots / daemonCount));
 }
--- a/src/cookie-edge/admission/recovery-admission.ts
+++ b/src/cookie-edge/admission/recovery-admission.ts
@@ -1,18 +1,18 @@
 /**
- * Paces the callers that come back together after an interruption, by the rule in `deferral-rule.ts`. Owns the time of
- * the last return. Relies on the routing knowledge for the back ends' slots, on forwarding for what is in progress, and
- * on the roster and gossip for the size of the fleet.
+ * Paces the callers that reconnect together after an interruption, by the rule in `deferral-rule.ts`. Owns the time at
+ * which the last recovery began. Relies on the routing knowledge for the back ends' slots, on forwarding for the
+ * openings and requests in progress, and on the roster and gossip for the size of the fleet.
  */
 import type { Route, RoutingKnowledge } from '../routing/index.js';
 import { RECOVERY_MS } from './constants.js';
 import { shouldDefer } from './deferral-rule.js';
 
-/** Collaborators. */
+/** Sources of the rule's inputs. */
 interface RecoveryAdmissionOptions {
   readonly knowledge: RoutingKnowledge;
   /** Number of daemons, this one included; undefined while unknown. */
   readonly fleetSize: () => number | undefined;
-  /** Openings and requests of this daemon at a service that are not answered yet. */
+  /** Openings and requests that this daemon sent to a service and that are not answered yet. */
   readonly inProgressAt: (service: string, nowMs: number) => number;
 }
 
@@ -20,28 +20,31 @@
 export interface WaitingCaller {
   /** Time since its first packet, in ms. */
   readonly waitedMs: number;
-  /** It sends no further copy, and gives up soon. */
+  /** True when it sends no further retransmission and gives up soon. */
   readonly isLastChance: boolean;
 }
 
-/** Admission of one daemon. Times are monotonic ms. */
+/** Admission of openings by one daemon. Times are monotonic ms. */
 export class CrowdAdmission {
   private recoveryStartedAtMs: number | undefined;
 
   constructor(private readonly options: RecoveryAdmissionOptions) {}
 
-  /** Call at the first opening, and whenever openings had to be held for want of back ends. */
+  /** Starts a recovery. The caller calls this whenever it holds an opening because no back end is listed. */
   recordReturn(nowMs: number): void {
     this.recoveryStartedAtMs = nowMs;
   }
 
-  /** True while late openings may have to yield. The first opening begins the return after a start. */
+  /**
+   * True during a recovery, while late openings may be deferred. The first call starts one, so that the first opening
+   * after the start of the daemon begins a recovery.
+   */
   isReturning(nowMs: number): boolean {
     this.recoveryStartedAtMs ??= nowMs;
     return nowMs - this.recoveryStartedAtMs < RECOVERY_MS;
   }
 
-  /** True when an opening of `route` is to be held in favour of others. */
+  /** True when the caller of this method should hold an opening of `route` so that others go first. */
   mustYield({ targets, targetLatencyMs }: Route, caller: WaitingCaller, nowMs: number): boolean {
     if (!this.isReturning(nowMs)) return false;
     const { fleetSize, inProgressAt } = this.options;
@@ -54,7 +57,7 @@
     return shouldDefer({ isRecovering: true, ...caller, targetLatencyMs, inProgress, slots, daemonCount });
   }
 
-  /** Slots of the back ends that may get flows, those included that are only remembered. */
+  /** Slots of the back ends that may get flows, including back ends whose records may only have lapsed. */
   private slotsOf(service: string): number {
     let slots = 0;
     for (const { departed, lapsed, record } of this.options.knowledge.backends.ofService(service)) {
--- a/src/cookie-edge/placement/backend-eligibility.test.ts
+++ b/src/cookie-edge/placement/backend-eligibility.test.ts
@@ -1,4 +1,4 @@
-/** Back ends that may get no new flow, whatever their load and health. */
+/** Conditions under which a back end gets no new flow, whatever its load and health. */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { seededRandom } from '../../common/random.js';
@@ -26,12 +26,12 @@
   return new ForwarderHarness(new VirtualClock(), 1, [], surroundings);
 }
 
-/** Back ends that `count` new flows get; undefined for a reset. */
+/** Opens `count` flows and returns the back end of each; undefined for a reset. */
 function openNewFlows(harness: ForwarderHarness, count: number, fromPort = 50_000): (string | undefined)[] {
   return Array.from({ length: count }, (_unused, index) => harness.open(fromPort + index)?.backend);
 }
 
-test('no new flow goes to a cordoned zone, and the zone gets flows again when that is taken back', (t) => {
+test('no new flow goes to a cordoned zone until the cordon is removed', (t) => {
   const harness = new ForwarderHarness().know(backendsInZones('north', 'south', 'south'));
   harness.cordon(['north'], 11);
   t.false(openNewFlows(harness, 30).includes('a'));
@@ -39,30 +39,30 @@
   t.true(openNewFlows(harness, 30, 51_000).includes('a'));
 });
 
-test('open flows at a back end of a cordoned zone go on', (t) => {
+test('open flows to a back end of a cordoned zone continue', (t) => {
   const harness = new ForwarderHarness().know(backendsInZones('north'));
   const { cookie } = harness.establish(40_002);
   harness.cordon(['north'], 11);
   t.is(harness.goOn(40_002, cookie)?.backend, 'a');
 });
 
-test('a copy of a SYN goes where the first one went, though its zone was cordoned meanwhile', (t) => {
+test('a retransmitted SYN reaches the back end of the first SYN even if its zone was cordoned since', (t) => {
   const harness = new ForwarderHarness().know(backendsInZones('north', 'south'));
   const first = harness.open(40_002)?.backend;
   harness.cordon([first === 'a' ? 'north' : 'south'], 11);
   t.is(harness.open(40_002, 1)?.backend, first);
 });
 
-/** What is left where every back end outside of the cordoned zone cannot serve. */
+/** Name, and preparation of a harness in which no back end outside of the cordoned zone can serve. */
 const REMAINING_BACKEND_CASES: readonly (readonly [string, (harness: ForwarderHarness) => void])[] = [
   ['nothing', (harness) => void harness.know(backendsInZones('north', 'north'))],
   [
-    'one that drains',
+    'a draining back end',
     (harness) =>
       void harness.know([...backendsInZones('north'), backendAt('z', 2, { zone: 'south', draining: true })]),
   ],
   [
-    'a record that may only have lapsed, in the cordoned zone as well',
+    'a back end in the cordoned zone whose record may only have lapsed',
     (harness) => {
       harness.know(backendsInZones('north'));
       harness.establish(40_002);
@@ -70,7 +70,7 @@
     },
   ],
   [
-    'an ejected one, in the cordoned zone as well',
+    'an ejected back end in the cordoned zone',
     (harness) => {
       harness.know(backendsInZones('north', 'north'));
       failOpenings(harness, 'a', 3, 41_000);
@@ -80,7 +80,7 @@
 ];
 
 for (const [name, prepare] of REMAINING_BACKEND_CASES) {
-  test(`a caller is refused at once where a cordoned zone leaves ${name}`, (t) => {
+  test(`a caller is refused at once if a cordon leaves ${name}`, (t) => {
     const harness = new ForwarderHarness();
     prepare(harness);
     harness.cordon(['north'], 12);
@@ -92,7 +92,7 @@
   });
 }
 
-test('a split keeps to the services that have back ends outside of cordoned zones', (t) => {
+test('a traffic split uses only services that have back ends outside of cordoned zones', (t) => {
   const route = {
     name: 'split',
     address: SERVICE_ADDRESS,
@@ -110,7 +110,7 @@
 
 const REGIONS = { north: 'east-coast', south: 'west-coast', middle: 'inland' };
 
-/** Allowed regions of a route, zones of the back ends `a`, `b`, ..., and the back ends that get its flows. */
+/** Allowed regions of a route; zones of the back ends `a`, `b`, ...; the back ends that get the route's flows. */
 const REGION_CASES: readonly (readonly [
   readonly string[] | undefined,
   readonly string[],
@@ -138,7 +138,7 @@
   });
 }
 
-/** A cold back end `c` beside warm ones, with a rate for cold ones. */
+/** Returns a harness with `warmCount` warm back ends and the back end `cold`, whose rate in slow start is `rate`. */
 function harnessWithColdBackend(
   surroundings: HarnessSurroundings,
   warmCount: number,
@@ -149,7 +149,7 @@
   return createHarness(surroundings).know([...backends(warmCount), cold], { services });
 }
 
-test('a cold back end gets flows from its owners only, and from all balancers once it is warm', (t) => {
+test('a cold back end gets new flows from its owners only, and from all balancers once it is warm', (t) => {
   const owner = harnessWithColdBackend({ isOwner: () => true }, 3, 5);
   const other = harnessWithColdBackend({ isOwner: () => false }, 3, 5);
   t.true(openNewFlows(owner, 20).includes('cold'));
@@ -158,7 +158,7 @@
   t.true(openNewFlows(other, 20, 51_000).includes('cold'));
 });
 
-test('a caller is refused at once where nothing but a cold back end is left that has had its flows', (t) => {
+test('a caller is refused at once if the only back end is cold and its rate is used up', (t) => {
   const harness = harnessWithColdBackend({}, 0, 1);
   const chosen = openNewFlows(harness, 10);
   t.deepEqual(chosen.slice(0, 2), ['cold', undefined]);
@@ -171,13 +171,13 @@
   t.true(openNewFlows(harness, 10).includes('cold'));
 });
 
-/** Rates of a cold back end, views of the fleet that differ, and balancers in each of them. */
+/** Rates of a cold back end, in requests per second. */
 const RATES = [0.5, 1, 5, 15];
 const OVERAGE = 1.5;
 const SLACK = 5;
 
 for (const rate of RATES) {
-  test(`in no second a cold back end of ${rate} requests a second gets more than allowed, in two views`, (t) => {
+  test(`a cold back end of ${rate} requests/s never exceeds its limit in any second, with two owners in each of two views`, (t) => {
     const random = seededRandom(rate);
     const clock = new VirtualClock();
     const harness = new ForwarderHarness(clock).know([backendAt('cold', 5, { coldMs: 60_000 })]);
@@ -202,7 +202,7 @@
   });
 }
 
-/** What a record is like, and which exclusion is found; of several the first in the rule's order. */
+/** Name, changes of the back end and of its record, expected exclusion: the first one in the order of the rule. */
 const RECORD_CASES: readonly (readonly [
   string,
   Partial<KnownBackend>,
@@ -217,8 +217,8 @@
   ['cordoned', {}, { zone: 'south' }, 'cordoned'],
   ['in another region', {}, { zone: 'middle' }, 'region'],
   ['in no known region', {}, { zone: 'nowhere' }, 'region'],
-  ['cold, without an admission', { coldUntilMs: COLD_MS }, {}, 'cold'],
-  ['cold no longer', { coldUntilMs: 0 }, {}, undefined],
+  ['cold and not owned by this balancer', { coldUntilMs: COLD_MS }, {}, 'cold'],
+  ['no longer cold', { coldUntilMs: 0 }, {}, undefined],
 ];
 
 for (const [name, change, record, expected] of RECORD_CASES) {
@@ -256,7 +256,7 @@
   });
 }
 
-/** Open flows, end of a dead verdict, and which exclusion is found with two connections at 1,000 ms. */
+/** Open flows, end of a dead verdict in ms, expected exclusion at 1,000 ms with a maximum of two connections. */
 const STATE_CASES: readonly (readonly [number, number, StateExclusion?])[] = [
   [0, 0, undefined],
   [1, 1_000, undefined],
--- a/src/cookie-edge/placement/backend-eligibility.ts
+++ b/src/cookie-edge/placement/backend-eligibility.ts
@@ -1,13 +1,13 @@
 /**
  * Rule: which back ends may get a new flow of a route at all.
  *
- * Prevents new flows at back ends that must not have them whatever their load: no fallback class of the placement
+ * Keeps new flows away from back ends that must not get them, whatever their load: no fallback class of the placement
  * overrides this rule. Does no input or output.
  *
- * Order: what the record says comes first, because it needs no state of the back end; `cold` is last among these,
- * because only its test costs a ranking of the fleet. Then what this balancer has observed: `full`, `dead`, `disputed`.
- * Missing knowledge: a zone without a region is in no allowed region; a service without a limit of connections or a
- * cold rate is not limited.
+ * Order: the conditions of the record come first, because they need no state of the back end. `cold` is the last of
+ * them, because it is the only one that ranks all balancers. Then the conditions that this balancer has observed:
+ * `full`, `dead`, `disputed`. Missing knowledge: a zone without a region is in no allowed region; a service without a
+ * connection limit or a cold rate is not limited.
  *
  * Relies on the routing knowledge for records, cordons and limits, and on the back end's state for open flows and dead
  * verdicts.
@@ -17,21 +17,21 @@
 import type { ColdAdmission } from './cold-admission.js';
 
 /**
- * Why a record or a limit of the deployment excludes a back end. `cold`: its rate of new flows in slow start is used
- * up.
+ * Why a back end's record or a configured limit excludes it. `cold`: it is in slow start, and this balancer may not
+ * send it another new flow yet.
  */
 export type RecordExclusion = 'departed' | 'draining' | 'cordoned' | 'region' | 'cold';
 
 /**
- * Why the state of a back end excludes it. `full`: it holds its maximum of flows; `dead`: it is held dead; `disputed`:
- * another back end probably listens at its address.
+ * Why the state of a back end excludes it. `full`: it has its maximum number of flows; `dead`: a dead verdict is in
+ * force; `disputed`: another back end probably listens at its address.
  */
 export type StateExclusion = 'full' | 'dead' | 'disputed';
 
-/** Number of excluded back ends, by reason. */
+/** Number of excluded back ends by reason. */
 type ExclusionCounts = Readonly<Partial<Record<RecordExclusion, number>>>;
 
-/** What the rule looks at. */
+/** Sources of the rule's inputs. */
 interface BackendEligibilityOptions {
   readonly knowledge: RoutingKnowledge;
   readonly coldAdmission: ColdAdmission;
@@ -41,8 +41,8 @@
 }
 
 /**
- * Why a back end's state excludes it; undefined when it does not. `maxConnections` limits this balancer's open flows
- * there.
+ * Returns why a back end's state excludes it, or undefined if it does not. `maxConnections` limits the open flows of
+ * this balancer to the back end.
  */
 export function stateExclusionOf(
   state: LocalBackendState,
@@ -58,7 +58,7 @@
 export class BackendEligibility {
   constructor(private readonly options: BackendEligibilityOptions) {}
 
-  /** The state of `backend` if it may get a new flow of `route`; undefined when it is excluded. */
+  /** Returns the state of `backend` if it may get a new flow of `route`, or undefined if it is excluded. */
   eligibleStateOf(
     backend: KnownBackend,
     route: Route,
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Why its record excludes `backend` from new flows of `route`; undefined when it does not. A departed back end whose
-   * record may only have lapsed is not excluded: it is the last resort of its service.
+   * Returns why its record excludes `backend` from new flows of `route`, or undefined if it does not. A departed back
+   * end whose record may only have lapsed is not excluded, because it is the last resort of its service.
    */
   recordExclusionOf(backend: KnownBackend, route: Route, nowMs: number): RecordExclusion | undefined {
     const { knowledge } = this.options;
@@ -84,7 +84,7 @@
     return nowMs < backend.coldUntilMs && !this.isWithinColdRate(backend, nowMs) ? 'cold' : undefined;
   }
 
-  /** Back ends of a route's services that their records exclude, by reason: for the log of a refusal. */
+  /** Counts, by reason, the back ends of a route's services that their records exclude. Logged with a refusal. */
   countRecordExclusions(route: Route, nowMs: number): ExclusionCounts {
     const counts: Partial<Record<RecordExclusion, number>> = {};
     for (const { service } of route.targets) {
--- a/src/cookie-edge/placement/backend-load.test.ts
+++ b/src/cookie-edge/placement/backend-load.test.ts
@@ -15,12 +15,12 @@
 const inSlowStart = { coldUntilMs: NOW_MS + 1 };
 const otherZone = { zone: 'south' };
 
-/** What it is, its state, its load with one flow more, and a mechanism that is off. */
+/** Name, state, expected load with one more flow, mechanism that is switched off. */
 const CASES: readonly (readonly [string, LocalBackendState, number, Mechanism?])[] = [
   ['empty', stateOf('a'), 1 / 2],
   ['with three flows', withFlows(stateOf('a'), 3), 2],
-  ['with one open flow and two just closed', withFlows(stateOf('a'), 1, 2), 2],
-  ['with one open flow and two just closed', withFlows(stateOf('a'), 1, 2), 1, 'closed-flows'],
+  ['with one open flow and two recently closed ones', withFlows(stateOf('a'), 1, 2), 2],
+  ['with one open flow and two recently closed ones', withFlows(stateOf('a'), 1, 2), 1, 'closed-flows'],
   ['without a capacity', withFlows(stateOf('a', { capacity: 0 }), 1), 2],
   ['in slow start', withFlows(stateOf('a', {}, inSlowStart), 1), 2],
   ['in slow start', withFlows(stateOf('a', {}, inSlowStart), 1), 1, 'cold-share'],
--- a/src/cookie-edge/placement/backend-load.ts
+++ b/src/cookie-edge/placement/backend-load.ts
@@ -1,30 +1,31 @@
 /**
- * Rule: the load of a candidate, the quantity that placement minimizes.
+ * Rule: the load of a candidate. Placement minimizes this quantity.
  *
- * Prevents uneven load: equal load means equal shares of the capacity in use. Does no input or output.
+ * Prevents uneven load: with equal loads, every back end has the same share of its capacity in use. Does no input or
+ * output.
  *
- * Unit: flows of this balancer for each unit of capacity, counting the new one. Flows that were just closed count as
- * well; otherwise a back end without long flows would get every short one, because each has ended before the next
- * comes. A back end in slow start counts with `COLD_CAPACITY_SHARE` of its capacity. A back end of another zone needs
- * `zoneMargin` flows less for each unit of capacity, and its load counts `zoneLoadFactor` times, which bounds how much
- * more the own zone gets.
+ * Unit: flows of this balancer per unit of capacity, including the new flow. Flows that were closed recently count as
+ * well. Otherwise a back end without long flows would get every short flow, because each one ends before the next one
+ * arrives. A back end in slow start counts with `COLD_CAPACITY_SHARE` of its capacity. For a back end of another zone,
+ * the load is multiplied by `zoneLoadFactor` and increased by `zoneMargin`: the margin keeps flows in the own zone
+ * while loads are similar, and the factor bounds how much more load the own zone gets.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { LocalBackendState } from '../backend-health/index.js';
 import { COLD_CAPACITY_SHARE } from './constants.js';
 
-/** How zones and mechanisms count. */
+/** Parameters of the load. */
 export interface LoadOptions {
   /** Zone of this balancer. */
   readonly zone: string;
-  /** Flows for each unit of capacity that a back end of another zone must have less. */
+  /** Flows per unit of capacity that are added to the load of back ends of other zones. */
   readonly zoneMargin: number;
-  /** Factor of the load of back ends of other zones, 1 or more. */
+  /** Factor by which the load of back ends of other zones is multiplied, 1 or more. */
   readonly zoneLoadFactor: number;
   readonly isOn: MechanismCheck;
 }
 
-/** Load of a back end as it would be with one flow more. */
+/** Returns the load that a back end would have with one more flow. */
 export function loadWithNewFlow(state: LocalBackendState, nowMs: number, options: LoadOptions): number {
   const { record, coldUntilMs } = state.backend;
   const capacityShare = nowMs < coldUntilMs && options.isOn('cold-share') ? COLD_CAPACITY_SHARE : 1;
--- a/src/cookie-edge/placement/candidate-classes.test.ts
+++ b/src/cookie-edge/placement/candidate-classes.test.ts
@@ -1,4 +1,4 @@
-/** Each class of candidates, and what no class takes. */
+/** Each class of candidates, and back ends that are no candidates. */
 import test from 'ava';
 import { allBut, type Mechanism } from '../../common/mechanisms.js';
 import type { LocalBackendState } from '../backend-health/local-backend-state.js';
@@ -66,7 +66,7 @@
   { name: 'that was ejected', state: ejectedState, nowMs: 1_099, expected: 'ejected' },
   { name: 'that is due for a trial opening', state: ejectedState, expected: 'trial' },
   {
-    name: 'that is due, trial openings off',
+    name: 'that is due for a trial opening, trial openings off',
     state: ejectedState,
     switchedOff: 'trial-openings',
     expected: 'alive',
@@ -84,7 +84,7 @@
     expected: undefined,
   },
   {
-    name: 'that is remembered, without any sign of life',
+    name: 'that is remembered and has given no sign of life',
     state: () => rememberedState(),
     expected: 'lapsed',
   },
@@ -98,7 +98,7 @@
     expected: undefined,
   },
   {
-    name: 'that was remembered long ago',
+    name: 'that is remembered but departed long ago',
     state: () => rememberedState(),
     nowMs: 1_000 + LAPSED_RECORD_MS,
     expected: undefined,
--- a/src/cookie-edge/placement/candidate-classes.ts
+++ b/src/cookie-edge/placement/candidate-classes.ts
@@ -1,25 +1,25 @@
 /**
  * Rule: the class of each candidate for a new flow, by what this balancer knows of its health.
  *
- * Prevents new flows at back ends that probably do not answer while others do. Does no input or output.
+ * Keeps new flows away from back ends that probably do not answer, as long as others do. Does no input or output.
  *
- * Inputs: the state of the back end, the current time and the slow handshake threshold in monotonic ms, the verdict of
- * outlier detection. Order: a departed record is tested first, because it serves as a last resort only and only if
- * alive; then liveness; the outlier test is last, because it applies to back ends that are alive otherwise. A back end
- * of which nothing is known is alive.
+ * Inputs: the state of the back end, the current time (monotonic ms), the slow handshake threshold (ms) and the verdict
+ * of outlier detection. Order: a departed record first, because its back end serves only as a last resort and only if
+ * it is alive; then liveness; then the outlier verdict, because it applies only to back ends that are otherwise alive.
+ * A back end of which nothing is known is alive.
  */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { LocalBackendState, Liveness } from '../backend-health/index.js';
 import type { KnownBackend } from '../routing/index.js';
 import { LAPSED_RECORD_MS } from './constants.js';
 
-/** `trial`: ejected, and due for a trial opening. `lapsed`: its record is gone, but it probably lives. */
+/** `trial`: ejected and due for a trial opening. `lapsed`: its record is gone, but the back end is probably alive. */
 export type CandidateClass = Liveness | 'outlier' | 'lapsed';
 
-/** What the classification looks at. */
+/** Inputs of the classification for one new flow. */
 export interface ClassificationRequest {
   readonly backends: Iterable<KnownBackend>;
-  /** The state of a back end if it may get the flow; undefined when it is excluded. */
+  /** Returns the state of a back end if it may get the flow, or undefined if it is excluded. */
   readonly eligibleStateOf: (backend: KnownBackend) => LocalBackendState | undefined;
   /** True for an outlier that may not get this flow, not even as an outlier trial. */
   readonly isOutlier?: (state: LocalBackendState) => boolean;
@@ -33,10 +33,10 @@
   readonly alive: LocalBackendState[];
   readonly outlier: LocalBackendState[];
   readonly suspect: LocalBackendState[];
-  /** Includes those that are due for a trial opening. */
+  /** Includes back ends that are due for a trial opening. */
   readonly ejected: LocalBackendState[];
   readonly lapsed: LocalBackendState[];
-  /** The first that is due for a trial opening. */
+  /** The first ejected back end that is due for a trial opening. */
   trial: LocalBackendState | undefined;
 }
 
@@ -44,7 +44,7 @@
 export class CandidateClassifier {
   constructor(private readonly isOn: MechanismCheck = ALL_MECHANISMS_ON) {}
 
-  /** The candidates among the back ends of a request. */
+  /** Returns the candidates among the back ends of a request. */
   classify(request: ClassificationRequest): Candidates {
     const candidates: Candidates = {
       alive: [],
@@ -66,7 +66,10 @@
     return candidates;
   }
 
-  /** The class of a back end that may get the flow; undefined for a departed one that is no last resort. */
+  /**
+   * Returns the class of a back end that may get the flow, or undefined for a departed back end that does not qualify
+   * as a last resort.
+   */
   classOf(state: LocalBackendState, request: ClassificationRequest): CandidateClass | undefined {
     const liveness = this.livenessOf(state, request);
     if (state.backend.departed)
@@ -82,8 +85,9 @@
   }
 
   /**
-   * A record that may only have lapsed serves for `LAPSED_RECORD_MS` if packets since then show that its back end
-   * lives. A remembered back end needs no such packet, because this daemon has sent it nothing so far.
+   * A back end whose record may only have lapsed serves for `LAPSED_RECORD_MS` after its departure if a packet since
+   * then proves that it is alive. A remembered back end needs no such packet, because this daemon has not sent it any
+   * traffic so far.
    */
   private isLastResort(
     { backend, lastSignOfLifeMs }: LocalBackendState,
--- a/src/cookie-edge/placement/class-choice.test.ts
+++ b/src/cookie-edge/placement/class-choice.test.ts
@@ -1,10 +1,10 @@
-/** Each rule of placement, and the order among them. */
+/** Each placement rule, and the order among them. */
 import test from 'ava';
 import type { Candidates } from './candidate-classes.js';
 import { candidatesForRule, choosePlacementRule, type PlacementRule } from './class-choice.js';
 import { stateOf } from './placement-test-support.js';
 
-/** Numbers of candidates: alive, outlier, suspect, ejected, lapsed; whether an ejected one is due for a trial. */
+/** Numbers of alive, outlier, suspect, ejected and lapsed candidates; whether an ejected one is due for a trial. */
 type Counts = readonly [number, number, number, number, number, boolean];
 
 const CASES: readonly (readonly [Counts, PlacementRule | undefined, number])[] = [
@@ -42,17 +42,17 @@
   };
 }
 
-for (const [counts, rule, weighed] of CASES) {
-  test(`alive, outlier, suspect, ejected, lapsed, trial: ${counts.join()} lead to ${rule ?? 'nothing'}`, (t) => {
+for (const [counts, rule, considered] of CASES) {
+  test(`alive, outlier, suspect, ejected, lapsed, trial: ${counts.join()} lead to ${rule ?? 'no rule'}`, (t) => {
     const candidates = candidatesOf(counts);
     t.is(choosePlacementRule(candidates), rule);
-    if (rule !== undefined && rule !== 'trial') t.is(candidatesForRule(rule, candidates).length, weighed);
+    if (rule !== undefined && rule !== 'trial') t.is(candidatesForRule(rule, candidates).length, considered);
   });
 }
 
-test('panic mode weighs the recorded candidates in the order of the classes', (t) => {
+test('panic mode considers all recorded candidates, in the order of the classes', (t) => {
   const candidates = candidatesOf([1, 1, 1, 9, 1, false]);
-  const weighed = candidatesForRule('ejected-majority', candidates).map(({ backend }) => backend.id);
-  t.deepEqual(weighed.slice(0, 4), ['alive-0', 'outlier-0', 'suspect-0', 'ejected-0']);
-  t.false(weighed.includes('lapsed-0'));
+  const considered = candidatesForRule('ejected-majority', candidates).map(({ backend }) => backend.id);
+  t.deepEqual(considered.slice(0, 4), ['alive-0', 'outlier-0', 'suspect-0', 'ejected-0']);
+  t.false(considered.includes('lapsed-0'));
 });
--- a/src/cookie-edge/placement/class-choice.ts
+++ b/src/cookie-edge/placement/class-choice.ts
@@ -1,29 +1,30 @@
 /**
- * Rule: which class of candidates a new flow is placed in.
+ * Rule: the class of candidates in which a new flow is placed.
  *
- * Prevents an outage by ejections: when too many candidates are ejected (`MAX_EJECTED_SHARE`), the balancer's own
- * network is the likelier cause, and all recorded candidates serve (panic mode). Does no input or output.
+ * Prevents ejections from causing an outage (panic mode): when more than `MAX_EJECTED_SHARE` of the recorded candidates
+ * are ejected, the balancer's own network is the more likely cause, and all recorded candidates get flows again. Does
+ * no input or output.
  *
- * Also prevents that the first few back ends of a list that is being filled again get the load of all: while fewer are
- * recorded than may only have lapsed, both share it.
+ * Also prevents overload of the first few back ends while a list of back ends fills again: while fewer back ends are
+ * recorded than may only have lapsed, the alive and the lapsed back ends share the load.
  *
  * Inputs: the candidates by class. Order: the trial opening comes first, but only while another back end is alive, so
- * that the caller's next attempt can succeed elsewhere; then panic mode; then a list that is being filled; then the
- * best class that is not empty. Panic mode also covers the case that only ejected candidates are left. Lapsed records
- * count neither for nor against the panic threshold.
+ * that the caller's next attempt can succeed there; then panic mode; then a list that fills again; then the best class
+ * that is not empty. Panic mode also applies if only ejected candidates are left. The panic threshold ignores lapsed
+ * records.
  */
 import type { LocalBackendState } from '../backend-health/index.js';
 import type { Candidates } from './candidate-classes.js';
 import { MAX_EJECTED_SHARE } from './constants.js';
 
 /**
- * Which candidates are weighed, from the trial opening to the last resort; `ejected-majority` is panic mode,
- * `unsettled-list` weighs recorded and lapsed back ends alike.
+ * The candidates that are considered, from the trial opening to the last resort. `ejected-majority`: panic mode.
+ * `unsettled-list`: alive and lapsed back ends have the same priority.
  */
 export type PlacementRule =
   'trial' | 'ejected-majority' | 'unsettled-list' | 'least-flows' | 'outlier' | 'suspect' | 'lapsed-record';
 
-/** The rule for a new flow; undefined when there is no candidate at all. */
+/** Returns the rule for a new flow, or undefined if there is no candidate. */
 export function choosePlacementRule(candidates: Candidates): PlacementRule | undefined {
   const { alive, outlier, suspect, ejected, lapsed, trial } = candidates;
   if (trial && alive.length > 0) return 'trial';
@@ -36,7 +37,7 @@
   return lapsed.length > 0 ? 'lapsed-record' : undefined;
 }
 
-/** The candidates that are weighed under a rule other than the trial opening. */
+/** Returns the candidates that are considered under a rule other than the trial opening. */
 export function candidatesForRule(
   rule: Exclude<PlacementRule, 'trial'>,
   { alive, outlier, suspect, ejected, lapsed }: Candidates,
--- a/src/cookie-edge/placement/cold-admission.test.ts
+++ b/src/cookie-edge/placement/cold-admission.test.ts
@@ -3,11 +3,11 @@
 import { stateOf } from './placement-test-support.js';
 
 const COLD_UNTIL_MS = 10_000;
-/** Two owners at a rate of 4 a second: 500 ms between the flows of one. */
+/** Two owners share a rate of 4 flows/s, so that each of them waits 500 ms between its flows. */
 const RATE = 4;
 const SPACING_MS = 500;
 
-/** Time of the last flow, time of the next, whether this balancer is an owner, rate; whether the flow is admitted. */
+/** Time of the last flow, time of the next one, is this balancer an owner, rate; is the next flow admitted. */
 const CASES: readonly (readonly [number | undefined, number, boolean, number | undefined, boolean])[] = [
   [undefined, 0, true, RATE, true],
   [undefined, 0, false, RATE, false],
@@ -21,7 +21,7 @@
 ];
 
 for (const [lastMs, nowMs, isOwner, rate, expected] of CASES) {
-  test(`after a flow at ${lastMs ?? 'no time'}, one at ${nowMs} ms by ${isOwner ? 'an owner' : 'another'}, rate ${rate ?? 'none'}: ${expected}`, (t) => {
+  test(`last flow at ${lastMs ?? 'no time'}, next at ${nowMs} ms, ${isOwner ? 'owner' : 'not an owner'}, rate ${rate ?? 'none'}: admitted ${expected}`, (t) => {
     const admission = new ColdAdmission({ overage: 2, slack: 10, isOwner: () => isOwner });
     const { backend } = stateOf('a', {}, { coldUntilMs: COLD_UNTIL_MS });
     if (lastMs !== undefined) admission.recordPlacement(backend, lastMs);
--- a/src/cookie-edge/placement/cold-admission.ts
+++ b/src/cookie-edge/placement/cold-admission.ts
@@ -1,39 +1,39 @@
 /**
- * Rule: whether a back end in slow start may get one more new flow from this balancer.
+ * Rule: whether this balancer may send one more new flow to a back end in slow start.
  *
- * Keeps all balancers together within the rate that a cold back end bears, above all when a whole zone comes back and
- * its empty back ends attract every new flow. Does no input or output.
+ * Keeps the new flows of all balancers together within the rate that a cold back end can serve, above all when a whole
+ * zone comes back and its empty back ends attract every new flow. Does no input or output.
  *
- * Each cold back end is assigned to `COLD_OWNERS` balancers by rendezvous hashing; only these send it flows, each at
- * its part of the rate, evenly spaced. No balancer needs to hear what the others sent. Order: the spacing is tested
- * before the ownership, since ownership costs a ranking of the fleet. A back end without a rate, or past its slow
- * start, is not limited.
+ * Rendezvous hashing assigns each cold back end to `COLD_BACKEND_OWNERS` balancers. Only these owners send it new
+ * flows, each at its share of the rate and evenly spaced, so that balancers need not exchange counts. Order: the
+ * spacing is tested before the ownership, because ownership requires a ranking of all balancers. A back end without a
+ * rate or past its slow start is not limited.
  */
 import type { KnownBackend } from '../routing/index.js';
 import { COLD_BACKEND_OWNERS, MAX_MEMBERSHIP_VIEWS } from './constants.js';
 
-/** What the admission looks at. */
+/** Limits of the admission, and the assignment of back ends to balancers. */
 export interface ColdAdmissionOptions {
-  /** Factor by which a cold back end's flows in a second may exceed its rate, as the deployment allows. */
+  /** Configured factor by which the new flows of a cold back end may exceed its rate within any second. */
   readonly overage: number;
-  /** Flows in a second that are allowed in addition. */
+  /** New flows that are allowed in addition within any second. */
   readonly slack: number;
-  /** True when this balancer is among the `count` that are assigned to a back end. */
+  /** True if this balancer is one of the `count` owners of a back end. */
   readonly isOwner: (backendId: string, count: number) => boolean;
 }
 
 const MS_PER_SECOND = 1_000;
 
-/** Owns the time of the last flow to each cold back end. Times are monotonic ms. */
+/** Owns the time of the last new flow to each cold back end. Times are monotonic ms. */
 export class ColdAdmission {
   private readonly lastPlacedAtMs = new Map<KnownBackend, number>();
 
   constructor(private readonly options: ColdAdmissionOptions) {}
 
   /**
-   * True when a new flow may go to `backend`.
+   * True if this balancer may send a new flow to `backend` now.
    *
-   * @param requestsPerSecond rate that the back end bears while it is cold; undefined: no limit
+   * @param requestsPerSecond rate that the back end can serve while it is cold; undefined: no limit
    */
   canAdmit(backend: KnownBackend, requestsPerSecond: number | undefined, nowMs: number): boolean {
     if (requestsPerSecond === undefined || nowMs >= backend.coldUntilMs) return true;
@@ -48,14 +48,15 @@
     else this.lastPlacedAtMs.delete(backend);
   }
 
-  /** Forgets a back end. */
+  /** Removes the stored time of a back end's last flow. */
   forget(backend: KnownBackend): void {
     this.lastPlacedAtMs.delete(backend);
   }
 
   /**
-   * Time in ms between two flows of one owner. In any second an owner sends one flow more than its rate says; with that
-   * included, the owners of `COLD_VIEWS` differing views of the fleet stay within the limit together.
+   * Time in ms between two new flows from one owner. Within any second, an owner may send one flow more than its rate.
+   * The limit allows for this extra flow, so that the owners of all `MAX_MEMBERSHIP_VIEWS` diverging membership views
+   * stay within it together.
    */
   private spacingMs(requestsPerSecond: number): number {
     const { overage, slack } = this.options;
--- a/src/cookie-edge/placement/constants.ts
+++ b/src/cookie-edge/placement/constants.ts
@@ -1,44 +1,38 @@
 /** Shares, counts and durations of placement. */
 
 /**
- * Lifetime in ms of a lapsed record as the last resort of its service, from when it was missed. The platform states
- * that live back ends are recorded again about 2,000 ms after the source's return; 500 ms for gossip were added without
- * a measurement.
+ * Time in ms for which a back end with a lapsed record serves as a last resort, from its departure. The platform states
+ * that live back ends are recorded again about 2,000 ms after the source's return; another 500 ms are for gossip.
  */
 export const LAPSED_RECORD_MS = 2_500;
 
 /**
- * Panic threshold: share of a service's recorded candidates above which ejections are ignored, because then this
- * balancer's own network is the likelier cause. A majority with some margin must be reachable for ejections to count.
+ * Panic threshold: share of a service's recorded candidates above which ejections are ignored, because this balancer's
+ * own network is then the more likely cause. It lies above one half, so that a slim majority of ejected back ends does
+ * not start panic mode.
  */
 export const MAX_EJECTED_SHARE = 0.6;
 
-/**
- * Back ends of equal load among which one that is not busy elsewhere is looked for. More gain
- * nothing.
- */
+/** Candidates of equal load that are compared by their load reports. A higher number gives no better balance. */
 export const MAX_TIED_CANDIDATES = 4;
 
 /**
- * Own flows for each candidate below which load reports are used. Above it the balancer's own counts tell busy from
- * idle better than a report that is seconds old.
+ * Own flows per candidate below which load reports are used. Above this, the balancer's own flow counts distinguish
+ * busy from idle back ends better than a report that is seconds old.
  */
 export const MAX_OWN_FLOWS_PER_CANDIDATE = 0.25;
 
-/**
- * Share of its capacity that a back end in slow start counts with. It works slower until
- * it is warm.
- */
+/** Share of its capacity with which a back end in slow start counts, because it is slower until it is warm. */
 export const COLD_CAPACITY_SHARE = 0.5;
 
 /**
- * Balancers that may send new flows to one cold back end. The second covers the loss of the first, which the others
- * notice only after seconds, and more would make each one's part of a low rate too small to use.
+ * Balancers that may send new flows to one cold back end. The second one covers the loss of the first, which other
+ * balancers detect only after seconds. With more than two, each one's share of a low rate would be too small to use.
  */
 export const COLD_BACKEND_OWNERS = 2;
 
 /**
- * Differing views of the fleet, each with its own owners, that must stay within a cold back end's limit together. The
- * two sides of a network partition.
+ * Diverging membership views whose owners must stay within a cold back end's limit together: the two sides of a network
+ * partition each select their own owners.
  */
 export const MAX_MEMBERSHIP_VIEWS = 2;
--- a/src/cookie-edge/placement/index.ts
+++ b/src/cookie-edge/placement/index.ts
@@ -1,8 +1,8 @@
 /**
- * Placement: which back end a new flow gets, or why none. Each rule stands in a module of its own that does no input or
- * output; `new-flow-rule.ts` applies them in their order. Owns the credits of splits and the spacing of flows to cold
- * back ends. Relies on `routing` for routes, records and cordons, on `backend-health` and `outliers` for what is known
- * of each back end, and on `load` for reports of other balancers.
+ * Placement: which back end a new flow gets, or why it gets none. Each rule is a module of its own that does no input
+ * or output; `new-flow-rule.ts` applies them in order. Owns the credits of traffic splits and the times of the last
+ * flows to cold back ends. Relies on `routing` for routes, records and cordons, on `backend-health` and `outliers` for
+ * the health of each back end, and on `load` for the load reports.
  */
 export { BackendEligibility } from './backend-eligibility.js';
 export { ColdAdmission, type ColdAdmissionOptions } from './cold-admission.js';
--- a/src/cookie-edge/placement/load-balance.test.ts
+++ b/src/cookie-edge/placement/load-balance.test.ts
@@ -1,6 +1,7 @@
 /**
- * Imbalance in a large fleet, simulated: 195 balancers, 164 back ends and 726 callers whose flows last 20 s. Each
- * balancer holds three or four flows; back ends' load is measured and reported as the daemons do it.
+ * Simulates the imbalance in a large fleet: 195 balancers, 164 back ends and 726 callers whose flows last 20 s on
+ * average. Each balancer has three or four flows, too few to show which back ends are busy. The load of the back ends
+ * is measured and reported as the daemons do it.
  */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
@@ -22,7 +23,7 @@
 const MEAN_CALL_INTERVAL_MS = 1_136;
 const SIMULATION_MS = 36_000;
 const STEP_MS = 100;
-/** Time from a reading until all balancers know of it. */
+/** Time in ms from a measurement until all balancers have its report. */
 const REPORT_DELAY_MS = 600;
 
 interface Balancer {
@@ -35,12 +36,12 @@
   opensAtMs: number;
 }
 
-/** What the simulated day changes. */
+/** Conditions of one simulation. */
 interface Scenario {
   readonly hasReports: boolean;
-  /** Reports no longer arrive after this time. */
+  /** Reports are lost after this time. */
   readonly reportsLostAfterMs?: number;
-  /** All balancers forget everything at this time. */
+  /** All balancers lose their flow counts at this time, as in a restart. The load reports are kept. */
   readonly restartAtMs?: number;
 }
 
@@ -66,7 +67,7 @@
   return -Math.log(1 - random()) * mean;
 }
 
-/** Calls at the busiest back end of a day as a multiple of the mean. */
+/** Runs a simulation; returns the calls of the busiest back end as a multiple of the mean. */
 function maxToMeanCalls(scenario: Scenario, seed: number): number {
   const random = seededRandom(seed);
   const backends = registerBackends();
@@ -123,21 +124,21 @@
   return ratios.sort((left, right) => left - right)[1] as number;
 }
 
-test('reports of load halve what the busiest back end gets above the mean', (t) => {
+test('load reports reduce by 40 % or more what the busiest back end gets above the mean', (t) => {
   const without = medianRatio({ hasReports: false });
   const reported = medianRatio({ hasReports: true });
   t.log({ without, reported });
   t.true(reported - 1 <= (without - 1) * 0.6, `${without} without reports, ${reported} with them`);
 });
 
-test('lost reports make it no worse than none', (t) => {
+test('lost reports cause at most 10 % more imbalance than no reports', (t) => {
   const without = medianRatio({ hasReports: false });
   const lost = medianRatio({ hasReports: true, reportsLostAfterMs: 6_000 });
   t.log({ without, lost });
   t.true(lost <= without * 1.1, `${without} without reports, ${lost} with lost ones`);
 });
 
-test('balancers that forget everything go on by the reports', (t) => {
+test('balancers that lost their flow counts in a restart still balance by load reports', (t) => {
   const without = medianRatio({ hasReports: false, restartAtMs: 18_000 });
   const reported = medianRatio({ hasReports: true, restartAtMs: 18_000 });
   t.log({ without, reported });
--- a/src/cookie-edge/placement/new-flow-rule.test.ts
+++ b/src/cookie-edge/placement/new-flow-rule.test.ts
@@ -75,7 +75,7 @@
   t.deepEqual(rule.chooseAgain(FLOW, NOW_MS) as unknown, placement);
 });
 
-test('a trial opening that was carried out is not chosen again', (t) => {
+test('a trial opening is not chosen again after it was recorded', (t) => {
   const harness = new ForwarderHarness().know([backendAt('a', 1), backendAt('b', 2)]);
   const { rule, states } = createRule(harness);
   eject(states.of(harness.knowledge.backends.get('a')!));
--- a/src/cookie-edge/placement/new-flow-rule.ts
+++ b/src/cookie-edge/placement/new-flow-rule.ts
@@ -1,14 +1,14 @@
 /**
- * Rule: whether a new flow is placed, refused at once, or left to its caller's retransmission.
+ * Rule: whether a new flow is placed, refused with a reset, held, or dropped so that its caller retransmits the SYN.
  *
- * Refuses a caller that cannot be served with an immediate reset, instead of letting it wait for its timeout. A caller
- * that cannot be served yet is held (`no-backend-rule.ts`). Does no input or output; the caller carries the outcome out
- * and logs it.
+ * If a caller cannot be served, it is refused immediately, so that it does not wait for its timeout. If it cannot be
+ * served yet, it is held (`no-backend-rule.ts`). Does no input or output; the caller of this rule carries out and logs
+ * the outcome.
  *
- * Inputs: routing knowledge, and what the rules of placement look at; times are monotonic ms. Order: without complete
- * knowledge neither a refusal nor a choice would be justified, so the SYN is dropped and the retransmission finds this
- * balancer ready or another one; then the route; then the service of its split; then the back end. Knowledge of any age
- * is used.
+ * Inputs: the routing knowledge and the inputs of the placement rules; times are monotonic ms. Order: first whether the
+ * knowledge is complete, because incomplete knowledge justifies neither a refusal nor a choice. While it is incomplete,
+ * the SYN is dropped; by the time of its retransmission, this balancer or another one is ready. Then the route, then
+ * the service of its traffic split, then the back end. Knowledge of any age is used.
  */
 import { combine32 } from '../../common/hash.js';
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
@@ -26,7 +26,7 @@
   'sourceAddress' | 'sourcePort' | 'destinationAddress' | 'destinationPort'
 >;
 
-/** `starting`: routes, back ends or cordons are not known yet. */
+/** The decision about a new flow. `starting`: routes, back ends or cordons are not known yet. */
 export type NewFlowOutcome =
   | { readonly kind: 'drop'; readonly reason: 'starting' }
   | { readonly kind: 'refuse'; readonly reason: 'no-route'; readonly route?: undefined }
@@ -34,14 +34,14 @@
   | { readonly kind: 'hold'; readonly route: Route }
   | { readonly kind: 'place'; readonly route: Route; readonly placement: Placement };
 
-/** What the rule looks at. */
+/** The rules that are applied, and the sources of their inputs. */
 interface NewFlowRuleOptions {
   readonly knowledge: RoutingKnowledge;
   readonly splitter: TrafficSplitter;
   readonly eligibility: BackendEligibility;
   readonly coldAdmission: ColdAdmission;
   readonly placement: OpeningPlacement;
-  /** Whether the list of back ends is to be believed. */
+  /** Whether the list of back ends is considered complete. */
   readonly settlement: Pick<BackendSettlement, 'state' | 'isKnownEmpty'>;
   /** True for an outlier that may not get the flow with this hash. */
   readonly isOutlier: (state: LocalBackendState, flowHash: number, nowMs: number) => boolean;
@@ -52,11 +52,11 @@
 const DROP_WHILE_STARTING: NewFlowOutcome = { kind: 'drop', reason: 'starting' };
 const REFUSE_WITHOUT_ROUTE: NewFlowOutcome = { kind: 'refuse', reason: 'no-route' };
 
-/** Decides about new flows. */
+/** Decides what happens to new flows. */
 export class NewFlowRule {
   constructor(private readonly options: NewFlowRuleOptions) {}
 
-  /** What becomes of the first SYN of a flow. A placement counts only after `recordPlacement`. */
+  /** Decides about the first SYN of a flow. A placement counts only after `recordPlacement` was called. */
   decide(flow: FlowAddresses, nowMs: number): NewFlowOutcome {
     const { knowledge } = this.options;
     const routes = knowledge.routes();
@@ -70,18 +70,21 @@
       : { kind: 'refuse', reason: 'no-backend', route };
   }
 
-  /** The route of a flow; undefined when there is none, or none is known yet. */
+  /** Returns the route of a flow, or undefined if there is none or no routes are known yet. */
   routeOf({ destinationAddress, destinationPort }: FlowAddresses): Route | undefined {
     return this.options.knowledge.routes()?.find(destinationAddress, destinationPort);
   }
 
-  /** The back end for a flow whose SYN was placed before; undefined without a route or a candidate. */
+  /** Chooses a back end for a flow whose SYN was placed before; returns undefined without a route or a candidate. */
   chooseAgain(flow: FlowAddresses, nowMs: number): Placement | undefined {
     const route = this.routeOf(flow);
     return route && this.choosePlacement(flow, route, nowMs);
   }
 
-  /** Records a choice, also one that leads back to the first back end: a trial opening and a cold flow count once. */
+  /**
+   * Records a choice. The caller also records a choice that keeps the flow at its first back end, so that the trial
+   * opening and the spacing of flows to a cold back end take effect.
+   */
   recordPlacement({ rule, state }: Placement, nowMs: number): void {
     if (rule === 'trial') state.recordTrial(nowMs);
     this.options.coldAdmission.recordPlacement(state.backend, nowMs);
--- a/src/cookie-edge/placement/no-backend-rule.test.ts
+++ b/src/cookie-edge/placement/no-backend-rule.test.ts
@@ -1,4 +1,4 @@
-/** What becomes of an opening without a candidate, in each state of the list. */
+/** Outcome for an opening without a candidate, in each state of the list of back ends. */
 import test from 'ava';
 import { decideWithoutBackend, type NoBackendOutcome, type NoBackendInputs } from './no-backend-rule.js';
 
@@ -12,7 +12,7 @@
 ];
 
 for (const [listState, hasServingRecord, isKnownEmpty, expected] of CASES) {
-  test(`${listState}, a back end ${hasServingRecord ? '' : 'not '}recorded, known empty ${isKnownEmpty}: ${expected}`, (t) => {
+  test(`list ${listState}, serving back end ${hasServingRecord ? '' : 'not '}recorded, known empty ${isKnownEmpty}: ${expected}`, (t) => {
     t.is(decideWithoutBackend({ listState, hasServingRecord, isKnownEmpty }), expected);
   });
 }
--- a/src/cookie-edge/placement/no-backend-rule.ts
+++ b/src/cookie-edge/placement/no-backend-rule.ts
@@ -1,28 +1,28 @@
 /**
- * Rule: what becomes of an opening for which no back end can be chosen. Does no input or output.
+ * Rule: whether an opening without a candidate is refused or held. Does no input or output.
  *
- * Prevents that a caller spends one of its few attempts on a reset while the back end that will serve it is about to be
- * listed, and that a caller waits for what will not come.
+ * Saves a caller from losing one of its few attempts to a reset shortly before the back end that can serve it is
+ * listed, and from waiting although no back end will be listed.
  *
- * Order: only an unsettled list justifies waiting. A back end that is recorded and excluded (cordoned, full, dead) is
- * known to be impossible, so that its caller is refused at once. So is the caller of a service that is known to be
- * empty. Missing knowledge: without a roster no service is known to be empty.
+ * Order: the caller is held only while the list of back ends is unsettled. Even then it is refused at once in two
+ * cases: a back end of its services is recorded and not draining, so that it is known to be excluded (cordoned, full,
+ * dead); or the services are known to be empty. Missing knowledge: without a roster, no service is known to be empty.
  */
 import type { BackendKnowledge } from '../routing/index.js';
 
-/** `hold`: until a back end is listed, or the caller sends its next copy. `refuse`: with a reset, immediately. */
+/** `hold`: until a back end is listed or the caller retransmits. `refuse`: immediately, with a reset. */
 export type NoBackendOutcome = 'hold' | 'refuse';
 
-/** What is known of the services behind the opening's route. */
+/** What this daemon knows of the services of the opening's route. */
 export interface NoBackendInputs {
   readonly listState: BackendKnowledge;
-  /** Some back end of them is recorded and not leaving. */
+  /** True if a back end of the services is recorded and not draining. */
   readonly hasServingRecord: boolean;
-  /** The roster shows that none is to be expected. */
+  /** True if the roster shows that the services have no back end. */
   readonly isKnownEmpty: boolean;
 }
 
-/** Decides on an opening without a candidate. */
+/** Decides about an opening without a candidate. */
 export function decideWithoutBackend({
   listState,
   hasServingRecord,
--- a/src/cookie-edge/placement/opening-placement.test.ts
+++ b/src/cookie-edge/placement/opening-placement.test.ts
@@ -1,4 +1,4 @@
-/** Where new flows go by capacity, slow start, load reports and zones, as the rules of placement together decide. */
+/** Distribution of new flows by capacity, slow start, load reports and zones under all placement rules together. */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { hashString } from '../../common/hash.js';
@@ -10,7 +10,7 @@
 import { backendAt } from '../routing/routing-test-support.js';
 import { OpeningPlacement } from './opening-placement.js';
 
-/** Known back ends with these ids, recorded in this order. */
+/** Registers back ends with these ids, in this order. */
 function registerBackends(...ids: string[]): KnownBackend[] {
   const clock = new VirtualClock();
   const registry = new BackendRegistry({ clock, events: SILENT_EVENT_LOG, retentionMs: 1_000 });
@@ -18,7 +18,7 @@
   return ids.map((id) => registry.get(id)!);
 }
 
-test('new flows spread evenly by capacity, and a cold back end gets half', (t) => {
+test('new flows are distributed by capacity, and a cold back end gets half of its share', (t) => {
   const all = registerBackends('a', 'b', 'c');
   all[1]!.record = backendAt('b', 9, { capacity: 4 });
   all[2]!.coldUntilMs = 1_000;
@@ -34,7 +34,7 @@
   );
 });
 
-test('among equals a busy back end is passed over, while own flows are few', (t) => {
+test('of equally loaded back ends, a busy one is passed over while own flows are few', (t) => {
   const all = registerBackends('a', 'b', 'c', 'd', 'e', 'f', 'g', 'h', 'i');
   const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
   const stateOf = (index: number): LocalBackendState => states.get(all[index]!)!;
@@ -47,17 +47,20 @@
     );
     return chosen.filter((choice) => choice!.state === stateOf(2)).length;
   };
-  t.true(countIdleChoices() > 30, 'among four of nine, the idle one is found in four of nine choices');
+  t.true(
+    countIdleChoices() > 30,
+    'the idle back end is among the four compared of nine in four of nine choices',
+  );
   stateOf(0).openFlows = 1;
   stateOf(1).openFlows = 1;
   t.true(countIdleChoices() > 30);
   stateOf(3).openFlows = 1;
-  t.true(countIdleChoices() < 25, 'own flows at a third of the back ends tell more than the reports');
+  t.true(countIdleChoices() < 25, 'own flows to a third of the back ends take precedence over reports');
   stateOf(2).openFlows = 1;
-  t.is(countIdleChoices(), 0, 'fewer own flows go before what is reported');
+  t.is(countIdleChoices(), 0, 'a lower number of own flows takes precedence over reports');
 });
 
-test('balancers that know the same report choose equally, so that copies of a SYN meet one back end', (t) => {
+test('balancers with the same report make the same choice, so that retransmissions of a SYN reach one back end', (t) => {
   const ids = Array.from({ length: 40 }, (_, index) => `b-${index}`);
   const all = registerBackends(...ids);
   const busy = new Set(ids.slice(0, 16).map((id) => hashString(id)));
@@ -71,7 +74,7 @@
   for (let flow = 0; flow < 200; flow += 1) t.is(first(flow), second(flow));
 });
 
-test('the own zone goes first within the margin only', (t) => {
+test('the own zone is preferred only within the margin', (t) => {
   const all = registerBackends('near', 'far');
   all[1]!.record = backendAt('far', 9, { zone: 'south' });
   const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
@@ -81,10 +84,10 @@
     choice!.state.openFlows += 1;
   }
   const [near, far] = all.map((backend) => states.get(backend)!.openFlows);
-  t.is(near! - far!, 2, 'a margin of one flow for each of two slots');
+  t.is(near! - far!, 2, 'a margin of one flow per slot with two slots');
 });
 
-/** Flows that the own zone and another one of four back ends each get of `flows`, with the daemon's defaults. */
+/** Places `flows` flows on two zones of four back ends each with the daemon's defaults; counts them by zone. */
 function flowsByZone(flows: number): { readonly own: number; readonly other: number } {
   const all = registerBackends('a', 'b', 'c', 'd', 'e', 'f', 'g', 'h');
   all.slice(4).forEach((backend) => (backend.record = { ...backend.record, zone: 'south' }));
@@ -103,7 +106,7 @@
   return counts;
 }
 
-test('few flows stay in the own zone, and of many it gets no more than the factor allows', (t) => {
+test('few flows stay in the own zone, and its share of many flows is bounded by the zone load factor', (t) => {
   t.deepEqual(flowsByZone(8), { own: 8, other: 0 });
   const { own, other } = flowsByZone(800);
   t.true(own / other > 1.4 && own / other < DEFAULT_ZONE_LOAD_FACTOR + 0.05, `${own} and ${other}`);
--- a/src/cookie-edge/placement/opening-placement.ts
+++ b/src/cookie-edge/placement/opening-placement.ts
@@ -1,7 +1,8 @@
 /**
- * Chooses the back end of a new flow within one service, by four rules in this order: class of each candidate
- * (`candidate-classes.ts`), class to place in (`class-choice.ts`), load (`backend-load.ts`), order among equals
- * (`tie-breaking.ts`). Owns no state; does no input or output. The caller carries out and logs the choice.
+ * Chooses the back end of a new flow within one service, by four rules in this order: the class of each candidate
+ * (`candidate-classes.ts`), the class to place the flow in (`class-choice.ts`), the load (`backend-load.ts`), the
+ * choice among candidates of equal load (`tie-breaking.ts`). Owns no state; does no input or output. The caller carries
+ * out and logs the choice.
  */
 import { ALL_MECHANISMS_ON } from '../../common/mechanisms.js';
 import type { LocalBackendState } from '../backend-health/index.js';
@@ -9,27 +10,27 @@
 import { loadWithNewFlow, type LoadOptions } from './backend-load.js';
 import { CandidateClassifier, type ClassificationRequest } from './candidate-classes.js';
 import { candidatesForRule, choosePlacementRule, type PlacementRule } from './class-choice.js';
-import { countTiedToCompare, findLeastBusyIndex, findLeastLoaded } from './tie-breaking.js';
+import { findLeastBusyIndex, findLeastLoaded, tiedCandidateLimit } from './tie-breaking.js';
 
-/** What a choice looks at. */
+/** Inputs of the choice for one new flow. */
 export interface PlacementRequest extends ClassificationRequest {
   /** 32-bit hash of the flow. */
   readonly flowHash: number;
 }
 
-/** A choice with what led to it. */
+/** The chosen back end and the reasons that are logged with it. */
 export interface Placement {
   readonly state: LocalBackendState;
   readonly rule: PlacementRule;
-  /** Back ends that were weighed against each other. */
+  /** Number of back ends that were considered. */
   readonly candidates: number;
-  /** Equals that were passed over because they get many calls from other balancers. */
+  /** Number of candidates of equal load that were passed over because load reports show them as busy. */
   readonly passedOver: number;
 }
 
-/** What a placement needs; all mechanisms are on unless given. */
+/** Parameters of the load, and load reports. All mechanisms are on by default. */
 interface OpeningPlacementOptions extends Omit<LoadOptions, 'isOn'>, Partial<Pick<LoadOptions, 'isOn'>> {
-  /** Load reports of other balancers; none unless given. */
+  /** Load reports of other balancers; none by default. */
   readonly loads?: LoadLevels;
 }
 
@@ -44,7 +45,7 @@
     this.classifier = new CandidateClassifier(isOn);
   }
 
-  /** The back end for a flow; undefined when there is no candidate. */
+  /** Chooses the back end for a flow; returns undefined if there is no candidate. */
   chooseBackend(request: PlacementRequest): Placement | undefined {
     const candidates = this.classifier.classify(request);
     const rule = choosePlacementRule(candidates);
@@ -61,7 +62,7 @@
     { flowHash, nowMs }: PlacementRequest,
   ): Placement | undefined {
     const { loads } = this.options;
-    const maxTied = countTiedToCompare(states, loads, nowMs);
+    const maxTied = tiedCandidateLimit(states, loads, nowMs);
     const tied = findLeastLoaded(states, flowHash, maxTied, (state) =>
       loadWithNewFlow(state, nowMs, this.loadOptions),
     );
--- a/src/cookie-edge/placement/placement-test-support.ts
+++ b/src/cookie-edge/placement/placement-test-support.ts
@@ -1,9 +1,9 @@
-/** States of back ends for tests of the rules of placement. */
+/** States of back ends for tests of the placement rules. */
 import { LocalBackendState } from '../backend-health/local-backend-state.js';
 import type { KnownBackend, RoutedBackend } from '../routing/index.js';
 import { backendAt } from '../routing/routing-test-support.js';
 
-/** The state of a back end that is recorded and has given no sign of life yet. */
+/** Returns the state of a back end that is recorded and has given no sign of life yet. */
 export function stateOf(
   id: string,
   recordFields: Partial<RoutedBackend> = {},
--- a/src/cookie-edge/placement/replayed-load.ts
+++ b/src/cookie-edge/placement/replayed-load.ts
@@ -1,7 +1,7 @@
 /**
- * Replays a load against balancers on a virtual clock, for tests: callers that open a flow for each request, and
- * callers that keep one with pauses; back ends with slots and a queue, of which some are slow or never answer. Reports
- * of bad answers reach the other balancers after a delay.
+ * Test support: simulates a load on balancers on a virtual clock. Some callers open a flow for each request, others
+ * keep a flow and pause between requests. Back ends have slots and a queue; some are slow or never answer. Reports of
+ * bad answers reach the other balancers after a delay.
  */
 import { VirtualClock } from '../../common/clock.js';
 import type { Mechanism } from '../../common/mechanisms.js';
@@ -9,46 +9,46 @@
 import { ForwarderHarness } from '../forwarding/cookie-test-support.js';
 import { backendAt } from '../routing/routing-test-support.js';
 
-/** Parameters of a replay. */
+/** Parameters of a simulation. */
 export interface ReplayedDay {
   readonly balancers: number;
   readonly backends: number;
-  /** Requests a second, each on a flow of its own. */
+  /** Requests per second that are sent on a new flow each. */
   readonly freshPerSecond: number;
-  /** Flows that are kept, and the mean pause between two requests on one. */
+  /** Number of persistent flows, and the mean pause between two requests on one of them. */
   readonly keptFlows: number;
   readonly pauseMs: number;
-  /** Mean work of a request. */
+  /** Mean service time of a request at a back end that is not slow. */
   readonly workMs: number;
-  /** Work at a back end as a multiple; Infinity for one that never answers. */
+  /** Factor of the service time at a back end; Infinity for one that never answers. */
   readonly slownessOf: (backend: number, nowMs: number) => number;
-  /** Requests a second as a multiple. */
+  /** Factor of the request rate. */
   readonly burstAt?: (nowMs: number) => number;
-  /** True while no gossip between balancers arrives. */
+  /** True while all gossip between balancers is lost. */
   readonly gossipLostAt?: (nowMs: number) => boolean;
   readonly switchedOff?: readonly Mechanism[];
   readonly seed: number;
 }
 
-/** A request as its caller saw it. */
+/** A request, with its outcome for the caller. */
 export interface ReplayedRequest {
   readonly sentAtMs: number;
-  /** Infinity for one that was not answered. */
+  /** Time until the answer; Infinity if the request was not answered in time. */
   readonly tookMs: number;
   readonly backend: number;
   readonly isFresh: boolean;
 }
 
 const SLOTS_PER_BACKEND = 2;
-/** Standard deviation of the logarithm of the work. */
+/** Standard deviation of the logarithm of the service time. */
 const SERVICE_TIME_SIGMA = 0.5;
-/** Time in ms in which a report reaches the other balancers. Two to three messages, 150 ms apart. */
+/** Time in ms until a report reaches the other balancers: two to three gossip messages, 150 ms apart. */
 const GOSSIP_DELAY_MS = 400;
-/** A caller closes the flow of a request that takes longer than this, in ms. */
+/** Time in ms after which a caller gives up a request and closes its flow. */
 const REQUEST_TIMEOUT_MS = 2_000;
 const MS_PER_SECOND = 1_000;
 
-/** Callers, balancers and back ends of one replayed day. */
+/** Callers, balancers and back ends of one simulation. */
 export class ReplayedLoad {
   readonly clock = new VirtualClock();
   readonly requests: ReplayedRequest[] = [];
@@ -79,7 +79,7 @@
     });
   }
 
-  /** Plays `milliseconds` of the day. */
+  /** Runs the simulation for `milliseconds`. */
   run(milliseconds: number): void {
     for (let flow = 0; flow < this.parameters.keptFlows; flow += 1)
       this.scheduleAfterPause(() => this.openPersistentFlow());
@@ -88,7 +88,7 @@
     for (const balancer of this.balancers) balancer.stop();
   }
 
-  /** Share of the requests sent in a time that were not answered within `targetMs`. */
+  /** Share of the requests sent from `fromMs` to `toMs` that were not answered within `targetMs`. */
   lateShare(fromMs: number, toMs: number, targetMs: number): number {
     const sent = this.requests.filter(({ sentAtMs }) => sentAtMs >= fromMs && sentAtMs < toMs);
     return sent.filter(({ tookMs }) => tookMs > targetMs).length / sent.length;
@@ -132,7 +132,7 @@
     });
   }
 
-  /** Opens a flow through any balancer and sends the first data of a request on it. */
+  /** Opens a flow through a random balancer and sends the first data of a request on it. */
   private openFlow(
     onOpened: (port: number, balancer: ForwarderHarness, cookie: number, backend: number) => void,
   ): void {
@@ -146,7 +146,7 @@
     onOpened(port, balancer, cookie, Number(backend.slice(2)));
   }
 
-  /** A request at a back end; `whenDone` is called with its answer, or when its caller gives up. */
+  /** Sends a request to a back end; calls `whenDone` when it is answered or its caller gives up. */
   private sendRequest(backend: number, isFresh: boolean, whenDone: (isAnswered: boolean) => void): void {
     const sentAtMs = this.clock.now();
     const slowness = this.parameters.slownessOf(backend, sentAtMs);
@@ -160,13 +160,10 @@
     this.clock.schedule(Math.min(tookMs, REQUEST_TIMEOUT_MS), () => whenDone(isAnswered));
   }
 
-  /** Log-normal, with the mean of the day. */
+  /** Draws a service time from a log-normal distribution with the mean `workMs`. */
   private sampleServiceTimeMs(): number {
-    const standardNormal =
-      Math.sqrt(-2 * Math.log(1 - this.random())) * Math.cos(2 * Math.PI * this.random());
-    return (
-      this.parameters.workMs * Math.exp(SERVICE_TIME_SIGMA * standardNormal - SERVICE_TIME_SIGMA ** 2 / 2)
-    );
+    const normal = Math.sqrt(-2 * Math.log(1 - this.random())) * Math.cos(2 * Math.PI * this.random());
+    return this.parameters.workMs * Math.exp(SERVICE_TIME_SIGMA * normal - SERVICE_TIME_SIGMA ** 2 / 2);
   }
 
   private scheduleAfterPause(callback: () => void): void {
@@ -175,7 +172,7 @@
   }
 }
 
-/** A flow that its caller keeps; `sent` counts its requests. */
+/** A flow that its caller keeps open between requests. `requestCount` counts the requests sent on it. */
 interface PersistentFlow {
   readonly port: number;
   readonly balancer: ForwarderHarness;
--- a/src/cookie-edge/placement/tie-breaking.test.ts
+++ b/src/cookie-edge/placement/tie-breaking.test.ts
@@ -2,7 +2,7 @@
 import { combine32 } from '../../common/hash.js';
 import type { LoadLevels } from '../load/index.js';
 import { MAX_TIED_CANDIDATES } from './constants.js';
-import { countTiedToCompare, findLeastBusyIndex, findLeastLoaded } from './tie-breaking.js';
+import { findLeastBusyIndex, findLeastLoaded, tiedCandidateLimit } from './tie-breaking.js';
 import { stateOf } from './placement-test-support.js';
 
 const FLOW_HASH = 7;
@@ -13,23 +13,23 @@
   return { isKnown: () => isKnown, levelOf: (idHash) => byHash.get(idHash) ?? 1 };
 }
 
-/** Own flows at eight back ends, reports, and the number of equals that are weighed. */
+/** Name, own flows to eight back ends, load reports, expected number of tied candidates that are compared. */
 const COUNT_CASES: readonly (readonly [string, number, LoadLevels | undefined, number])[] = [
   ['without reports', 0, undefined, 1],
-  ['with reports that are too old', 0, loadReports([], false), 1],
+  ['with expired reports', 0, loadReports([], false), 1],
   ['with reports and one own flow', 1, loadReports([]), MAX_TIED_CANDIDATES],
   ['with reports and two own flows', 2, loadReports([]), 1],
 ];
 
 for (const [name, ownFlows, reports, expected] of COUNT_CASES) {
-  test(`${name} ${expected} of eight equals are weighed`, (t) => {
+  test(`${name}, ${expected} of eight tied candidates are compared`, (t) => {
     const states = Array.from({ length: 8 }, (_unused, index) => stateOf(`s-${index}`));
     states[0]!.openFlows = ownFlows;
-    t.is(countTiedToCompare(states, reports, 0), expected);
+    t.is(tiedCandidateLimit(states, reports, 0), expected);
   });
 }
 
-test('the least loaded are ranked by flow, whatever their order', (t) => {
+test('the least loaded candidates are ranked by the hash of the flow, independent of their order', (t) => {
   const loadOf = (state: { idHash: number }): number => (state === STATES[1] || state === STATES[4] ? 1 : 2);
   const leastLoaded = findLeastLoaded(STATES, FLOW_HASH, 4, loadOf);
   const ranks = [STATES[1]!, STATES[4]!].map(({ idHash }) => combine32(FLOW_HASH, idHash));
@@ -40,7 +40,7 @@
   t.deepEqual(findLeastLoaded([...STATES].reverse(), FLOW_HASH, 4, loadOf), leastLoaded);
 });
 
-test('of more equals than asked for the highest ranks are kept', (t) => {
+test('only the highest ranks are kept if more candidates tie than requested', (t) => {
   const all = findLeastLoaded(STATES, FLOW_HASH, STATES.length, () => 1);
   t.is(all.length, STATES.length);
   for (let count = 1; count <= STATES.length; count += 1) {
@@ -55,14 +55,14 @@
   );
 });
 
-test('equal ranks keep the order of the candidates', (t) => {
+test('candidates of equal rank keep their order', (t) => {
   const twins = [stateOf('a'), stateOf('a')];
   const found = findLeastLoaded(twins, FLOW_HASH, 2, () => 1);
   t.is(found[0]?.state, twins[0]);
   t.is(found[1]?.state, twins[1]);
 });
 
-/** Levels in the order of the equals, and which one is chosen. */
+/** Load levels of the tied candidates in order, and the index of the chosen one. */
 const LEVEL_CASES: readonly (readonly [readonly number[], number])[] = [
   [[], -1],
   [[1, 1, 1], 0],
@@ -72,9 +72,9 @@
 ];
 
 for (const [levels, expected] of LEVEL_CASES) {
-  test(`of equals with the levels ${levels.join(', ') || 'of none'} number ${expected} is chosen`, (t) => {
-    const equals = levels.map((_level, index) => ({ state: STATES[index]!, rank: 0 }));
-    t.is(findLeastBusyIndex(equals, loadReports(levels), 0), expected);
-    t.is(findLeastBusyIndex(equals, undefined, 0), levels.length > 0 ? 0 : -1);
+  test(`of tied candidates with load levels ${levels.join(', ') || '(none)'}, index ${expected} is chosen`, (t) => {
+    const tied = levels.map((_level, index) => ({ state: STATES[index]!, rank: 0 }));
+    t.is(findLeastBusyIndex(tied, loadReports(levels), 0), expected);
+    t.is(findLeastBusyIndex(tied, undefined, 0), levels.length > 0 ? 0 : -1);
   });
 }
--- a/src/cookie-edge/placement/tie-breaking.ts
+++ b/src/cookie-edge/placement/tie-breaking.ts
@@ -1,30 +1,33 @@
 /**
- * Rule: which of the least loaded candidates gets a new flow.
+ * Rule: which of the candidates with the least load gets a new flow.
  *
- * Prevents hot spots that one balancer's few flows do not show: back ends that are busy according to load reports are
- * passed over. Does no input or output.
+ * Prevents hot spots that do not show in the few flows of one balancer: back ends that are busy according to load
+ * reports are passed over. Does no input or output.
  *
- * Ties: equal loads are ordered by a hash of flow and back end, so that balancers with the same knowledge choose
- * equally and retransmissions of a SYN meet one back end; equal hashes keep the order of the candidates. Load reports
- * are used only while they say more than the balancer's own flows (`LOAD_MAX_OWN_SHARE`). A back end without a report
- * counts as not busy.
+ * Order: candidates of equal load are ranked by a hash of the flow and the back end, so that balancers with the same
+ * knowledge make the same choice and retransmissions of a SYN reach the same back end. Candidates with the same hash
+ * keep their order. Load reports are used only while they are more accurate than the balancer's own flow counts
+ * (`MAX_OWN_FLOWS_PER_CANDIDATE`). A back end without a report counts as not busy.
  */
 import { combine32 } from '../../common/hash.js';
 import type { LocalBackendState } from '../backend-health/index.js';
 import type { LoadLevels } from '../load/index.js';
 import { MAX_OWN_FLOWS_PER_CANDIDATE, MAX_TIED_CANDIDATES } from './constants.js';
 
-/** A candidate with its rank in the order of the flow; the highest goes first. */
+/** A candidate with its rank for a flow; the highest rank is preferred. */
 interface RankedCandidate {
   readonly state: LocalBackendState;
   readonly rank: number;
 }
 
-/** Level of a back end that is not known to be busy. */
+/** Load level of a back end without a report that it is busy. */
 const NOT_BUSY = 1;
 
-/** Number of equals to look at: more than one only while load reports are known and own flows are few. */
-export function countTiedToCompare(
+/**
+ * Returns how many candidates of equal load are compared by their load reports: more than one only while a report is in
+ * use and this balancer has few flows of its own.
+ */
+export function tiedCandidateLimit(
   states: readonly LocalBackendState[],
   reports: LoadLevels | undefined,
   nowMs: number,
@@ -34,7 +37,9 @@
   return ownFlows < states.length * MAX_OWN_FLOWS_PER_CANDIDATE ? MAX_TIED_CANDIDATES : 1;
 }
 
-/** The candidates with the least load that rank highest for a flow, at most `count`, in descending order. */
+/**
+ * Returns up to `maxCount` of the candidates with the least load: those with the highest ranks, in descending order.
+ */
 export function findLeastLoaded(
   states: readonly LocalBackendState[],
   flowHash: number,
@@ -53,7 +58,10 @@
   return leastLoaded;
 }
 
-/** Index of the first of the equals that is not busy, or of the least busy where all are; -1 where there are none. */
+/**
+ * Returns the index of the first tied candidate that is not busy, or of the least busy one if all are busy; -1 without
+ * any candidate.
+ */
 export function findLeastBusyIndex(
   tied: readonly RankedCandidate[],
   reports: LoadLevels | undefined,
@@ -71,7 +79,7 @@
   return leastBusyIndex;
 }
 
-/** Adds an entry to the `count` highest ranks, which stand in descending order. */
+/** Inserts a candidate into a list in descending order of rank, and keeps the `maxCount` highest ranks. */
 function insertByRank(ranked: RankedCandidate[], candidate: RankedCandidate, maxCount: number): void {
   const insertAt = ranked.findIndex(({ rank }) => rank < candidate.rank);
   if (insertAt < 0 && ranked.length >= maxCount) return;
--- a/src/cookie-edge/placement/traffic-splitter.test.ts
+++ b/src/cookie-edge/placement/traffic-splitter.test.ts
@@ -1,4 +1,4 @@
-/** Which service of a split gets a flow, and the shares over many flows. */
+/** Which service of a traffic split gets a flow, and the shares over many flows. */
 import test from 'ava';
 import { allBut } from '../../common/mechanisms.js';
 import { seededRandom } from '../../common/random.js';
@@ -6,7 +6,7 @@
 import { SERVICE_ADDRESS } from '../routing/routing-test-support.js';
 import { TrafficSplitter } from './traffic-splitter.js';
 
-/** Weights of the services 0, 1, ..., those with a candidate, and the services of the next flows. */
+/** Name, weights of the services 0, 1, ..., services with a candidate, expected services of the next flows. */
 const CASES: readonly (readonly [
   string,
   readonly number[],
@@ -23,7 +23,7 @@
 ];
 
 for (const [name, weights, withCandidate, expected] of CASES) {
-  test(`a split with ${name} gives ${expected.join()}`, (t) => {
+  test(`a traffic split with ${name} chooses ${expected.join()}`, (t) => {
     const splitter = new TrafficSplitter(() => 1 / 2);
     const targets = weights.map((weight, index) => ({ service: String(index), weight }));
     const route = { name: 'r', address: 1, port: 1, targets };
@@ -63,7 +63,7 @@
   [1, 1],
   [99, 1],
 ]) {
-  test(`shares of ${weights.join(':')} hold within any 200 flows`, (t) => {
+  test(`weights of ${weights.join(':')} are met in 200 consecutive flows`, (t) => {
     const splitter = new TrafficSplitter(seededRandom(5));
     const route = routeWith(...weights);
     const chosen = Array.from({ length: 1_000 }, () => splitter.chooseService(route, () => true));
@@ -79,7 +79,7 @@
   });
 }
 
-test('a service that cannot serve is passed over, and a changed split starts anew', (t) => {
+test('a service without a candidate is skipped, and credits are reset when the weights change', (t) => {
   const splitter = new TrafficSplitter(seededRandom(5));
   for (let flow = 0; flow < 50; flow += 1) {
     t.is(
--- a/src/cookie-edge/placement/traffic-splitter.ts
+++ b/src/cookie-edge/placement/traffic-splitter.ts
@@ -1,26 +1,28 @@
 /**
- * Rule: which service of a route's split gets a new flow.
+ * Rule: which service of a route's traffic split gets a new flow.
  *
- * Prevents short runs that miss the configured weights, as choices by chance do. Does no input or output.
+ * Keeps to the configured weights even over a small number of flows, where random choices deviate from them. Does no
+ * input or output.
  *
- * Smooth weighted round robin: each flow credits every service with its share, and the service with the highest credit
- * pays one flow. Order: services without a candidate are passed over; where no service has one, all stay in the choice,
- * so that credits go on. Ties go to the first in the route. A route with new weights, or one met for the first time,
- * starts with random credits, so that balancers with few flows each do not all begin with the same service.
+ * Smooth weighted round robin: each flow increases the credit of every service by the service's share; the service with
+ * the highest credit gets the flow and loses one credit. Order: services without a candidate are skipped. If no service
+ * has a candidate, all of them take part, so that credits stay balanced. Ties go to the service that comes first in the
+ * route. A route that is new or has new weights starts with random credits, so that balancers with few flows each do
+ * not all start with the same service.
  */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { RandomSource } from '../../common/random.js';
 import type { Route, RouteTarget } from '../routing/index.js';
 
-/** What one service is still owed, in flows. */
+/** A service with the number of flows that it is owed. */
 interface TargetCredit {
   readonly service: string;
-  /** Its part of the route's flows, 0 to 1. */
+  /** Its share of the route's flows, 0 to 1. */
   readonly share: number;
   credit: number;
 }
 
-/** Owns the credits of all routes. */
+/** Chooses a service for each new flow of a route. Owns the credits of all routes. */
 export class TrafficSplitter {
   private readonly credits = new Map<string, TargetCredit[]>();
 
@@ -73,7 +75,7 @@
   });
 }
 
-/** A service by its share alone: what credits are measured against. */
+/** Draws a service at random by its share. Used for comparison while `split-credit` is switched off. */
 function drawByShare(credits: readonly TargetCredit[], random: RandomSource): TargetCredit | undefined {
   let remaining = random() * credits.reduce((total, { share }) => total + share, 0);
   return credits.find(({ share }) => (remaining -= share) < 0) ?? credits.at(-1);
