--- a/src/cookie-edge/placement/replayed-load.ts
+++ b/src/cookie-edge/placement/replayed-load.ts
@@ -31,7 +31,7 @@
 }
 
 /** A request, with its outcome for the caller. */
-export interface ReplayedRequest {
+export interface SimulatedRequest {
   readonly sentAtMs: number;
   /** Time until the answer; Infinity if the request was not answered in time. */
   readonly tookMs: number;
@@ -51,7 +51,7 @@
 /** Callers, balancers and back ends of one simulation. */
 export class ReplayedLoad {
   readonly clock = new VirtualClock();
-  readonly requests: ReplayedRequest[] = [];
+  readonly requests: SimulatedRequest[] = [];
   readonly balancers: readonly ForwarderHarness[];
   private readonly random: RandomSource;
   private readonly slotsFreeAtMs: number[][];
