--- a/src/cookie-edge/placement/backend-eligibility.ts
+++ b/src/cookie-edge/placement/backend-eligibility.ts
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Returns why its record excludes `backend` from new flows of `route`, or undefined if it does not. A departed back
-   * end whose record may only have lapsed is not excluded, because it is the last resort of its service.
+   * Returns why the record of `backend` excludes it from new flows of `route`, or undefined if it does not. A departed
+   * back end whose record may only have lapsed is not excluded, because it is the last resort of its service.
    */
   recordExclusionOf(backend: KnownBackend, route: Route, nowMs: number): RecordExclusion | undefined {
     const { knowledge } = this.options;
