--- a/src/cookie-edge/placement/backend-eligibility.test.ts
+++ b/src/cookie-edge/placement/backend-eligibility.test.ts
@@ -1,4 +1,4 @@
-/** Back ends that may get no new flow, whatever their load and health. */
+/** Conditions under which a back end gets no new flow, whatever its load and health. */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { seededRandom } from '../../common/random.js';
@@ -18,69 +18,69 @@
 const COLD_MS = 2_000;
 
 /** Back ends `a`, `b`, ... in the given zones. */
-function inZones(...zones: readonly string[]): RoutedBackend[] {
+function backendsInZones(...zones: readonly string[]): RoutedBackend[] {
   return backends(zones.length).map((backend, index) => ({ ...backend, zone: zones[index] as string }));
 }
 
-function harnessOf(surroundings: HarnessSurroundings): ForwarderHarness {
+function createHarness(surroundings: HarnessSurroundings): ForwarderHarness {
   return new ForwarderHarness(new VirtualClock(), 1, [], surroundings);
 }
 
-/** Back ends that `count` new flows get; undefined for a reset. */
-function targetsOf(harness: ForwarderHarness, count: number, fromPort = 50_000): (string | undefined)[] {
+/** Opens `count` flows and returns the back end of each; undefined for a reset. */
+function openNewFlows(harness: ForwarderHarness, count: number, fromPort = 50_000): (string | undefined)[] {
   return Array.from({ length: count }, (_unused, index) => harness.open(fromPort + index)?.backend);
 }
 
-test('no new flow goes to a cordoned zone, and the zone gets flows again when that is taken back', (t) => {
-  const harness = new ForwarderHarness().know(inZones('north', 'south', 'south'));
+test('no new flow goes to a cordoned zone until the cordon is removed', (t) => {
+  const harness = new ForwarderHarness().know(backendsInZones('north', 'south', 'south'));
   harness.cordon(['north'], 11);
-  t.false(targetsOf(harness, 30).includes('a'));
+  t.false(openNewFlows(harness, 30).includes('a'));
   harness.cordon([], 12);
-  t.true(targetsOf(harness, 30, 51_000).includes('a'));
+  t.true(openNewFlows(harness, 30, 51_000).includes('a'));
 });
 
-test('open flows at a back end of a cordoned zone go on', (t) => {
-  const harness = new ForwarderHarness().know(inZones('north'));
+test('open flows to a back end of a cordoned zone continue', (t) => {
+  const harness = new ForwarderHarness().know(backendsInZones('north'));
   const { cookie } = harness.establish(40_002);
   harness.cordon(['north'], 11);
   t.is(harness.goOn(40_002, cookie)?.backend, 'a');
 });
 
-test('a copy of a SYN goes where the first one went, though its zone was cordoned meanwhile', (t) => {
-  const harness = new ForwarderHarness().know(inZones('north', 'south'));
+test('a retransmitted SYN reaches the back end of the first SYN even if its zone was cordoned since', (t) => {
+  const harness = new ForwarderHarness().know(backendsInZones('north', 'south'));
   const first = harness.open(40_002)?.backend;
   harness.cordon([first === 'a' ? 'north' : 'south'], 11);
   t.is(harness.open(40_002, 1)?.backend, first);
 });
 
-/** What is left where every back end outside of the cordoned zone cannot serve. */
-const LEFT: readonly (readonly [string, (harness: ForwarderHarness) => void])[] = [
-  ['nothing', (harness) => void harness.know(inZones('north', 'north'))],
+/** Name, and preparation of a harness in which no back end outside of the cordoned zone can serve. */
+const REMAINING_BACKEND_CASES: readonly (readonly [string, (harness: ForwarderHarness) => void])[] = [
+  ['nothing', (harness) => void harness.know(backendsInZones('north', 'north'))],
   [
-    'one that drains',
+    'a draining back end',
     (harness) =>
-      void harness.know([...inZones('north'), backendAt('z', 2, { zone: 'south', draining: true })]),
+      void harness.know([...backendsInZones('north'), backendAt('z', 2, { zone: 'south', draining: true })]),
   ],
   [
-    'a record that may only have lapsed, in the cordoned zone as well',
+    'a back end in the cordoned zone whose record may only have lapsed',
     (harness) => {
-      harness.know(inZones('north'));
+      harness.know(backendsInZones('north'));
       harness.establish(40_002);
       harness.depart('a', 11, true);
     },
   ],
   [
-    'an ejected one, in the cordoned zone as well',
+    'an ejected back end in the cordoned zone',
     (harness) => {
-      harness.know(inZones('north', 'north'));
+      harness.know(backendsInZones('north', 'north'));
       failOpenings(harness, 'a', 3, 41_000);
       harness.clock.advance(5_000);
     },
   ],
 ];
 
-for (const [name, prepare] of LEFT) {
-  test(`a caller is refused at once where a cordoned zone leaves ${name}`, (t) => {
+for (const [name, prepare] of REMAINING_BACKEND_CASES) {
+  test(`a caller is refused at once if a cordon leaves ${name}`, (t) => {
     const harness = new ForwarderHarness();
     prepare(harness);
     harness.cordon(['north'], 12);
@@ -92,7 +92,7 @@
   });
 }
 
-test('a split keeps to the services that have back ends outside of cordoned zones', (t) => {
+test('a traffic split uses only services that have back ends outside of cordoned zones', (t) => {
   const route = {
     name: 'split',
     address: SERVICE_ADDRESS,
@@ -103,15 +103,19 @@
     ],
   };
   const beta = backendAt('b', 2, { service: 'beta', zone: 'south' });
-  const harness = new ForwarderHarness().know([...inZones('north'), beta], { routes: [route] });
+  const harness = new ForwarderHarness().know([...backendsInZones('north'), beta], { routes: [route] });
   harness.cordon(['north'], 11);
-  t.deepEqual(new Set(targetsOf(harness, 20)), new Set(['b']));
+  t.deepEqual(new Set(openNewFlows(harness, 20)), new Set(['b']));
 });
 
 const REGIONS = { north: 'east-coast', south: 'west-coast', middle: 'inland' };
 
-/** Allowed regions of a route, zones of the back ends `a`, `b`, ..., and the back ends that get its flows. */
-const HOMES: readonly (readonly [readonly string[] | undefined, readonly string[], readonly string[]])[] = [
+/** Allowed regions of a route; zones of the back ends `a`, `b`, ...; the back ends that get the route's flows. */
+const REGION_CASES: readonly (readonly [
+  readonly string[] | undefined,
+  readonly string[],
+  readonly string[],
+])[] = [
   [undefined, ['north', 'south'], ['a', 'b']],
   [['east-coast'], ['north', 'south'], ['a']],
   [
@@ -123,53 +127,57 @@
   [['east-coast'], ['north', 'nowhere'], ['a']],
 ];
 
-for (const [allowedRegions, zones, expected] of HOMES) {
+for (const [allowedRegions, zones, expected] of REGION_CASES) {
   test(`a route of ${allowedRegions ?? 'all regions'} is served from ${zones} by ${expected.join() || 'nobody'}`, (t) => {
-    const harness = harnessOf({ regions: REGIONS });
+    const harness = createHarness({ regions: REGIONS });
     const targets = [{ service: 'alpha', weight: 1 }];
     const route = { name: 'r', address: SERVICE_ADDRESS, port: SERVICE_PORT, targets, allowedRegions };
-    harness.know(inZones(...zones), { routes: [route] });
-    const chosen = targetsOf(harness, 30).filter((backend) => backend !== undefined);
+    harness.know(backendsInZones(...zones), { routes: [route] });
+    const chosen = openNewFlows(harness, 30).filter((backend) => backend !== undefined);
     t.deepEqual([...new Set(chosen)].sort(), [...expected]);
   });
 }
 
-/** A cold back end `c` beside warm ones, with a rate for cold ones. */
-function withColdOne(surroundings: HarnessSurroundings, warm: number, rate: number): ForwarderHarness {
+/** Returns a harness with `warmCount` warm back ends and the back end `cold`, whose rate in slow start is `rate`. */
+function harnessWithColdBackend(
+  surroundings: HarnessSurroundings,
+  warmCount: number,
+  rate: number,
+): ForwarderHarness {
   const services = [{ name: 'alpha', maxConnections: 2_000, coldRequestsPerSecond: rate }];
   const cold = backendAt('cold', 5, { coldMs: COLD_MS });
-  return harnessOf(surroundings).know([...backends(warm), cold], { services });
+  return createHarness(surroundings).know([...backends(warmCount), cold], { services });
 }
 
-test('a cold back end gets flows from its owners only, and from all balancers once it is warm', (t) => {
-  const owner = withColdOne({ isOwner: () => true }, 3, 5);
-  const other = withColdOne({ isOwner: () => false }, 3, 5);
-  t.true(targetsOf(owner, 20).includes('cold'));
-  t.false(targetsOf(other, 20).includes('cold'));
+test('a cold back end gets new flows from its owners only, and from all balancers once it is warm', (t) => {
+  const owner = harnessWithColdBackend({ isOwner: () => true }, 3, 5);
+  const other = harnessWithColdBackend({ isOwner: () => false }, 3, 5);
+  t.true(openNewFlows(owner, 20).includes('cold'));
+  t.false(openNewFlows(other, 20).includes('cold'));
   other.clock.advance(COLD_MS);
-  t.true(targetsOf(other, 20, 51_000).includes('cold'));
+  t.true(openNewFlows(other, 20, 51_000).includes('cold'));
 });
 
-test('a caller is refused at once where nothing but a cold back end is left that has had its flows', (t) => {
-  const harness = withColdOne({}, 0, 1);
-  const chosen = targetsOf(harness, 10);
+test('a caller is refused at once if the only back end is cold and its rate is used up', (t) => {
+  const harness = harnessWithColdBackend({}, 0, 1);
+  const chosen = openNewFlows(harness, 10);
   t.deepEqual(chosen.slice(0, 2), ['cold', undefined]);
   t.is(chosen.filter((backend) => backend === 'cold').length, 1);
 });
 
 test('a cold back end without a rate is not limited', (t) => {
   const cold = backendAt('cold', 5, { coldMs: COLD_MS });
-  const harness = harnessOf({ isOwner: () => false }).know([...backends(1), cold]);
-  t.true(targetsOf(harness, 10).includes('cold'));
+  const harness = createHarness({ isOwner: () => false }).know([...backends(1), cold]);
+  t.true(openNewFlows(harness, 10).includes('cold'));
 });
 
-/** Rates of a cold back end, views of the fleet that differ, and balancers in each of them. */
+/** Rates of a cold back end, in requests per second. */
 const RATES = [0.5, 1, 5, 15];
 const OVERAGE = 1.5;
 const SLACK = 5;
 
 for (const rate of RATES) {
-  test(`in no second a cold back end of ${rate} requests a second gets more than allowed, in two views`, (t) => {
+  test(`a cold back end of ${rate} requests/s never exceeds its limit in any second, with two owners in each of two views`, (t) => {
     const random = seededRandom(rate);
     const clock = new VirtualClock();
     const harness = new ForwarderHarness(clock).know([backendAt('cold', 5, { coldMs: 60_000 })]);
@@ -181,21 +189,21 @@
     const admittedAtMs: number[] = [];
     for (let nowMs = 0; nowMs < 30_000; nowMs += 5) {
       for (const owner of owners) {
-        if (random() < 0.3 || !owner.admits(cold!, rate, nowMs)) continue;
+        if (random() < 0.3 || !owner.canAdmit(cold!, rate, nowMs)) continue;
         owner.recordPlacement(cold!, nowMs);
         admittedAtMs.push(nowMs);
       }
     }
-    const most = Math.max(
+    const maxPerSecond = Math.max(
       ...admittedAtMs.map((from) => admittedAtMs.filter((at) => at >= from && at < from + 1_000).length),
     );
-    t.true(most <= rate * OVERAGE + SLACK, `${most} in a second`);
+    t.true(maxPerSecond <= rate * OVERAGE + SLACK, `${maxPerSecond} in a second`);
     t.true(admittedAtMs.length >= rate * 10, `${admittedAtMs.length} in 30 s`);
   });
 }
 
-/** What a record is like, and which exclusion is found; of several the first in the rule's order. */
-const RECORDS: readonly (readonly [
+/** Name, changes of the back end and of its record, expected exclusion: the first one in the order of the rule. */
+const RECORD_CASES: readonly (readonly [
   string,
   Partial<KnownBackend>,
   Partial<RoutedBackend>,
@@ -209,14 +217,14 @@
   ['cordoned', {}, { zone: 'south' }, 'cordoned'],
   ['in another region', {}, { zone: 'middle' }, 'region'],
   ['in no known region', {}, { zone: 'nowhere' }, 'region'],
-  ['cold, without an admission', { coldUntilMs: COLD_MS }, {}, 'cold'],
-  ['cold no longer', { coldUntilMs: 0 }, {}, undefined],
+  ['cold and not owned by this balancer', { coldUntilMs: COLD_MS }, {}, 'cold'],
+  ['no longer cold', { coldUntilMs: 0 }, {}, undefined],
 ];
 
-for (const [name, change, record, expected] of RECORDS) {
+for (const [name, change, record, expected] of RECORD_CASES) {
   test(`a back end that is ${name} is ${expected ?? 'not'} excluded by its record`, (t) => {
     const services = [{ name: 'alpha', maxConnections: 10, coldRequestsPerSecond: 1 }];
-    const harness = harnessOf({}).know([], { services });
+    const harness = createHarness({}).know([], { services });
     harness.cordon(['south'], 11);
     const { knowledge } = harness;
     const backend: KnownBackend = {
@@ -248,8 +256,8 @@
   });
 }
 
-/** Open flows, end of a dead verdict, and which exclusion is found with two connections at 1,000 ms. */
-const STATES: readonly (readonly [number, number, StateExclusion?])[] = [
+/** Open flows, end of a dead verdict in ms, expected exclusion at 1,000 ms with a maximum of two connections. */
+const STATE_CASES: readonly (readonly [number, number, StateExclusion?])[] = [
   [0, 0, undefined],
   [1, 1_000, undefined],
   [2, 0, 'full'],
@@ -257,7 +265,7 @@
   [1, 1_001, 'dead'],
 ];
 
-for (const [openFlows, deadUntilMs, expected] of STATES) {
+for (const [openFlows, deadUntilMs, expected] of STATE_CASES) {
   test(`a back end with ${openFlows} flows, dead until ${deadUntilMs} ms, is ${expected ?? 'not'} excluded by its state`, (t) => {
     const state = new LocalBackendState({ id: 'a' } as KnownBackend);
     state.openFlows = openFlows;
