--- a/src/cookie-edge/routing/backend-registry.ts
+++ b/src/cookie-edge/routing/backend-registry.ts
@@ -1,8 +1,8 @@
 /**
- * Registry of all back ends that are recorded, or departed recently. Records and removals may come from the source and
- * from peers, in any order: the one with the higher revision wins, and a removal wins over a record of the same
- * revision. A back end that left is remembered until no flow to it can be open. Owns the `KnownBackend` objects, one an
- * id; relies on `RoutingKnowledge` to detect gaps.
+ * Registry of all back ends that are listed by the source or departed recently. Records and removals come from the
+ * source and from peers, in any order: the one with the higher revision wins, and a removal wins over a record of
+ * the same revision. A departed back end is kept until no flow to it can still be open. Owns the `KnownBackend`
+ * objects, one per id; relies on `RoutingKnowledge` to detect gaps.
  */
 import type { Clock } from '../../common/clock.js';
 import { formatEndpoint } from '../../common/types.js';
@@ -10,29 +10,27 @@
 import { RESTORED_HOLD_MS } from './constants.js';
 import { ROUTING_EVENTS } from './events.js';
 import { isOtherIncarnation } from './incarnation-rule.js';
-import { hasLapsed } from './lapsed-records.js';
+import { countsAsLapsed } from './lapsed-records.js';
 import { describeRecord, type KnownBackend } from './known-backend.js';
 import type { BackendRemoval, DepartedBackend, RoutedBackend } from './types.js';
 
-/** Revision of a record or removal of which nothing is known in the epoch. */
+/** Placeholder where no record or removal has been received in the current epoch; lower than any revision. */
 const UNKNOWN_REVISION = -1;
 
-/** What a registry needs. */
 export interface BackendRegistryOptions {
   readonly clock: Clock;
   readonly events: EventLog;
-  /** Time after which no flow can be open any more; a departed back end is remembered this long. */
+  /** How long a departed back end is kept. No flow to it can still be open after this time. */
   readonly retentionMs: number;
 }
 
-/** The registry of back ends. Times are monotonic ms. */
+/** Stores the back ends of all services, including departed ones. Times are monotonic ms. */
 export class BackendRegistry {
   private readonly byId = new Map<string, KnownBackend>();
   private readonly byService = new Map<string, Set<KnownBackend>>();
-  /** Departed back ends. */
   private readonly departed = new Set<KnownBackend>();
   private readonly addListeners: ((backend: KnownBackend) => void)[] = [];
-  private readonly forgetListeners: ((backend: KnownBackend) => void)[] = [];
+  private readonly discardListeners: ((backend: KnownBackend) => void)[] = [];
 
   constructor(private readonly options: BackendRegistryOptions) {}
 
@@ -40,79 +38,80 @@
     return this.byId.get(id);
   }
 
-  /** Back ends that left and are remembered. */
+  /** Number of departed back ends that are still kept. */
   get departedCount(): number {
     return this.departed.size;
   }
 
-  /** Every back end, departed ones included. */
+  /** Returns every back end, including departed ones. */
   all(): IterableIterator<KnownBackend> {
     return this.byId.values();
   }
 
-  /** Back ends of a service, departed ones included. */
+  /** Returns the back ends of a service, including departed ones. */
   ofService(service: string): ReadonlySet<KnownBackend> {
-    return this.byService.get(service) ?? NONE;
+    return this.byService.get(service) ?? NO_BACKENDS;
   }
 
-  /** Back ends of a service that are recorded now. */
+  /** Counts the back ends of a service that have not departed. */
   countRecorded(service: string): number {
     let count = 0;
     for (const { departed } of this.ofService(service)) if (!departed) count += 1;
     return count;
   }
 
-  /** True when a back end of the service is recorded that is not leaving. */
+  /** Returns true when the service has a back end that is neither departed nor draining. */
   hasServing(service: string): boolean {
     for (const { departed, record } of this.ofService(service))
       if (!departed && !record.draining) return true;
     return false;
   }
 
-  /** Calls `listener` with each back end when it becomes known. */
+  /** Calls `listener` with each back end that is added. */
   onAdd(listener: (backend: KnownBackend) => void): void {
     this.addListeners.push(listener);
   }
 
-  /** Calls `listener` with each back end when it is forgotten. */
+  /** Calls `listener` with each back end that is removed from the registry. */
   onForget(listener: (backend: KnownBackend) => void): void {
-    this.forgetListeners.push(listener);
+    this.discardListeners.push(listener);
   }
 
-  /** Stores the first complete list, with one log line for all. */
-  fill(records: readonly RoutedBackend[], revision: number): void {
+  /** Stores the first complete list and writes one log line for all of its back ends. */
+  putFirstList(records: readonly RoutedBackend[], revision: number): void {
     const added = records.filter(({ id }) => !this.byId.has(id));
-    for (const record of added) this.announce(this.create(record));
+    for (const record of added) this.notifyAdded(this.create(record));
     const draining = added.filter((record) => record.draining).length;
     this.options.events.emit(ROUTING_EVENTS.backendsKnown, { backends: added.length, draining, revision });
   }
 
   /**
-   * Stores a record; returns false when it is not newer than what is known.
+   * Stores a record; returns false when it is not newer than the stored one.
    *
-   * @param knownRevision everything up to this revision is known: a record of then or before that is not known is gone
+   * @param knownRevision the registry is complete up to this revision: a record of this revision or an older one
+   *   that is missing here belongs to a back end that has departed since
    */
   put(record: RoutedBackend, knownRevision: number): boolean {
     const known = this.byId.get(record.id);
     if (!known) {
       const added = this.create(record);
       this.options.events.emit(ROUTING_EVENTS.backendKnown, describeRecord(record));
-      if (record.revision <= knownRevision) this.leave(added, record.revision, false);
-      this.announce(added);
+      if (record.revision <= knownRevision) this.markDeparted(added, record.revision, false);
+      this.notifyAdded(added);
       return true;
     }
-    learnCreation(known, record);
+    keepEarliestCreation(known, record);
     if (known.remembered && record.revision <= knownRevision) return false;
     if (record.revision <= Math.max(known.record.revision, known.removedRevision)) return false;
-    if (isOtherIncarnation(record, known.record)) this.restart(known, record);
-    else this.change(known, record);
+    if (isOtherIncarnation(record, known.record)) this.replaceIncarnation(known, record);
+    else this.replaceRecord(known, record);
     return true;
   }
 
   /**
-   * Begins an epoch of the source: revisions known so far say nothing about those from now on. What was created in an
-   * earlier epoch is older than anything created in this one; otherwise a new back end at a reused address was held
-   * dead, as the earlier of the two.
+   * Starts an epoch of the source. Revisions of earlier epochs cannot be compared with those of this one, so they are
+   * reset. Records created in an earlier epoch then count as older than any created in this one. Without that, a new
+   * back end at a reused address was considered dead, because it appeared to be the earlier of the two.
    */
   beginEpoch(): void {
     for (const known of this.byId.values()) {
@@ -123,14 +122,15 @@
   }
 
   /**
-   * Stores the record of a known back end from the first list of an epoch. The copy may be older than what is known: a
-   * back end that said that it leaves still does, one that had left waits, and none is cold for longer than before.
+   * Stores the record of a known back end from the first list of an epoch. The source was restored from a backup that
+   * may be older than the stored record. So a draining back end stays draining, a departed one stays departed for
+   * `RESTORED_HOLD_MS`, and slow start is never extended.
    */
   putRestored(record: RoutedBackend): void {
     const known = this.byId.get(record.id);
     if (!known) return;
     if (isOtherIncarnation(record, known.record)) {
-      // The copy is from before a restart; the process writes its record again.
+      // The backup predates a restart of the process, which will write its current record again.
       known.record = { ...known.record, revision: record.revision };
       return;
     }
@@ -141,69 +141,71 @@
       return;
     }
     const { coldUntilMs } = known;
-    this.change(known, restored);
+    this.replaceRecord(known, restored);
     known.coldUntilMs = Math.min(coldUntilMs, known.coldUntilMs);
   }
 
-  /** Takes a restored record for that of a back end that lives, once it has been listed for `RESTORED_HOLD_MS`. */
-  settleRestored(): void {
+  /** Lists a departed back end again once its restored record has been in the source for `RESTORED_HOLD_MS`. */
+  reinstateRestored(): void {
     const nowMs = this.options.clock.now();
     for (const known of this.departed) {
       const { restored } = known;
-      if (restored && nowMs - restored.atMs >= RESTORED_HOLD_MS) this.change(known, restored.record);
+      if (restored && nowMs - restored.atMs >= RESTORED_HOLD_MS) this.replaceRecord(known, restored.record);
     }
   }
 
   /**
-   * Stores a back end that left, unless it is known or left so long ago that no flow to it can be open. Its retention
-   * counts from when it left, not from now: otherwise new daemons would gossip it to each other for ever.
+   * Stores a departed back end, unless it is already known or its retention time has passed. The retention time starts
+   * when the back end departed, not when this daemon received it: otherwise daemons that start one after another would
+   * gossip it to each other forever.
    */
   putDeparted({ record, departedAtMs, lapsed = false }: DepartedBackend): void {
     const listed = this.byId.get(record.id);
-    if (listed) return learnCreation(listed, record);
+    if (listed) return keepEarliestCreation(listed, record);
     if (this.options.clock.now() - departedAtMs >= this.options.retentionMs) return;
     this.put(record, record.revision);
     const known = this.byId.get(record.id);
     if (!known) return;
     known.departedAtMs = departedAtMs;
-    if (lapsed) this.markRemembered(known);
+    if (lapsed) this.markAwaitingFirstListing(known);
   }
 
   /**
-   * Stores a back end that the roster names and that was never listed here, as departed: its open flows go on. One that
-   * had not left may be listed again, and counts as lapsed until `settleRemembered`. Returns false for a known one.
+   * Stores a back end that the roster names and that was never listed here, as departed, so that its open flows
+   * continue. If it had not left when the roster was written, it may still be listed, so it counts as lapsed until
+   * `markAwaitedAsLeft`. Returns false when the back end is already known.
    */
   putRemembered(record: RoutedBackend, hasLeft: boolean): boolean {
     const listed = this.byId.get(record.id);
-    if (listed) learnCreation(listed, record);
+    if (listed) keepEarliestCreation(listed, record);
     if (listed) return false;
     const added = this.create({ ...record, revision: UNKNOWN_REVISION });
     added.departed = true;
     added.departedAtMs = this.options.clock.now();
     this.departed.add(added);
-    if (!hasLeft) this.markRemembered(added);
-    this.announce(added);
+    if (!hasLeft) this.markAwaitingFirstListing(added);
+    this.notifyAdded(added);
     return true;
   }
 
-  /** Back ends that are remembered and not listed so far. */
+  /** Returns the back ends known only from the roster or from peers that may still be listed by the source. */
   awaited(): readonly KnownBackend[] {
     return [...this.departed].filter(({ lapsed, remembered }) => lapsed && remembered);
   }
 
-  /** Number of them. */
+  /** Number of back ends that `awaited` returns. */
   get awaitedCount(): number {
     return this.awaited().length;
   }
 
-  /** The list is whole by now: remembered back ends that it lacks have left. */
-  settleRemembered(): void {
+  /** Marks all awaited back ends as having left. Call when the list is considered complete. */
+  markAwaitedAsLeft(): void {
     for (const known of this.departed) if (known.remembered) known.lapsed = false;
   }
 
   /**
-   * Applies a removal; returns false when it is not newer than what is known. `mayHaveLapsed`: see
-   * `KnownBackend.lapsed`.
+   * Applies a removal; returns false when the back end is unknown, has already departed, or has a newer record.
+   * `mayHaveLapsed`: see `KnownBackend.lapsed`.
    */
   remove(removal: BackendRemoval, mayHaveLapsed: boolean): boolean {
     const known = this.byId.get(removal.id);
@@ -211,12 +213,12 @@
     known.removedRevision = Math.max(known.removedRevision, removal.revision);
     known.restored = undefined;
     if (known.departed) return false;
-    this.leave(known, removal.revision, mayHaveLapsed);
+    this.markDeparted(known, removal.revision, mayHaveLapsed);
     return true;
   }
 
-  /** Removes every back end that is not among `ids` and was last recorded at `revision` or before. */
-  removeAllBut(ids: ReadonlySet<string>, revision: number, mayHaveLapsed: boolean): boolean {
+  /** Removes every back end that is not in `ids` and whose record is not newer than `revision`. */
+  removeUnlisted(ids: ReadonlySet<string>, revision: number, mayHaveLapsed: boolean): boolean {
     let changed = false;
     for (const known of this.byId.values()) {
       if (ids.has(known.id) || known.record.revision > revision) continue;
@@ -227,26 +229,26 @@
     return changed;
   }
 
-  /** Forgets back ends that departed longer ago than the retention time. */
+  /** Evicts back ends that departed longer ago than the retention time. */
   prune(): void {
     const nowMs = this.options.clock.now();
     for (const backend of this.departed) {
-      if (nowMs - (backend.departedAtMs ?? nowMs) >= this.options.retentionMs) this.forget(backend);
+      if (nowMs - (backend.departedAtMs ?? nowMs) >= this.options.retentionMs) this.evict(backend);
     }
   }
 
-  private markRemembered(known: KnownBackend): void {
+  private markAwaitingFirstListing(known: KnownBackend): void {
     known.lapsed = !known.record.draining;
     known.remembered = true;
   }
 
-  private leave(known: KnownBackend, revision: number, mayHaveLapsed: boolean): void {
+  private markDeparted(known: KnownBackend, revision: number, mayHaveLapsed: boolean): void {
     known.removedRevision = Math.max(known.removedRevision, revision);
     known.departed = true;
     known.departedAtMs = this.options.clock.now();
-    known.lapsed = hasLapsed(mayHaveLapsed, known.record.draining);
+    known.lapsed = countsAsLapsed(mayHaveLapsed, known.record.draining);
     this.departed.add(known);
-    this.options.events.emit(ROUTING_EVENTS.backendGone, {
+    this.options.events.emit(ROUTING_EVENTS.backendDeparted, {
       backend: known.id,
       revision,
       draining: known.record.draining,
@@ -254,19 +256,19 @@
     });
   }
 
-  /** Another life of the process: a back end of its own, of which nothing is known but the record. */
-  private restart(known: KnownBackend, record: RoutedBackend): void {
-    this.drop(known);
+  /** Replaces a back end by the new incarnation of its process, which keeps nothing but the new record. */
+  private replaceIncarnation(known: KnownBackend, record: RoutedBackend): void {
+    this.discard(known);
     this.options.events.emit(ROUTING_EVENTS.backendRestarted, {
       ...describeRecord(record),
       incarnation: record.incarnation,
       previous: known.record.incarnation,
       departed: known.departed,
     });
-    this.announce(this.create(record));
+    this.notifyAdded(this.create(record));
   }
 
-  /** Stores a back end without telling the listeners. */
+  /** Stores a back end without notifying the listeners. */
   private create(record: RoutedBackend): KnownBackend {
     const backend: KnownBackend = {
       id: record.id,
@@ -278,22 +280,22 @@
       coldUntilMs: this.options.clock.now() + record.coldMs,
     };
     this.byId.set(record.id, backend);
-    this.serviceSet(record.service).add(backend);
+    this.getOrCreateServiceSet(record.service).add(backend);
     return backend;
   }
 
-  private announce(backend: KnownBackend): void {
+  private notifyAdded(backend: KnownBackend): void {
     this.addListeners.forEach((listener) => listener(backend));
   }
 
-  private change(known: KnownBackend, record: RoutedBackend): void {
+  private replaceRecord(known: KnownBackend, record: RoutedBackend): void {
     if (known.record.service !== record.service) {
-      this.serviceSet(known.record.service).delete(known);
-      this.serviceSet(record.service).add(known);
+      this.getOrCreateServiceSet(known.record.service).delete(known);
+      this.getOrCreateServiceSet(record.service).add(known);
     }
     const stateChanged = known.departed || known.record.draining !== record.draining;
     this.logIfRecreated(known, record);
-    known.record = { ...record, createdRevision: earlierCreation(known.record, record) };
+    known.record = { ...record, createdRevision: earlierCreatedRevision(known.record, record) };
     known.departed = false;
     known.lapsed = false;
     known.remembered = undefined;
@@ -316,19 +318,19 @@
     });
   }
 
-  private forget(backend: KnownBackend): void {
-    this.drop(backend);
+  private evict(backend: KnownBackend): void {
+    this.discard(backend);
     this.options.events.emit(ROUTING_EVENTS.backendForgotten, { backend: backend.id });
   }
 
-  private drop(backend: KnownBackend): void {
+  private discard(backend: KnownBackend): void {
     this.departed.delete(backend);
     this.byId.delete(backend.id);
-    this.serviceSet(backend.record.service).delete(backend);
-    this.forgetListeners.forEach((listener) => listener(backend));
+    this.getOrCreateServiceSet(backend.record.service).delete(backend);
+    this.discardListeners.forEach((listener) => listener(backend));
   }
 
-  private serviceSet(service: string): Set<KnownBackend> {
+  private getOrCreateServiceSet(service: string): Set<KnownBackend> {
     let backends = this.byService.get(service);
     if (!backends) {
       backends = new Set();
@@ -338,18 +340,18 @@
   }
 }
 
-const NONE: ReadonlySet<KnownBackend> = new Set();
+const NO_BACKENDS: ReadonlySet<KnownBackend> = new Set();
 
 /**
- * Keeps the revision at which a back end was recorded first. Its record may be created anew while it lives, or after it
- * ended by a write that is carried out late; a peer may have known it for longer than this daemon.
+ * Keeps the lowest revision at which a back end's record was created. The record may be created again while the process
+ * runs, or after it ended, by a delayed write. A peer may have known the back end for longer than this daemon.
  */
-function learnCreation(known: KnownBackend, record: RoutedBackend): void {
+function keepEarliestCreation(known: KnownBackend, record: RoutedBackend): void {
   if (isOtherIncarnation(record, known.record)) return;
-  const createdRevision = earlierCreation(known.record, record);
+  const createdRevision = earlierCreatedRevision(known.record, record);
   if (createdRevision !== known.record.createdRevision) known.record = { ...known.record, createdRevision };
 }
 
-function earlierCreation(left: RoutedBackend, right: RoutedBackend): number {
+function earlierCreatedRevision(left: RoutedBackend, right: RoutedBackend): number {
   return Math.min(left.createdRevision, right.createdRevision);
 }
--- a/src/cookie-edge/routing/backend-settlement.ts
+++ b/src/cookie-edge/routing/backend-settlement.ts
@@ -1,7 +1,7 @@
 /**
- * Whether this daemon's list of back ends is to be believed, by the rule in `settlement-rule.ts`. Owns what the rule
- * looks at: the time of the first list, the last word of a settled peer, what the roster names. Relies on the roster's
- * reader and on gossip to report both.
+ * Tracks whether this daemon's list of back ends is considered complete, by the rule in `settlement-rule.ts`. Owns the
+ * inputs of the rule: the time of the first list, the time of the last message from a settled peer, and the services in
+ * the roster. Relies on gossip and on the roster reader to report the latter two.
  */
 import type { Clock } from '../../common/clock.js';
 import type { EventLog } from '../../observability/event.js';
@@ -10,20 +10,19 @@
 import type { RoutingKnowledge } from './knowledge.js';
 import { decideSettlement, settlementReason, type BackendKnowledge } from './settlement-rule.js';
 
-/** Collaborators. */
 interface BackendSettlementOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   readonly knowledge: RoutingKnowledge;
-  /** True while records may vanish because their owners cannot write. */
+  /** Returns true while records may be missing only because back ends cannot write them. */
   readonly recordsMayLapse: () => boolean;
 }
 
-/** The state of one daemon's list. Times are monotonic ms. */
+/** Tracks the state of one daemon's list. Times are monotonic ms. */
 export class BackendSettlement {
   private firstListAtMs: number | undefined;
   private settledPeerAtMs = Number.NEGATIVE_INFINITY;
-  /** Services of which the roster names a back end that had not left; undefined before it was read. */
+  /** Services with a back end in the roster that had not left; undefined before the roster was read. */
   private rosterServices: ReadonlySet<string> | undefined;
   private hasSettled = false;
   private readonly listeners: (() => void)[] = [];
@@ -31,64 +30,65 @@
   constructor(private readonly options: BackendSettlementOptions) {
     const { knowledge } = options;
     const onUpdate = (): void => {
-      if (this.firstListAtMs === undefined && knowledge.revisionOf('backends') >= 0) this.beginSettling();
-      this.review();
+      if (this.firstListAtMs === undefined && knowledge.revisionOf('backends') >= 0)
+        this.startSettlingTimer();
+      this.evaluate();
     };
     onUpdate();
     knowledge.subscribe(onUpdate);
   }
 
-  /** How far the list is known now. */
+  /** Current state of the list. */
   get state(): BackendKnowledge {
-    return decideSettlement(this.inputs());
+    return decideSettlement(this.currentInputs());
   }
 
-  /** True while back ends that live may be missing from the list. */
+  /** True while running back ends may be missing from the list. */
   get isUnsettled(): boolean {
     return this.state !== 'settled';
   }
 
-  /** True when the roster shows that no back end of `service` is to be expected. */
+  /** Returns true when the roster names back ends, but none of `service`. */
   isKnownEmpty(service: string): boolean {
     const { rosterServices } = this;
     return rosterServices !== undefined && rosterServices.size > 0 && !rosterServices.has(service);
   }
 
-  /** Records a message of a peer that believes its own list. */
+  /** Records a message from a peer that considers its own list complete. */
   recordSettledPeer(): void {
     this.settledPeerAtMs = this.options.clock.now();
-    if (!this.hasSettled) this.review();
+    if (!this.hasSettled) this.evaluate();
   }
 
-  /** Records that the roster was read; `services` are those of which it names a back end that had not left. */
+  /** Records that the roster was read; `services` have at least one back end in it that had not left. */
   recordRoster(services: ReadonlySet<string>): void {
     this.rosterServices = services;
-    this.review();
+    this.evaluate();
   }
 
-  /** Calls `listener` whenever an opening that could not be served may be served, or refused, by now. */
+  /** Calls `listener` whenever openings that are on hold may have become servable or refusable. */
   subscribe(listener: () => void): void {
     this.listeners.push(listener);
   }
 
-  private beginSettling(): void {
+  private startSettlingTimer(): void {
     this.firstListAtMs = this.options.clock.now();
-    this.options.clock.schedule(SETTLING_MS, () => this.review());
+    this.options.clock.schedule(SETTLING_MS, () => this.evaluate());
   }
 
-  /** Notes the first time that the list is believed, and tells the listeners. */
-  private review(): void {
+  /** Settles the list once it counts as complete for the first time, then notifies the listeners. */
+  private evaluate(): void {
     if (!this.hasSettled) this.settleIfDue();
     for (const listener of this.listeners) listener();
   }
 
   private settleIfDue(): void {
-    const inputs = this.inputs();
+    const inputs = this.currentInputs();
     if (decideSettlement(inputs) !== 'settled') return;
     this.hasSettled = true;
     const { backends } = this.options.knowledge;
     const missing = backends.awaitedCount;
-    backends.settleRemembered();
+    backends.markAwaitedAsLeft();
     this.options.events.emit(ROUTING_EVENTS.backendsSettled, {
       reason: settlementReason(inputs),
       afterMs: Math.round(inputs.sinceFirstListMs ?? 0),
@@ -96,7 +96,7 @@
     });
   }
 
-  private inputs() {
+  private currentInputs() {
     const { clock, knowledge, recordsMayLapse } = this.options;
     const nowMs = clock.now();
     const { firstListAtMs, rosterServices } = this;
--- a/src/cookie-edge/routing/events.ts
+++ b/src/cookie-edge/routing/events.ts
@@ -1,4 +1,4 @@
-/** Log events of routes and back ends (2000–2099). */
+/** Log events about routes, back ends and the routing source (2000–2099). */
 import { defineEvents } from '../../observability/event.js';
 
 export const ROUTING_EVENTS = defineEvents({
@@ -10,34 +10,34 @@
   },
   backendKnown: { number: 2001, level: 'info', message: 'Back end discovered', action: 'none' },
   backendChanged: { number: 2002, level: 'info', message: 'Back end record changed', action: 'none' },
-  backendGone: {
+  backendDeparted: {
     number: 2003,
     level: 'info',
     message: 'Back end record removed from the source; open flows continue, no new flows',
-    action: 'none when it was stopped; otherwise check whether it can write its record',
+    action: 'none if it was stopped; otherwise check whether the back end can write its record',
   },
   backendForgotten: {
     number: 2004,
     level: 'info',
-    message: 'Departed back end forgotten; no flow to it can still be open',
+    message: 'Departed back end evicted; no flow to it can still be open',
     action: 'none',
   },
   backendRestarted: {
     number: 2017,
     level: 'info',
-    message: 'Back end started again under its id; what was known of its last life is forgotten',
-    action: 'none when it was restarted; otherwise see why it ended',
+    message: 'Back end restarted under the same id; state of the previous incarnation discarded',
+    action: 'none if the restart was intended; otherwise find out why the process ended',
   },
   backendRecreated: {
     number: 2019,
     level: 'info',
-    message: 'Record of a known back end was created anew; it says nothing of when the process started',
+    message: 'Record of a known back end was created again; this does not mean that the process restarted',
     action: 'none after an outage of the source; otherwise check whether the back end can write its record',
   },
   backendsSettled: {
     number: 2018,
     level: 'info',
-    message: 'List of back ends is trusted: openings that it cannot serve are refused at once',
+    message: 'List of back ends is considered complete; openings without a back end are refused at once',
     action: 'none',
   },
   backendsKnown: {
@@ -62,19 +62,19 @@
     number: 2007,
     level: 'warn',
     message: 'Call to the source of routes and back ends failed; it will be retried',
-    action: 'none when it is rare; otherwise see the error',
+    action: 'none if rare; otherwise see the error',
   },
-  tableDoubted: {
+  tableDigestMismatch: {
     number: 2010,
     level: 'error',
     message: 'Digest mismatch after applying a change to the route table; fetching the whole table',
-    action: 'Report it with the logs of this daemon and of the one that sent the change',
+    action: 'Report a bug with the logs of this daemon and of the peer that sent the change',
   },
   recordProblem: {
     number: 2013,
     level: 'error',
-    message: 'Record of the source has another form than expected',
-    action: 'Correct the record; the field `problem` says what is done until then',
+    message: 'Malformed record in the source',
+    action: 'Correct the record; the field `problem` describes how it is treated until then',
   },
   zoneCordoned: {
     number: 2011,
@@ -91,22 +91,23 @@
   historyGone: {
     number: 2014,
     level: 'warn',
-    message: 'Source no longer has the changes after the known revision; reading everything again',
-    action: 'none when it is rare; otherwise check whether the source keeps its history',
+    message: 'Source no longer has the changes since the known revision; reading the whole topic again',
+    action: 'none if rare; otherwise check the history retention of the source',
   },
   epochBegan: {
     number: 2016,
     level: 'warn',
-    message: 'Source was restored from an older copy; comparing what is known with what it has now',
-    action: 'Check that what the operator wrote last is there again; what is in force stays until then',
+    message: 'Source was restored from an older backup; reconciling the known state with it',
+    action:
+      'Check that the latest operator changes are in the source again; the current state stays in force until then',
   },
-  olderRevision: {
+  olderRevisionReceived: {
     number: 2015,
     level: 'error',
-    message: 'Source answered a current read with an older revision than is known here',
-    action: 'Check whether the source was restored from a copy without naming a new epoch',
+    message: 'Source returned a revision older than the known one to a read that must be current',
+    action: 'Check whether the source was restored from a backup without a new epoch',
   },
-  olderIgnored: {
+  olderTableIgnored: {
     number: 2008,
     level: 'info',
     message: 'Ignored a route table older than the one in force',
--- a/src/cookie-edge/routing/freshness.test.ts
+++ b/src/cookie-edge/routing/freshness.test.ts
@@ -1,8 +1,8 @@
-/** The durations that follow from the freshness bound. */
+/** Durations derived from the freshness bound. */
 import test from 'ava';
 import { DEFAULT_FRESHNESS_BOUND_MS, freshnessTimings, type FreshnessTimings } from './freshness.js';
 
-/** Expected durations in ms by bound; a bound looser than 6,000 ms counts as that. */
+/** Expected durations in ms by bound. */
 const CASES: readonly (readonly [boundMs: number, timings: FreshnessTimings])[] = [
   [
     1_000,
@@ -52,17 +52,20 @@
 ];
 
 for (const [boundMs, timings] of CASES) {
-  test(`a bound of ${boundMs} ms`, (t) => t.deepEqual(freshnessTimings(boundMs), timings));
+  test(`durations for a bound of ${boundMs} ms`, (t) => t.deepEqual(freshnessTimings(boundMs), timings));
 }
 
-test('a looser bound than 6,000 ms changes nothing further', (t) => {
+test('a bound above 6,000 ms counts as 6,000 ms', (t) => {
   t.deepEqual(freshnessTimings(60_000), freshnessTimings(6_000));
 });
 
 for (const boundMs of [500, 1_000, DEFAULT_FRESHNESS_BOUND_MS, 6_000]) {
-  test(`with a bound of ${boundMs} ms each step comes before the next`, (t) => {
+  test(`with a bound of ${boundMs} ms the durations elapse in order`, (t) => {
     const timings = freshnessTimings(boundMs);
-    t.true(Math.abs(timings.watchWaitMs + timings.readerAgeMs - boundMs) <= 1, 'wait and age fill the bound');
+    t.true(
+      Math.abs(timings.watchWaitMs + timings.readerAgeMs - boundMs) <= 1,
+      'wait and age add up to the bound',
+    );
     t.true(timings.readerAgeMs < timings.pullAfterMs);
     t.true(timings.pullAfterMs < timings.readAfterMs);
     t.true(timings.readAfterMs + timings.readSpreadMs < boundMs, 'the first read begins within the bound');
--- a/src/cookie-edge/routing/incarnation-rule.ts
+++ b/src/cookie-edge/routing/incarnation-rule.ts
@@ -1,17 +1,17 @@
 /**
- * Rule: whether a record speaks of another incarnation, that is, another life of a back end's process under the id
- * that it had. Prevents that a process which holds and knows nothing is treated as the one before it. Does no input or
- * output.
+ * Rule: detects whether a record belongs to another incarnation, that is, to a process that was restarted under the
+ * same back end id. Prevents the new process, which has no connections or state, from being treated as the old one.
+ * Performs no I/O.
  *
- * Each incarnation is a back end of its own: the registry forgets the old one and adds the new one, so that flows,
- * health, verdicts, cold time and draining begin anew (docs/DECISION-RULES.md lists what becomes of each). A start time
- * is compared with the same back end's only, and only for equality: clocks differ between machines and may be set back,
- * so that the source's revisions say which life is the later one. Where either start time is missing, the life is taken
- * for the same.
+ * Each incarnation counts as a separate back end: the registry discards the old one and adds the new one, so flows,
+ * health, verdicts, slow start and draining start over (docs/DECISION-RULES.md describes each). The rule compares start
+ * times only within one back end, and only for equality: clocks differ between machines and may be set back. The order
+ * of incarnations follows from the source's revisions. If either start time is missing, the incarnation is assumed to
+ * be the same.
  */
 import type { RoutedBackend } from './types.js';
 
-/** True when `record` is of another life of the process than `known`, a record of the same back end. */
+/** Returns true when `record` and `known`, two records of one back end, belong to different incarnations. */
 export function isOtherIncarnation(
   record: Pick<RoutedBackend, 'incarnation'>,
   known: Pick<RoutedBackend, 'incarnation'>,
--- a/src/cookie-edge/routing/knowledge.test.ts
+++ b/src/cookie-edge/routing/knowledge.test.ts
@@ -20,16 +20,16 @@
   };
 }
 
-/** Ids of the back ends that are not departed. */
-function present(knowledge: RoutingKnowledge): string[] {
+/** Returns the ids of the back ends that have not departed. */
+function recordedIds(knowledge: RoutingKnowledge): string[] {
   return [...knowledge.backends.all()].filter(({ departed }) => !departed).map(({ id }) => id);
 }
 
-function list(revision: number, ...backends: RoutedBackend[]): RoutingUpdate {
+function completeUpdate(revision: number, ...backends: RoutedBackend[]): RoutingUpdate {
   return updateAt(revision, { complete: true, backends });
 }
 
-test('a table that is older than the one in force is ignored, wherever it comes from', (t) => {
+test('a table older than the one in force is ignored', (t) => {
   const { knowledge } = createKnowledge();
   knowledge.apply('routes', updateAt(9, { complete: true, routes: [tableAt(9)] }), origin(-1));
   knowledge.apply('routes', updateAt(7, { complete: true, routes: [tableAt(7)] }), origin(-1));
@@ -42,33 +42,49 @@
 });
 
 const ORDERS: readonly (readonly [string, readonly RoutingUpdate[], readonly string[]])[] = [
-  ['record, then its removal', [list(3, backendAt('a', 3)), removal(5, 'a', 5)], []],
-  ['removal of the same revision', [list(3, backendAt('a', 3)), removal(5, 'a', 3)], []],
+  ['a record, then its removal', [completeUpdate(3, backendAt('a', 3)), removalUpdate(5, 'a', 5)], []],
+  [
+    'a removal of the same revision as the record',
+    [completeUpdate(3, backendAt('a', 3)), removalUpdate(5, 'a', 3)],
+    [],
+  ],
   [
     'an older record after the removal',
-    [list(3, backendAt('a', 3)), removal(5, 'a', 5), change(5, backendAt('a', 3))],
+    [completeUpdate(3, backendAt('a', 3)), removalUpdate(5, 'a', 5), recordsUpdate(5, backendAt('a', 3))],
     [],
   ],
   [
-    'it is recorded again later',
-    [list(3, backendAt('a', 3)), removal(5, 'a', 5), change(7, backendAt('a', 7))],
+    'a later record after the removal',
+    [completeUpdate(3, backendAt('a', 3)), removalUpdate(5, 'a', 5), recordsUpdate(7, backendAt('a', 7))],
     ['a'],
   ],
-  ['not listed any more', [list(3, backendAt('a', 3), backendAt('b', 2)), list(6, backendAt('b', 2))], ['b']],
   [
-    'listed before it was recorded',
-    [list(3, backendAt('a', 3)), change(8, backendAt('b', 8)), list(6, backendAt('a', 3))],
+    'a record missing from a later complete update',
+    [completeUpdate(3, backendAt('a', 3), backendAt('b', 2)), completeUpdate(6, backendAt('b', 2))],
+    ['b'],
+  ],
+  [
+    'a record missing from an older complete update',
+    [
+      completeUpdate(3, backendAt('a', 3)),
+      recordsUpdate(8, backendAt('b', 8)),
+      completeUpdate(6, backendAt('a', 3)),
+    ],
     ['a', 'b'],
   ],
-  ['a record from before the known revision', [list(9), change(9, backendAt('a', 4))], []],
-  ['an old removal', [list(9, backendAt('a', 9)), removal(9, 'a', 4)], ['a']],
+  ['a record from before the known revision', [completeUpdate(9), recordsUpdate(9, backendAt('a', 4))], []],
+  [
+    'a removal older than the record',
+    [completeUpdate(9, backendAt('a', 9)), removalUpdate(9, 'a', 4)],
+    ['a'],
+  ],
 ];
 
-function removal(revision: number, id: string, removedAt: number): RoutingUpdate {
+function removalUpdate(revision: number, id: string, removedAt: number): RoutingUpdate {
   return updateAt(revision, { removals: [{ id, revision: removedAt }] });
 }
 
-function change(revision: number, ...backends: RoutedBackend[]): RoutingUpdate {
+function recordsUpdate(revision: number, ...backends: RoutedBackend[]): RoutingUpdate {
   return updateAt(revision, { backends });
 }
 
@@ -76,30 +92,30 @@
   test(`records and removals are ordered by revision: ${name}`, (t) => {
     const { knowledge } = createKnowledge();
     for (const update of updates) knowledge.apply('backends', update, origin(0));
-    t.deepEqual(present(knowledge), expected);
+    t.deepEqual(recordedIds(knowledge), expected);
   });
 }
 
-test('the first list of back ends is one log line, further ones are a line each', (t) => {
+test('the first list of back ends is one log line, and later back ends are one line each', (t) => {
   const events: string[] = [];
-  const log = { emit: (event: { readonly message: string }) => void events.push(event.message) };
+  const eventLog = { emit: (event: { readonly message: string }) => void events.push(event.message) };
   const knowledge = new RoutingKnowledge({
     clock: new VirtualClock(),
-    events: log,
+    events: eventLog,
     retentionMs: RETENTION_MS,
   });
   const many = Array.from({ length: 50 }, (_, index) => backendAt(`b-${index}`, 3));
-  knowledge.apply('backends', list(3, ...many), origin(-1));
+  knowledge.apply('backends', completeUpdate(3, ...many), origin(-1));
   t.is(events.length, 1);
-  t.is(present(knowledge).length, 50);
-  knowledge.apply('backends', change(4, backendAt('c', 4), backendAt('d', 4)), origin(3));
+  t.is(recordedIds(knowledge).length, 50);
+  knowledge.apply('backends', recordsUpdate(4, backendAt('c', 4), backendAt('d', 4)), origin(3));
   t.is(events.length, 3);
 });
 
-test('a back end that left is remembered as long as a flow to it may be open', (t) => {
+test('a departed back end is kept for the retention time', (t) => {
   const { clock, knowledge } = createKnowledge();
-  knowledge.apply('backends', list(3, backendAt('a', 3)), origin(-1));
-  knowledge.apply('backends', removal(4, 'a', 4), origin(3));
+  knowledge.apply('backends', completeUpdate(3, backendAt('a', 3)), origin(-1));
+  knowledge.apply('backends', removalUpdate(4, 'a', 4), origin(3));
   clock.advance(RETENTION_MS - 1);
   knowledge.backends.prune();
   t.truthy(knowledge.backends.get('a'));
@@ -108,27 +124,27 @@
   t.is(knowledge.backends.get('a'), undefined);
 });
 
-test('a record may only have lapsed when its owner had not said that it leaves', (t) => {
+test('a record that disappears counts as lapsed unless its back end was draining', (t) => {
   const { knowledge } = createKnowledge();
-  const leaving = backendAt('b', 3, { draining: true });
-  knowledge.apply('backends', list(3, backendAt('a', 3), leaving), origin(-1));
-  knowledge.apply('backends', list(9), origin(-1, 0, true));
+  const drainingRecord = backendAt('b', 3, { draining: true });
+  knowledge.apply('backends', completeUpdate(3, backendAt('a', 3), drainingRecord), origin(-1));
+  knowledge.apply('backends', completeUpdate(9), origin(-1, 0, true));
   t.true(knowledge.backends.get('a')?.lapsed);
   t.false(knowledge.backends.get('b')?.lapsed);
 });
 
-test('changes that leave a gap are taken but not counted as complete', (t) => {
+test('changes after a gap are applied, but the known revision stays', (t) => {
   const { knowledge } = createKnowledge();
-  knowledge.apply('backends', list(3, backendAt('a', 3)), origin(-1));
-  t.false(knowledge.apply('backends', change(9, backendAt('b', 9)), origin(7)));
-  t.deepEqual(present(knowledge), ['a', 'b']);
+  knowledge.apply('backends', completeUpdate(3, backendAt('a', 3)), origin(-1));
+  t.false(knowledge.apply('backends', recordsUpdate(9, backendAt('b', 9)), origin(7)));
+  t.deepEqual(recordedIds(knowledge), ['a', 'b']);
   t.is(knowledge.revisionOf('backends'), 3);
 });
 
-test('a confirmation counts only where every change it speaks of is known', (t) => {
+test('a confirmation counts only when all changes that it covers are known', (t) => {
   const { clock, knowledge } = createKnowledge();
   clock.advance(10_000);
-  knowledge.apply('backends', list(3, backendAt('a', 3)), origin(-1, 1_000));
+  knowledge.apply('backends', completeUpdate(3, backendAt('a', 3)), origin(-1, 1_000));
   t.is(knowledge.ageOf('backends'), 9_000);
   t.false(knowledge.applyConfirmation('backends', { revision: 8, changedRevision: 5, confirmedAtMs: 9_000 }));
   t.is(knowledge.ageOf('backends'), 9_000);
@@ -139,23 +155,23 @@
   t.is(knowledge.ageOf('backends'), 1_000, 'an older revision confirms nothing');
 });
 
-test('one who never knew departed back ends learns them from another', (t) => {
+test('a daemon receives departed back ends from a peer', (t) => {
   const { knowledge } = createKnowledge();
   const departed = [{ record: backendAt('b', 5), departedAtMs: 0 }];
-  const update = { ...list(9, backendAt('a', 3)), departed };
+  const update = { ...completeUpdate(9, backendAt('a', 3)), departed };
   knowledge.apply('backends', update, origin(-1));
-  t.deepEqual(present(knowledge), ['a']);
+  t.deepEqual(recordedIds(knowledge), ['a']);
   t.true(knowledge.backends.get('b')?.departed);
 });
 
-test('a back end that left is forgotten everywhere when it left long enough ago, however often it is told of', (t) => {
+test('the retention time of a departed back end counts from its departure, however often it is gossiped', (t) => {
   const { clock, knowledge } = createKnowledge();
   clock.advance(RETENTION_MS);
   const departed = [
     { record: backendAt('b', 5), departedAtMs: 1 },
     { record: backendAt('c', 5), departedAtMs: 0 },
   ];
-  knowledge.apply('backends', { ...list(9), departed }, origin(-1));
+  knowledge.apply('backends', { ...completeUpdate(9), departed }, origin(-1));
   t.true(knowledge.backends.get('b')?.departed);
   t.is(knowledge.backends.get('c'), undefined);
   clock.advance(1);
@@ -163,23 +179,23 @@
   t.is(knowledge.backends.get('b'), undefined);
 });
 
-test('a complete update older than what is known brings nobody back, and tells of those who left in between', (t) => {
+test('an outdated complete update reinstates no back end, and adds those that departed since', (t) => {
   const { knowledge } = createKnowledge();
-  knowledge.apply('backends', list(9, backendAt('a', 3)), origin(-1));
-  knowledge.apply('backends', list(5, backendAt('a', 3), backendAt('b', 4)), origin(-1));
-  t.deepEqual(present(knowledge), ['a']);
+  knowledge.apply('backends', completeUpdate(9, backendAt('a', 3)), origin(-1));
+  knowledge.apply('backends', completeUpdate(5, backendAt('a', 3), backendAt('b', 4)), origin(-1));
+  t.deepEqual(recordedIds(knowledge), ['a']);
   t.true(knowledge.backends.get('b')?.departed);
   t.is(knowledge.revisionOf('backends'), 9);
 });
 
-test('a change of the table is taken by whoever knows the table it starts from, and counts as a gap elsewhere', (t) => {
+test('a table change is applied to the table that it starts from, and is a gap for any other table', (t) => {
   const { knowledge: first } = createKnowledge();
-  const passedOn: { readonly update: RoutingUpdate; readonly since: number }[] = [];
-  first.subscribe((applied) => passedOn.push(applied));
+  const gossiped: { readonly update: RoutingUpdate; readonly since: number }[] = [];
+  first.subscribe((applied) => gossiped.push(applied));
   first.apply('routes', updateAt(3, { complete: true, routes: [tableAt(3)] }), origin(-1));
   first.applyConfirmation('routes', { revision: 8, changedRevision: 3, confirmedAtMs: 0 });
   first.apply('routes', updateAt(9, { routes: [tableAt(9, { routes: [] })] }), origin(8));
-  const { update, since } = passedOn[1]!;
+  const { update, since } = gossiped[1]!;
   t.deepEqual(update.routes, []);
   t.is(since, 3, 'nothing changed between 3 and 8');
 
@@ -192,27 +208,29 @@
   const { knowledge: older } = createKnowledge();
   older.apply('routes', updateAt(2, { complete: true, routes: [tableAt(2)] }), origin(-1));
   t.false(older.apply('routes', update, origin(since)));
-  t.false(older.apply('routes', update, origin(2)), 'also where the revision would allow it');
+  t.false(older.apply('routes', update, origin(2)), 'even when the revision of the topic would allow it');
   t.is(older.routes()?.table.version, 2);
   t.is(older.revisionOf('routes'), 2);
 });
 
-test('the same updates in any order and number lead to the same back ends', (t) => {
+test('the same updates, reordered or repeated, lead to the same back ends', (t) => {
   const record = fc.record({ id: fc.constantFrom('a', 'b', 'c'), revision: fc.nat(20) });
   const step = fc.oneof(
-    record.map(({ id, revision }) => change(20, backendAt(id, revision))),
-    record.map(({ id, revision }) => removal(20, id, revision)),
+    record.map(({ id, revision }) => recordsUpdate(20, backendAt(id, revision))),
+    record.map(({ id, revision }) => removalUpdate(20, id, revision)),
   );
   fc.assert(
     fc.property(fc.array(step, { maxLength: 8 }), fc.nat(), (steps, seed) => {
-      const seen = [steps, [...steps].reverse(), rotate(steps, seed), [...steps, ...steps]].map((order) => {
-        const { knowledge } = createKnowledge();
-        const everyone = ['a', 'b', 'c'].map((id) => backendAt(id, 0));
-        knowledge.apply('backends', list(0, ...everyone), origin(-1));
-        for (const update of order) knowledge.apply('backends', update, origin(0));
-        return present(knowledge).sort().join();
-      });
-      return new Set(seen).size === 1;
+      const outcomes = [steps, [...steps].reverse(), rotate(steps, seed), [...steps, ...steps]].map(
+        (order) => {
+          const { knowledge } = createKnowledge();
+          const allBackends = ['a', 'b', 'c'].map((id) => backendAt(id, 0));
+          knowledge.apply('backends', completeUpdate(0, ...allBackends), origin(-1));
+          for (const update of order) knowledge.apply('backends', update, origin(0));
+          return recordedIds(knowledge).sort().join();
+        },
+      );
+      return new Set(outcomes).size === 1;
     }),
     { seed: 20_261_202, numRuns: 300 },
   );
--- a/src/cookie-edge/routing/knowledge.ts
+++ b/src/cookie-edge/routing/knowledge.ts
@@ -1,7 +1,7 @@
 /**
- * What this daemon knows of routes, back ends and cordoned zones, up to which position of the source's history that is
- * complete, and when it was last confirmed. Owns the table in force, the registry and the cordons. Relies on followers
- * and gossip to bring updates and confirmations, and on `source-epoch.ts` for their order.
+ * Routing state of this daemon: routes, back ends and cordoned zones, the position in the source's history up to which
+ * each is complete, and the time when it was last confirmed. Owns the table in force, the registry and the cordons.
+ * Relies on followers and gossip for updates and confirmations, and on `source-epoch.ts` for their order.
  */
 import type { Clock } from '../../common/clock.js';
 import { Subject } from '../../common/event-stream.js';
@@ -14,67 +14,66 @@
 import type { RoutingTopic, RoutingUpdate, TopicConfirmation } from './types.js';
 import { ZoneCordons } from './zone-cordons.js';
 
-/** An update that changed what is known, as it is gossiped further. */
+/** An update that changed the state, in the form in which it is gossiped. */
 export interface AppliedUpdate {
   readonly topic: RoutingTopic;
   readonly update: RoutingUpdate;
-  /** A daemon that knows everything up to this revision, or a later one, can apply the update. */
+  /** A daemon whose state is complete up to this revision, or a later one, can apply the update. */
   readonly since: number;
 }
 
-/** Where an update comes from. */
+/** Origin and time of an update. */
 export interface UpdateOrigin {
   /** Revision after which the changes were requested; ignored for a complete update. */
   readonly since: number;
-  /** Monotonic ms at which nothing newer than the update existed. */
+  /** Monotonic ms at which the source had nothing newer than the update. */
   readonly confirmedAtMs: number;
-  /** True when records may have vanished because their owners could not write. */
+  /** True when records may be missing only because back ends could not write them. */
   readonly mayHaveLapsed: boolean;
 }
 
-/** What the knowledge needs. */
 interface RoutingKnowledgeOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   /** See `BackendRegistryOptions.retentionMs`. */
   readonly retentionMs: number;
-  /** True where operators may cordon zones; false unless given. */
+  /** True where operators can cordon zones. Default: false. */
   readonly followsCordons?: boolean;
 }
 
-/** How an update is applied. */
-interface Application extends UpdateOrigin {
-  /** It leaves out changes that are not known here. */
+/** An update's origin, and its relation to the known state. */
+interface ApplyContext extends UpdateOrigin {
+  /** True when changes between the known state and the update are missing. */
   readonly hasGap: boolean;
-  /** It begins an epoch: the source was restored from an older copy. */
+  /** True when the update starts an epoch: the source was restored from an older backup. */
   readonly beginsEpoch: boolean;
-  /** Nothing of the topic was known before. */
-  readonly isFirst: boolean;
+  /** True when nothing of the topic was known before. */
+  readonly isFirstUpdate: boolean;
 }
 
 const TOPICS: readonly RoutingTopic[] = ['routes', 'backends'];
 const TOPICS_WITH_CORDONS: readonly RoutingTopic[] = [...TOPICS, 'cordons'];
 
 const UNKNOWN_REVISION = -1;
-const NOTHING_KNOWN: TopicConfirmation = {
+const NEVER_CONFIRMED: TopicConfirmation = {
   revision: UNKNOWN_REVISION,
   changedRevision: UNKNOWN_REVISION,
   confirmedAtMs: Number.NEGATIVE_INFINITY,
 };
 
 /**
- * The routing knowledge of one daemon. Updates may come in any order and more than once; nothing older is ever applied.
+ * The routing state of one daemon. Updates may arrive in any order and repeatedly; outdated content is never applied.
  */
 export class RoutingKnowledge {
   readonly backends: BackendRegistry;
   readonly cordons: ZoneCordons;
-  /** What is followed; the topics of a source that are not among these are ignored. */
+  /** Topics that this daemon follows; updates of other topics are ignored. */
   readonly topics: readonly RoutingTopic[];
   private readonly routesInForce: RoutesInForce;
-  private readonly progress: Record<RoutingTopic, TopicConfirmation> = {
-    routes: NOTHING_KNOWN,
-    backends: NOTHING_KNOWN,
-    cordons: NOTHING_KNOWN,
+  private readonly confirmations: Record<RoutingTopic, TopicConfirmation> = {
+    routes: NEVER_CONFIRMED,
+    backends: NEVER_CONFIRMED,
+    cordons: NEVER_CONFIRMED,
   };
   private readonly applied = new Subject<AppliedUpdate>();
 
@@ -85,119 +84,124 @@
     this.topics = options.followsCordons ? TOPICS_WITH_CORDONS : TOPICS;
   }
 
-  /** The routes in force; undefined before the first table. */
+  /** Returns the routes in force; undefined before the first table. */
   routes(): RouteIndex | undefined {
     return this.routesInForce.index;
   }
 
-  /** True once every topic is known completely, and there are routes. */
+  /** Returns true once every topic has been received and there is a route table. */
   isComplete(): boolean {
     return this.routes() !== undefined && this.hasBeenRead();
   }
 
-  /** True once the source has answered for every topic, even without any routes. */
+  /** Returns true once every topic has been received, even without a route table. */
   hasBeenRead(): boolean {
-    return this.topics.every((topic) => this.progress[topic].revision > UNKNOWN_REVISION);
+    return this.topics.every((topic) => this.confirmations[topic].revision > UNKNOWN_REVISION);
   }
 
-  /** Revision up to which a topic is known, in the topic's epoch; -1 before the first complete update. */
+  /** Returns the revision up to which a topic is known, in its epoch; -1 before the first complete update. */
   revisionOf(topic: RoutingTopic): number {
-    return this.progress[topic].revision;
+    return this.confirmations[topic].revision;
   }
 
-  /** Epoch of the source up to which a topic is known; 0 before the first complete update. */
+  /** Returns the epoch of the source up to which a topic is known; 0 before the first complete update. */
   epochOf(topic: RoutingTopic): number {
-    return epochOf(this.progress[topic]);
+    return epochOf(this.confirmations[topic]);
   }
 
   /**
-   * Revision of the table in force, in the epoch of the routes; -1 before the first one, for a table of an earlier
-   * epoch, and while a change showed that it is not the source's.
+   * Revision of the table in force, in the epoch of the routes; -1 before the first table, for a table of an earlier
+   * epoch, and after a digest mismatch.
    */
   get tableRevision(): number {
     return this.routesInForce.revisionIn(this.epochOf('routes'));
   }
 
-  /** Milliseconds since it was confirmed that nothing newer exists; Infinity before the first confirmation. */
+  /** Returns the ms since a topic was last confirmed as current; Infinity before the first confirmation. */
   ageOf(topic: RoutingTopic): number {
-    return this.options.clock.now() - this.progress[topic].confirmedAtMs;
+    return this.options.clock.now() - this.confirmations[topic].confirmedAtMs;
   }
 
-  /** Age of the oldest topic. */
+  /** Returns the age of the oldest topic, in ms. */
   age(): number {
     return Math.max(...this.topics.map((topic) => this.ageOf(topic)));
   }
 
-  /** The freshness confirmation of a topic, as it is gossiped. */
+  /** Returns the freshness confirmation of a topic, as it is gossiped. */
   confirmationOf(topic: RoutingTopic): TopicConfirmation {
-    return this.progress[topic];
+    return this.confirmations[topic];
   }
 
-  /** Calls `listener` after each update that changed something; returns the function that ends it. */
+  /** Calls `listener` after each update that changed something; returns an unsubscribe function. */
   subscribe(listener: (applied: AppliedUpdate) => void): () => void {
     return this.applied.subscribe(listener);
   }
 
   /**
-   * Applies an update. Changes since a later revision than the known one leave a gap: their records are applied, but
-   * the topic does not count as known up to them. Of a later epoch only a complete update is applied.
+   * Applies an update. Changes that start after the known revision leave a gap: their records are applied, but the
+   * known revision stays. Only a complete update can start a later epoch.
    *
-   * @returns false when there is a gap, so that everything should be read
+   * @returns false when there is a gap, so that the whole topic must be read
    */
   apply(topic: RoutingTopic, update: RoutingUpdate, origin: UpdateOrigin): boolean {
     if (!this.topics.includes(topic)) return true;
-    const relation = this.relationOf(topic, update);
+    const relation = this.epochRelationOf(topic, update);
     if (relation === 'earlier') return true;
     if (relation === 'later' && !update.complete) return false;
-    return this.applyWithin(topic, update, origin, relation === 'later');
+    return this.applyInEpoch(topic, update, origin, relation === 'later');
   }
 
-  /** Applies another daemon's freshness confirmation; returns false when it covers changes that are not known here. */
+  /** Applies a peer's freshness confirmation; returns false when it covers changes that are missing here. */
   applyConfirmation(topic: RoutingTopic, confirmation: TopicConfirmation): boolean {
-    const known = this.progress[topic];
+    const known = this.confirmations[topic];
     const { epoch, changedRevision } = confirmation;
     if (isBefore(known, { epoch, revision: changedRevision })) return false;
     if (compareEpochs(confirmation, known) !== 'same') return true;
-    this.advance(topic, {
+    this.advanceConfirmation(topic, {
       ...confirmation,
       changedRevision: Math.max(changedRevision, known.changedRevision),
     });
     return true;
   }
 
-  private relationOf(topic: RoutingTopic, update: RoutingUpdate): EpochRelation {
-    const known = this.progress[topic];
+  private epochRelationOf(topic: RoutingTopic, update: RoutingUpdate): EpochRelation {
+    const known = this.confirmations[topic];
     return known.revision === UNKNOWN_REVISION ? 'same' : compareEpochs(update, known);
   }
 
-  private applyWithin(
+  private applyInEpoch(
     topic: RoutingTopic,
     update: RoutingUpdate,
     origin: UpdateOrigin,
     beginsEpoch: boolean,
   ): boolean {
-    const isFirst = this.progress[topic].revision === UNKNOWN_REVISION;
+    const isFirst = this.confirmations[topic].revision === UNKNOWN_REVISION;
     if (beginsEpoch) this.beginEpoch(topic, update);
-    const { revision: before, changedRevision: changedBefore } = this.progress[topic];
-    const tableBefore = this.routes()?.table;
-    const hasGap = !update.complete && origin.since > before;
-    if (!this.applyTopic(topic, update, { ...origin, hasGap, beginsEpoch, isFirst })) return false;
-    const changed = update.complete ? update.revision > before : hasContent(update);
+    const { revision: previousRevision, changedRevision: previousChangedRevision } =
+      this.confirmations[topic];
+    const previousTable = this.routes()?.table;
+    const hasGap = !update.complete && origin.since > previousRevision;
+    if (!this.applyTopic(topic, update, { ...origin, hasGap, beginsEpoch, isFirstUpdate: isFirst }))
+      return false;
+    const changed = update.complete ? update.revision > previousRevision : hasContent(update);
     const { revision, epoch } = update;
     const { confirmedAtMs } = origin;
-    const changedRevision = changed ? revision : changedBefore;
-    this.advance(topic, { epoch, revision, changedRevision, confirmedAtMs });
+    const changedRevision = changed ? revision : previousChangedRevision;
+    this.advanceConfirmation(topic, { epoch, revision, changedRevision, confirmedAtMs });
     this.confirmUpTo({ epoch, revision }, confirmedAtMs);
-    if (!changed || revision <= before) return true;
-    const passedOn =
-      topic === 'routes' ? this.routesInForce.passedOn(update, tableBefore, beginsEpoch) : update;
-    this.applied.push({ topic, update: passedOn, since: changedBefore });
+    if (!changed || revision <= previousRevision) return true;
+    const updateToGossip =
+      topic === 'routes' ? this.routesInForce.updateToGossip(update, previousTable, beginsEpoch) : update;
+    this.applied.push({ topic, update: updateToGossip, since: previousChangedRevision });
     return true;
   }
 
-  /** The source was restored from an older copy: revisions known so far say nothing about those from now on. */
+  /**
+   * Starts an epoch: the source was restored from an older backup, so earlier revisions can't be compared with new
+   * ones.
+   */
   private beginEpoch(topic: RoutingTopic, { epoch, revision }: RoutingUpdate): void {
-    const known = this.progress[topic];
+    const known = this.confirmations[topic];
     this.options.events.emit(ROUTING_EVENTS.epochBegan, {
       topic,
       epoch,
@@ -205,28 +209,28 @@
       knownEpoch: epochOf(known),
       knownRevision: known.revision,
     });
-    this.progress[topic] = { ...NOTHING_KNOWN, epoch };
+    this.confirmations[topic] = { ...NEVER_CONFIRMED, epoch };
     if (topic === 'backends') this.backends.beginEpoch();
     if (topic === 'cordons') this.cordons.beginEpoch();
   }
 
   /**
-   * One revision counts the changes of all topics: where nothing newer existed, each topic known up to there is
-   * current. A topic of an earlier epoch is not: the restore may have changed it.
+   * Confirms every topic that is known up to `position`, because all topics share one revision counter. A topic of an
+   * earlier epoch is not confirmed, because the restore may have changed it.
    */
   private confirmUpTo(position: { readonly epoch?: number; readonly revision: number }, atMs: number): void {
     for (const topic of this.topics) {
-      const known = this.progress[topic];
+      const known = this.confirmations[topic];
       const isCurrent = compareEpochs(known, position) === 'same' && known.revision >= position.revision;
-      if (isCurrent) this.advance(topic, { ...known, confirmedAtMs: atMs });
+      if (isCurrent) this.advanceConfirmation(topic, { ...known, confirmedAtMs: atMs });
     }
   }
 
-  /** Never goes back: an older confirmation changes nothing. */
-  private advance(topic: RoutingTopic, confirmation: TopicConfirmation): void {
-    const known = this.progress[topic];
+  /** Stores a confirmation, unless its revision is older than the stored one. */
+  private advanceConfirmation(topic: RoutingTopic, confirmation: TopicConfirmation): void {
+    const known = this.confirmations[topic];
     if (confirmation.revision < known.revision) return;
-    this.progress[topic] = {
+    this.confirmations[topic] = {
       epoch: confirmation.epoch,
       revision: confirmation.revision,
       changedRevision: Math.max(known.changedRevision, confirmation.changedRevision),
@@ -234,57 +238,58 @@
     };
   }
 
-  /** False when the topic is not known up to the update's revision. */
-  private applyTopic(topic: RoutingTopic, update: RoutingUpdate, how: Application): boolean {
+  /** Returns false when the topic is not known up to the update's revision. */
+  private applyTopic(topic: RoutingTopic, update: RoutingUpdate, context: ApplyContext): boolean {
     switch (topic) {
       case 'routes':
-        return this.routesInForce.apply(update, how.hasGap);
+        return this.routesInForce.apply(update, context.hasGap);
       case 'backends':
-        return this.applyBackends(update, how);
+        return this.applyBackends(update, context);
       case 'cordons':
-        return this.applyCordons(update, how);
+        return this.applyCordons(update, context);
     }
   }
 
-  /** False when records before the update's may be missing; those that it brings are applied all the same. */
-  private applyBackends(update: RoutingUpdate, how: Application): boolean {
-    const { revision: known } = this.progress.backends;
-    if (update.complete && how.isFirst) this.backends.fill(update.backends, update.revision);
-    if (how.beginsEpoch) update.backends.forEach((record) => this.backends.putRestored(record));
-    const isNewest = update.complete && update.revision >= known;
-    const knownRevision = isNewest ? UNKNOWN_REVISION : known;
+  /** Applies all records of the update; returns false when earlier records may be missing. */
+  private applyBackends(update: RoutingUpdate, context: ApplyContext): boolean {
+    const { revision: known } = this.confirmations.backends;
+    if (update.complete && context.isFirstUpdate)
+      this.backends.putFirstList(update.backends, update.revision);
+    if (context.beginsEpoch) update.backends.forEach((record) => this.backends.putRestored(record));
+    const isUpToDate = update.complete && update.revision >= known;
+    const knownRevision = isUpToDate ? UNKNOWN_REVISION : known;
     update.backends.forEach((record) => this.backends.put(record, knownRevision));
     update.departed?.forEach((departed) => this.backends.putDeparted(departed));
-    update.removals.forEach((removal) => this.backends.remove(removal, how.mayHaveLapsed));
-    if (!update.complete) return !how.hasGap;
+    update.removals.forEach((removal) => this.backends.remove(removal, context.mayHaveLapsed));
+    if (!update.complete) return !context.hasGap;
     const listed = new Set(update.backends.map(({ id }) => id));
-    this.backends.removeAllBut(listed, update.revision, how.mayHaveLapsed || how.beginsEpoch);
+    this.backends.removeUnlisted(listed, update.revision, context.mayHaveLapsed || context.beginsEpoch);
     return true;
   }
 
-  /** False when cordons before the update's may be missing; those that it brings are applied all the same. */
-  private applyCordons(update: RoutingUpdate, { hasGap, beginsEpoch }: Application): boolean {
-    const { revision: known } = this.progress.cordons;
+  /** Applies all cordons of the update; returns false when earlier cordons may be missing. */
+  private applyCordons(update: RoutingUpdate, { hasGap, beginsEpoch }: ApplyContext): boolean {
+    const { revision: known } = this.confirmations.cordons;
     const { cordons = [], cordonRemovals = [] } = update;
-    const isNewest = update.complete && update.revision >= known;
-    cordons.forEach((cordon) => this.cordons.put(cordon, isNewest ? UNKNOWN_REVISION : known));
+    const isUpToDate = update.complete && update.revision >= known;
+    cordons.forEach((cordon) => this.cordons.put(cordon, isUpToDate ? UNKNOWN_REVISION : known));
     cordonRemovals.forEach((removal) => this.cordons.remove(removal));
     if (!update.complete) return !hasGap;
     const listed = new Set(cordons.map(({ zone }) => zone));
-    if (beginsEpoch) this.cordons.holdAllBut(listed, this.options.clock.now());
-    else this.cordons.removeAllBut(listed, update.revision);
+    if (beginsEpoch) this.cordons.holdUnlisted(listed, this.options.clock.now());
+    else this.cordons.removeUnlisted(listed, update.revision);
     return true;
   }
 
-  /** Forgets back ends to which no flow can be open any more, and ends what is held after a restore of the source. */
+  /** Evicts back ends that can have no open flows any more, and ends expired holds after a restore of the source. */
   prune(): void {
     this.backends.prune();
-    this.backends.settleRestored();
-    this.cordons.settleRestored(this.options.clock.now());
+    this.backends.reinstateRestored();
+    this.cordons.removeExpiredHolds(this.options.clock.now());
   }
 }
 
-/** True when an update brings anything. */
+/** Returns true when an update contains any record, removal or table. */
 export function hasContent(update: RoutingUpdate): boolean {
   const { routeChange, routes, backends, removals, cordons = [], cordonRemovals = [] } = update;
   if (routeChange) return true;
--- a/src/cookie-edge/routing/known-backend.ts
+++ b/src/cookie-edge/routing/known-backend.ts
@@ -1,40 +1,43 @@
 /**
- * A back end as one daemon knows it, and how log lines tell of its record. The objects belong to `BackendRegistry`.
+ * State that one daemon keeps for a back end, and the log fields of its record. `BackendRegistry` owns the objects.
  */
 import { formatEndpoint } from '../../common/types.js';
 import type { RoutedBackend } from './types.js';
 
-/** A back end as this daemon sees it. One object for each id and incarnation, changed in place. */
+/** A back end and what this daemon knows of it. One object per id and incarnation, mutated in place. */
 export interface KnownBackend {
   readonly id: string;
   record: RoutedBackend;
-  /** True while its record is gone from the source. */
+  /** True while its record is missing from the source. */
   departed: boolean;
-  /** True for a departed back end whose record may only have lapsed; one that was draining left on purpose. */
+  /**
+   * True for a departed back end whose record may only have expired, so that the process may still run. Never true for
+   * one that was draining, because it left on purpose.
+   */
   lapsed: boolean;
-  /** Highest revision of a removal of it; records up to it do not bring it back. */
+  /** Highest revision at which it was removed; records up to this revision are outdated. */
   removedRevision: number;
   /**
-   * True for a lapsed back end that this daemon has never seen listed: it knows it from the roster or from another
-   * daemon, so that no sign of life can be expected of it yet.
+   * True for a lapsed back end that the source has never listed to this daemon. It is known only from the roster or a
+   * peer, so no sign of life can be expected yet.
    */
   remembered?: boolean;
-  /** Monotonic ms at which it departed; undefined while it is recorded. */
+  /** Monotonic ms at which it departed; undefined while it is listed. */
   departedAtMs: number | undefined;
-  /** Monotonic ms until which it is slow from its start. */
+  /** Monotonic ms at which its slow start ends. */
   coldUntilMs: number;
-  /** Of a departed back end: its record in the copy from which the source was restored. */
+  /** For a departed back end: its record in the backup from which the source was restored. */
   restored?: RestoredRecord;
 }
 
-/** A record that may be back only because the source was restored from an older copy. */
+/** A record that may have reappeared only because the source was restored from an older backup. */
 interface RestoredRecord {
   readonly record: RoutedBackend;
   /** Monotonic ms at which it was listed again. */
   readonly atMs: number;
 }
 
-/** The fields of a record for a log line. */
+/** Returns the log fields of a record. */
 export function describeRecord(record: RoutedBackend): Readonly<Record<string, string | number | boolean>> {
   return {
     backend: record.id,
--- a/src/cookie-edge/routing/lapsed-records.test.ts
+++ b/src/cookie-edge/routing/lapsed-records.test.ts
@@ -1,9 +1,9 @@
-/** Which vanished records may only have lapsed. */
+/** Which missing records may only have expired. */
 import test from 'ava';
 import { LAPSE_AFTER_OUTAGE_MS } from './constants.js';
-import { hasLapsed, recordsMayLapse } from './lapsed-records.js';
+import { countsAsLapsed, recordsMayLapse } from './lapsed-records.js';
 
-test('records may lapse during an outage and for a while after it', (t) => {
+test('records may lapse during an outage and for `LAPSE_AFTER_OUTAGE_MS` after it', (t) => {
   t.true(recordsMayLapse(true, Infinity));
   t.false(recordsMayLapse(false, Infinity));
   t.true(recordsMayLapse(false, LAPSE_AFTER_OUTAGE_MS - 1));
@@ -11,8 +11,8 @@
 });
 
 test('a record of a draining back end does not lapse', (t) => {
-  t.true(hasLapsed(true, false));
-  t.false(hasLapsed(true, true));
-  t.false(hasLapsed(false, false));
-  t.false(hasLapsed(false, true));
+  t.true(countsAsLapsed(true, false));
+  t.false(countsAsLapsed(true, true));
+  t.false(countsAsLapsed(false, false));
+  t.false(countsAsLapsed(false, true));
 });
--- a/src/cookie-edge/routing/lapsed-records.ts
+++ b/src/cookie-edge/routing/lapsed-records.ts
@@ -1,22 +1,22 @@
 /**
- * Rule: whether a record that vanished from the source may only have lapsed, so that its back end may still live.
- * Keeps a service from losing back ends merely because they could not renew their records in an outage. Does no input
- * or output; times are ms.
+ * Rule: decides whether a record that disappeared from the source may only have lapsed (expired without renewal), so
+ * that its back end may still run. Prevents a service from losing back ends only because they could not renew their
+ * records during an outage. Performs no I/O; times are ms.
  *
- * A daemon that has not noticed an outage treats the record as removed. Placement decides for how long, and on which
- * signs of life, a lapsed record still gets flows.
+ * A daemon that has not detected an outage treats the record as removed. Placement decides for how long, and after
+ * which signs of life, a back end with a lapsed record still gets new flows.
  */
 import { LAPSE_AFTER_OUTAGE_MS } from './constants.js';
 
 /**
- * True during an outage of the source and for `LAPSE_AFTER_OUTAGE_MS` after it; `sinceRegainedMs` is Infinity before
- * any.
+ * Returns true during an outage of the source and for `LAPSE_AFTER_OUTAGE_MS` after it. `sinceRegainedMs` is Infinity
+ * before the first outage.
  */
 export function recordsMayLapse(isSourceLost: boolean, sinceRegainedMs: number): boolean {
   return isSourceLost || sinceRegainedMs < LAPSE_AFTER_OUTAGE_MS;
 }
 
-/** True for a record that may have lapsed; one whose back end was draining was removed on purpose. */
-export function hasLapsed(mayLapse: boolean, draining: boolean): boolean {
+/** Returns true if a missing record may have lapsed. The record of a draining back end was removed on purpose. */
+export function countsAsLapsed(mayLapse: boolean, draining: boolean): boolean {
   return mayLapse && !draining;
 }
--- a/src/cookie-edge/routing/problem-log.ts
+++ b/src/cookie-edge/routing/problem-log.ts
@@ -1,17 +1,17 @@
 /**
- * Logs and counts faults in records of the source, each once for a revision of the record. Owns the set of logged
- * faults; relies on the source to name them.
+ * Logs and counts faults in records of the source, each once per revision of the record. Owns the set of logged faults;
+ * relies on the source to report them.
  */
 import type { EventLog } from '../../observability/event.js';
 import { ROUTING_EVENTS } from './events.js';
 import type { RecordProblem, RoutingTopic } from './types.js';
 
 /**
- * Problems remembered, so that reading the same records again logs nothing; beyond, all are forgotten. Bounds memory.
+ * Maximum size of the set that keeps a fault from being logged again. The set is cleared when full, to bound memory.
  */
-const MAX_REMEMBERED = 1_000;
+const MAX_LOGGED_PROBLEMS = 1_000;
 
-/** The problems of one daemon's source. */
+/** Logs each fault in the records of one daemon's source once. */
 export class ProblemLog {
   private readonly logged = new Set<string>();
   private problemCount = 0;
@@ -23,12 +23,12 @@
     return this.problemCount;
   }
 
-  /** Logs the problems of a response about `topic` that were not logged yet. */
+  /** Logs the problems in a response about `topic` that are not logged yet. */
   record(topic: RoutingTopic, problems: readonly RecordProblem[] = []): void {
     for (const { name, revision, problem } of problems) {
       const key = `${topic}/${name}@${revision}: ${problem}`;
       if (this.logged.has(key)) continue;
-      if (this.logged.size >= MAX_REMEMBERED) this.logged.clear();
+      if (this.logged.size >= MAX_LOGGED_PROBLEMS) this.logged.clear();
       this.logged.add(key);
       this.problemCount += 1;
       this.events.emit(ROUTING_EVENTS.recordProblem, { topic, name, revision, problem });
--- a/src/cookie-edge/routing/restored-source.test.ts
+++ b/src/cookie-edge/routing/restored-source.test.ts
@@ -1,4 +1,7 @@
-/** What a daemon keeps, takes and lets wait when the source was restored from a copy older than what it knows. */
+/**
+ * State of a daemon after the source was restored from a backup older than the daemon's state: what it keeps, what it
+ * takes from the backup, and what it takes only after `RESTORED_HOLD_MS`.
+ */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
@@ -13,8 +16,8 @@
   return { since, confirmedAtMs, mayHaveLapsed: false };
 }
 
-/** A daemon that knows revision 21 of epoch 0: version 24, back ends `a` and `b`, and a cordon. */
-function knowing(...backends: readonly RoutedBackend[]) {
+/** Creates the state of a daemon at revision 21 of epoch 0: table version 24, back ends `a` and `b`, and a cordon. */
+function createKnowledge(...backends: readonly RoutedBackend[]) {
   const clock = new VirtualClock();
   const options = { clock, events: SILENT_EVENT_LOG, retentionMs: 60_000, followsCordons: true };
   const knowledge = new RoutingKnowledge(options);
@@ -27,121 +30,141 @@
   return { clock, knowledge };
 }
 
-function restored(revision: number, change: Partial<RoutingUpdate> = {}): RoutingUpdate {
-  return updateAt(revision, { epoch: 1, complete: true, ...change });
+function listAfterRestore(revision: number, overrides: Partial<RoutingUpdate> = {}): RoutingUpdate {
+  return updateAt(revision, { epoch: 1, complete: true, ...overrides });
 }
 
-function changed(revision: number, change: Partial<RoutingUpdate>): RoutingUpdate {
-  return updateAt(revision, { epoch: 1, ...change });
+function changesAfterRestore(revision: number, overrides: Partial<RoutingUpdate>): RoutingUpdate {
+  return updateAt(revision, { epoch: 1, ...overrides });
 }
 
-test('a list of the new epoch is taken though its revision is lower, and changes go on from there', (t) => {
-  const { knowledge } = knowing();
-  t.true(knowledge.apply('backends', restored(16, { backends: [backendAt('a', 3)] }), origin(-1, 0)));
+test('a list of the new epoch is applied although its revision is lower, and later changes continue from it', (t) => {
+  const { knowledge } = createKnowledge();
+  t.true(knowledge.apply('backends', listAfterRestore(16, { backends: [backendAt('a', 3)] }), origin(-1, 0)));
   t.is(knowledge.revisionOf('backends'), 16);
-  const leaving = backendAt('a', 18, { draining: true });
-  t.true(knowledge.apply('backends', changed(18, { backends: [leaving] }), origin(16)));
+  const drainingRecord = backendAt('a', 18, { draining: true });
+  t.true(knowledge.apply('backends', changesAfterRestore(18, { backends: [drainingRecord] }), origin(16)));
   t.true(knowledge.backends.get('a')?.record.draining);
 });
 
-test('changes of a new epoch alone leave a gap, whatever their revision', (t) => {
-  const { knowledge } = knowing();
-  const leaving = backendAt('a', 25, { draining: true });
-  t.false(knowledge.apply('backends', changed(25, { backends: [leaving] }), origin(21)));
+test('changes of a new epoch without a complete list leave a gap, whatever their revision', (t) => {
+  const { knowledge } = createKnowledge();
+  const drainingRecord = backendAt('a', 25, { draining: true });
+  t.false(knowledge.apply('backends', changesAfterRestore(25, { backends: [drainingRecord] }), origin(21)));
   t.false(knowledge.backends.get('a')?.record.draining);
   t.is(knowledge.revisionOf('backends'), 21);
 });
 
-test('an answer of the earlier epoch changes and confirms nothing any more', (t) => {
-  const { knowledge, clock } = knowing();
+test('a response of the earlier epoch neither changes nor confirms anything', (t) => {
+  const { knowledge, clock } = createKnowledge();
   clock.advance(1_000);
-  knowledge.apply('backends', restored(16, { backends: [backendAt('a', 3)] }), origin(-1, 0));
-  const late = updateAt(30, { complete: true, backends: [backendAt('c', 29)] });
-  t.true(knowledge.apply('backends', late, origin(-1, 900)));
+  knowledge.apply('backends', listAfterRestore(16, { backends: [backendAt('a', 3)] }), origin(-1, 0));
+  const outdated = updateAt(30, { complete: true, backends: [backendAt('c', 29)] });
+  t.true(knowledge.apply('backends', outdated, origin(-1, 900)));
   t.is(knowledge.backends.get('c'), undefined);
   t.true(knowledge.applyConfirmation('backends', { revision: 30, changedRevision: 5, confirmedAtMs: 900 }));
   t.is(knowledge.ageOf('backends'), 1_000);
 });
 
-test('an answer about one topic does not confirm another one of an earlier epoch', (t) => {
-  const { knowledge } = knowing();
-  knowledge.apply('backends', restored(16), origin(-1, 0));
+test('a response about one topic does not confirm a topic of an earlier epoch', (t) => {
+  const { knowledge } = createKnowledge();
+  knowledge.apply('backends', listAfterRestore(16), origin(-1, 0));
   t.is(knowledge.ageOf('backends'), 0);
   t.is(knowledge.ageOf('routes'), Number.POSITIVE_INFINITY);
 });
 
-test('a confirmation of a later epoch shows that something is missing', (t) => {
-  const { knowledge } = knowing();
+test('a confirmation of a later epoch reveals a gap', (t) => {
+  const { knowledge } = createKnowledge();
   const confirmation = { epoch: 1, revision: 16, changedRevision: 3, confirmedAtMs: 0 };
   t.false(knowledge.applyConfirmation('routes', confirmation));
 });
 
-test('the table in force stays when the copy holds an older version, until the newer one is written again', (t) => {
-  const { knowledge } = knowing();
-  knowledge.apply('routes', restored(16, { routes: [tableAt(15, { epoch: 1, version: 20 })] }), origin(-1));
+test('the table in force stays when the backup has an older version, until a newer one is written', (t) => {
+  const { knowledge } = createKnowledge();
+  knowledge.apply(
+    'routes',
+    listAfterRestore(16, { routes: [tableAt(15, { epoch: 1, version: 20 })] }),
+    origin(-1),
+  );
   t.is(knowledge.routes()?.table.version, 24);
   t.is(knowledge.tableRevision, -1, 'no change of the new epoch starts from a table of the earlier one');
-  knowledge.apply('routes', changed(17, { routes: [tableAt(17, { epoch: 1, version: 24 })] }), origin(16));
+  knowledge.apply(
+    'routes',
+    changesAfterRestore(17, { routes: [tableAt(17, { epoch: 1, version: 24 })] }),
+    origin(16),
+  );
   t.is(knowledge.tableRevision, 17);
-  knowledge.apply('routes', changed(19, { routes: [tableAt(19, { epoch: 1, version: 27 })] }), origin(17));
+  knowledge.apply(
+    'routes',
+    changesAfterRestore(19, { routes: [tableAt(19, { epoch: 1, version: 27 })] }),
+    origin(17),
+  );
   t.is(knowledge.routes()?.table.version, 27);
 });
 
-test('a change of the table keeps the epoch, so that the next change starts from it', (t) => {
-  const { knowledge: first } = knowing();
-  const { knowledge: second } = knowing();
-  const told: RoutingUpdate[] = [];
+test('a table change keeps the epoch, so that the next change can start from the result', (t) => {
+  const { knowledge: first } = createKnowledge();
+  const { knowledge: second } = createKnowledge();
+  const gossiped: RoutingUpdate[] = [];
   first.subscribe(({ topic, update, since }) => {
     if (topic !== 'routes') return;
-    told.push(update);
+    gossiped.push(update);
     t.true(second.apply('routes', update, origin(since)), `version ${first.routes()?.table.version}`);
   });
-  first.apply('routes', restored(17, { routes: [tableAt(17, { epoch: 1, version: 24 })] }), origin(-1));
+  first.apply(
+    'routes',
+    listAfterRestore(17, { routes: [tableAt(17, { epoch: 1, version: 24 })] }),
+    origin(-1),
+  );
   for (const version of [27, 29, 33]) {
     const table = tableAt(version, { epoch: 1, version });
-    first.apply('routes', changed(version, { routes: [table] }), origin(17));
+    first.apply('routes', changesAfterRestore(version, { routes: [table] }), origin(17));
     t.is(second.routes()?.table.version, version);
     t.is(second.tableRevision, version);
   }
   t.deepEqual(
-    told.map(({ routeChange }) => routeChange !== undefined),
+    gossiped.map(({ routeChange }) => routeChange !== undefined),
     [false, true, true, true],
   );
 });
 
-test('a back end that had left waits no longer once a later list lacks it', (t) => {
-  const { knowledge, clock } = knowing();
+test('a departed back end that a later list lacks is not reinstated', (t) => {
+  const { knowledge, clock } = createKnowledge();
   knowledge.apply('backends', updateAt(22, { removals: [{ id: 'b', revision: 22 }] }), origin(21));
-  knowledge.apply('backends', restored(16, { backends: [backendAt('b', 4)] }), origin(-1));
-  knowledge.apply('backends', restored(18), origin(-1));
+  knowledge.apply('backends', listAfterRestore(16, { backends: [backendAt('b', 4)] }), origin(-1));
+  knowledge.apply('backends', listAfterRestore(18), origin(-1));
   clock.advance(RESTORED_HOLD_MS);
   knowledge.prune();
   t.true(knowledge.backends.get('b')?.departed);
 });
 
-test('others are told the table in force, not the older one of the copy', (t) => {
-  const { knowledge } = knowing();
-  const told: RoutingUpdate[] = [];
-  knowledge.subscribe(({ update }) => told.push(update));
-  knowledge.apply('routes', restored(16, { routes: [tableAt(15, { epoch: 1, version: 20 })] }), origin(-1));
-  t.like(told[0], { epoch: 1, revision: 16, complete: true });
+test('the table in force is gossiped, not the older one of the backup', (t) => {
+  const { knowledge } = createKnowledge();
+  const gossiped: RoutingUpdate[] = [];
+  knowledge.subscribe(({ update }) => gossiped.push(update));
+  knowledge.apply(
+    'routes',
+    listAfterRestore(16, { routes: [tableAt(15, { epoch: 1, version: 20 })] }),
+    origin(-1),
+  );
+  t.like(gossiped[0], { epoch: 1, revision: 16, complete: true });
   t.deepEqual(
-    told[0]?.routes.map(({ version }) => version),
+    gossiped[0]?.routes.map(({ version }) => version),
     [24],
   );
 });
 
-test('a back end that said that it leaves still does, though the copy is from before', (t) => {
-  const { knowledge } = knowing(backendAt('a', 20, { draining: true }));
-  knowledge.apply('backends', restored(16, { backends: [backendAt('a', 3)] }), origin(-1));
+test('a draining back end stays draining although the backup is older', (t) => {
+  const { knowledge } = createKnowledge(backendAt('a', 20, { draining: true }));
+  knowledge.apply('backends', listAfterRestore(16, { backends: [backendAt('a', 3)] }), origin(-1));
   t.true(knowledge.backends.get('a')?.record.draining);
 });
 
-test('a back end that had left and is listed by the copy waits before it gets new flows', (t) => {
-  const { knowledge, clock } = knowing();
+test('a departed back end that the backup lists stays departed for `RESTORED_HOLD_MS`', (t) => {
+  const { knowledge, clock } = createKnowledge();
   knowledge.apply('backends', updateAt(22, { removals: [{ id: 'b', revision: 22 }] }), origin(21));
   const listed = [backendAt('a', 3), backendAt('b', 4)];
-  knowledge.apply('backends', restored(16, { backends: listed }), origin(-1));
+  knowledge.apply('backends', listAfterRestore(16, { backends: listed }), origin(-1));
   t.true(knowledge.backends.get('b')?.departed);
   clock.advance(RESTORED_HOLD_MS - 1);
   knowledge.prune();
@@ -151,56 +174,60 @@
   t.false(knowledge.backends.get('b')?.departed);
 });
 
-test('a back end that had left and is listed by the copy is back as soon as it writes, and gone when it does not', (t) => {
-  for (const writes of [true, false]) {
-    const { knowledge, clock } = knowing();
+test('a departed back end that the backup lists returns once it writes, and stays departed once it is removed', (t) => {
+  for (const isWrittenAgain of [true, false]) {
+    const { knowledge, clock } = createKnowledge();
     knowledge.apply('backends', updateAt(22, { removals: [{ id: 'b', revision: 22 }] }), origin(21));
-    knowledge.apply('backends', restored(16, { backends: [backendAt('b', 4)] }), origin(-1));
-    const next = writes
-      ? changed(18, { backends: [backendAt('b', 18)] })
-      : changed(18, { removals: [{ id: 'b', revision: 4 }] });
+    knowledge.apply('backends', listAfterRestore(16, { backends: [backendAt('b', 4)] }), origin(-1));
+    const next = isWrittenAgain
+      ? changesAfterRestore(18, { backends: [backendAt('b', 18)] })
+      : changesAfterRestore(18, { removals: [{ id: 'b', revision: 4 }] });
     knowledge.apply('backends', next, origin(16));
     clock.advance(RESTORED_HOLD_MS);
     knowledge.prune();
-    t.is(knowledge.backends.get('b')?.departed, !writes);
+    t.is(knowledge.backends.get('b')?.departed, !isWrittenAgain);
   }
 });
 
-test('a back end that the copy does not know yet may only have lapsed', (t) => {
-  const { knowledge } = knowing();
-  knowledge.apply('backends', restored(16, { backends: [backendAt('a', 3)] }), origin(-1));
+test('a back end that the backup lacks counts as lapsed', (t) => {
+  const { knowledge } = createKnowledge();
+  knowledge.apply('backends', listAfterRestore(16, { backends: [backendAt('a', 3)] }), origin(-1));
   t.like(knowledge.backends.get('b'), { departed: true, lapsed: true });
-  knowledge.apply('backends', changed(18, { backends: [backendAt('b', 18)] }), origin(16));
+  knowledge.apply('backends', changesAfterRestore(18, { backends: [backendAt('b', 18)] }), origin(16));
   t.false(knowledge.backends.get('b')?.departed);
 });
 
-test('a back end is not cold for longer because its record is read again', (t) => {
-  const { knowledge, clock } = knowing(backendAt('a', 3, { coldMs: 4_000 }));
+test('reading a record again does not extend slow start', (t) => {
+  const { knowledge, clock } = createKnowledge(backendAt('a', 3, { coldMs: 4_000 }));
   clock.advance(3_000);
-  knowledge.apply('backends', restored(16, { backends: [backendAt('a', 3, { coldMs: 4_000 })] }), origin(-1));
+  knowledge.apply(
+    'backends',
+    listAfterRestore(16, { backends: [backendAt('a', 3, { coldMs: 4_000 })] }),
+    origin(-1),
+  );
   t.is(knowledge.backends.get('a')?.coldUntilMs, 4_000);
 });
 
-test('a cordon that the copy lacks stays until it is written again, or has not been for a while', (t) => {
+test('a cordon that the backup lacks stays for `RESTORED_HOLD_MS`, and longer only if it is written again', (t) => {
   for (const isWrittenAgain of [true, false]) {
-    const { knowledge, clock } = knowing();
-    knowledge.apply('cordons', restored(16), origin(-1));
+    const { knowledge, clock } = createKnowledge();
+    knowledge.apply('cordons', listAfterRestore(16), origin(-1));
     t.true(knowledge.cordons.has(ZONE));
     const cordons = isWrittenAgain ? [{ zone: ZONE, revision: 18 }] : [];
-    knowledge.apply('cordons', changed(18, { cordons }), origin(16));
+    knowledge.apply('cordons', changesAfterRestore(18, { cordons }), origin(16));
     clock.advance(RESTORED_HOLD_MS);
     knowledge.prune();
     t.is(knowledge.cordons.has(ZONE), isWrittenAgain);
   }
 });
 
-test('a source may be restored again and again', (t) => {
-  const { knowledge } = knowing();
+test('the source can be restored repeatedly', (t) => {
+  const { knowledge } = createKnowledge();
   for (let epoch = 1; epoch <= 5; epoch += 1) {
     const list = updateAt(16, { epoch, complete: true, backends: [backendAt('a', 3)] });
     t.true(knowledge.apply('backends', list, origin(-1)));
-    const more = updateAt(18, { epoch, backends: [backendAt(`new-${epoch}`, 18)] });
-    t.true(knowledge.apply('backends', more, origin(16)));
+    const changes = updateAt(18, { epoch, backends: [backendAt(`new-${epoch}`, 18)] });
+    t.true(knowledge.apply('backends', changes, origin(16)));
     t.false(knowledge.backends.get(`new-${epoch}`)?.departed);
   }
 });
--- a/src/cookie-edge/routing/route-index.ts
+++ b/src/cookie-edge/routing/route-index.ts
@@ -1,17 +1,17 @@
-/** Finds routes by the address that callers use, and settings by service. Relies on an immutable route table. */
+/** Looks up routes by the address that callers use, and settings by service. Relies on an immutable route table. */
 import type { Route, RoutedService, RouteTable } from './types.js';
 
-const PORTS = 65_536;
+const PORTS_PER_ADDRESS = 65_536;
 
-/** Key of an address and port; below 2^48. */
+/** Packs an address and port into one number below 2^48. */
 export function addressKey(address: number, port: number): number {
-  return address * PORTS + port;
+  return address * PORTS_PER_ADDRESS + port;
 }
 
-/** The address and port of a key. */
+/** Returns the address and port of a key. */
 export function splitAddressKey(key: number): readonly [address: number, port: number] {
-  const port = key % PORTS;
-  return [(key - port) / PORTS, port];
+  const port = key % PORTS_PER_ADDRESS;
+  return [(key - port) / PORTS_PER_ADDRESS, port];
 }
 
 /** An immutable index of one table. */
@@ -24,23 +24,23 @@
     this.services = new Map(table.services.map((service) => [service.name, service]));
   }
 
-  /** The route of an address; undefined when there is none. */
+  /** Returns the route of an address; undefined when there is none. */
   find(address: number, port: number): Route | undefined {
     return this.byAddress.get(addressKey(address, port));
   }
 
-  /** True when the table names the service, in a route or by itself. */
+  /** Returns true when the table has the service, in its services or as a target of a route. */
   namesService(service: string): boolean {
     if (this.services.has(service)) return true;
     return this.table.routes.some(({ targets }) => targets.some((target) => target.service === service));
   }
 
-  /** Open flows that a back end of `service` holds; unlimited when the table says nothing. */
+  /** Maximum number of open flows per back end of `service`; Infinity when the table does not set it. */
   maxConnectionsOf(service: string): number {
     return this.services.get(service)?.maxConnections ?? Number.POSITIVE_INFINITY;
   }
 
-  /** Requests a second that one cold back end of `service` bears; undefined: no limit. */
+  /** Maximum request rate (per second) of one cold back end of `service`; undefined: no limit. */
   coldRequestsPerSecondOf(service: string): number | undefined {
     return this.services.get(service)?.coldRequestsPerSecond;
   }
--- a/src/cookie-edge/routing/route-table-change.test.ts
+++ b/src/cookie-edge/routing/route-table-change.test.ts
@@ -24,7 +24,7 @@
   return { ...table, routes: [...table.routes].sort((left, right) => (left.name < right.name ? -1 : 1)) };
 }
 
-test('joined changes lead from every table on the way to the last one', (t) => {
+test('merged changes turn each table of the sequence into the last one', (t) => {
   fc.assert(
     fc.property(history, (tables) => {
       const last = tables.at(-1)!;
@@ -38,36 +38,36 @@
   );
 });
 
-test('a change leads from no table but those that it was made for', (t) => {
+test('a change is applied only to the tables that it starts from', (t) => {
   const change = compareTables(tableAt(5), tableAt(7, { routes: [] }));
   t.is(applyTableChange(tableAt(4), change), undefined);
-  t.is(applyTableChange(tableAt(6), change), undefined, 'whoever compared 5 and 7 never saw 6');
+  t.is(applyTableChange(tableAt(6), change), undefined, 'a comparison of 5 and 7 does not cover 6');
   t.deepEqual(applyTableChange(tableAt(5), change)?.routes, []);
 });
 
-test('a change that a later one took back is not kept under the name of the later table', (t) => {
-  const plain = tableAt(2);
-  const split = [
-    { ...plain.routes[0]!, targets: [...plain.routes[0]!.targets, { service: 'beta', weight: 1 }] },
+test('a change is not applied to a table between its start and its end, which has since-reverted routes', (t) => {
+  const baseTable = tableAt(2);
+  const splitRoutes = [
+    { ...baseTable.routes[0]!, targets: [...baseTable.routes[0]!.targets, { service: 'beta', weight: 1 }] },
   ];
-  const change = compareTables(plain, tableAt(111));
-  t.is(applyTableChange(tableAt(108, { routes: split }), change), undefined);
+  const change = compareTables(baseTable, tableAt(111));
+  t.is(applyTableChange(tableAt(108, { routes: splitRoutes }), change), undefined);
 });
 
-test('a change whose outcome differs from the table that it was made from is not applied', (t) => {
-  const plain = tableAt(2);
-  const other = [{ ...plain.routes[0]!, name: 'unknown-to-the-change', port: 1 }];
-  const change = compareTables(plain, tableAt(7));
-  t.is(applyTableChange(tableAt(2, { routes: [...plain.routes, ...other] }), change), undefined);
+test('a change whose result does not match its digest is not applied', (t) => {
+  const baseTable = tableAt(2);
+  const otherRoutes = [{ ...baseTable.routes[0]!, name: 'unknown-to-the-change', port: 1 }];
+  const change = compareTables(baseTable, tableAt(7));
+  t.is(applyTableChange(tableAt(2, { routes: [...baseTable.routes, ...otherRoutes] }), change), undefined);
 });
 
-test('a change carries only what differs', (t) => {
-  const many = Array.from({ length: 1_500 }, (_, index): Route => {
+test('a change contains only the routes that differ', (t) => {
+  const routesBefore = Array.from({ length: 1_500 }, (_, index): Route => {
     return { name: `r-${index}`, address: index, port: 80, targets: [{ service: 'alpha', weight: 1 }] };
   });
-  const moved = { ...many[7]!, targets: [{ service: 'beta', weight: 1 }] };
-  const after = [...many.slice(0, 7), moved, ...many.slice(8, -1)];
-  const change = compareTables(tableAt(5, { routes: many }), tableAt(7, { routes: after }));
-  t.deepEqual(change.routes, [moved]);
+  const changedRoute = { ...routesBefore[7]!, targets: [{ service: 'beta', weight: 1 }] };
+  const routesAfter = [...routesBefore.slice(0, 7), changedRoute, ...routesBefore.slice(8, -1)];
+  const change = compareTables(tableAt(5, { routes: routesBefore }), tableAt(7, { routes: routesAfter }));
+  t.deepEqual(change.routes, [changedRoute]);
   t.deepEqual(change.removedRoutes, ['r-1499']);
 });
--- a/src/cookie-edge/routing/route-table-change.ts
+++ b/src/cookie-edge/routing/route-table-change.ts
@@ -1,33 +1,33 @@
 /**
- * Computes, applies and joins changes of the route table, so that gossip carries only the routes that differ. Does no
- * input or output.
+ * Computes, applies and merges changes of the route table, so that gossip carries only the routes that differ. Performs
+ * no I/O.
  */
 import { combine32, hashString } from '../../common/hash.js';
 import type { Route, RouteTable, RouteTableChange } from './types.js';
 
-/** The change that leads from one table to a later one. */
-export function compareTables(before: RouteTable, after: RouteTable): RouteTableChange {
-  const known = byName(before.routes);
-  const routes = after.routes.filter((route) => !isSameRoute(known.get(route.name), route));
-  const present = new Set(after.routes.map(({ name }) => name));
-  const removedRoutes = before.routes.filter(({ name }) => !present.has(name)).map(({ name }) => name);
-  const { version, revision, idleTimeoutMs, services } = after;
+/** Computes the change from one table to a later one. */
+export function compareTables(fromTable: RouteTable, toTable: RouteTable): RouteTableChange {
+  const previousRoutes = byName(fromTable.routes);
+  const routes = toTable.routes.filter((route) => !isSameRoute(previousRoutes.get(route.name), route));
+  const present = new Set(toTable.routes.map(({ name }) => name));
+  const removedRoutes = fromTable.routes.filter(({ name }) => !present.has(name)).map(({ name }) => name);
+  const { version, revision, idleTimeoutMs, services } = toTable;
   return {
-    fromRevisions: [before.revision],
+    fromRevisions: [fromTable.revision],
     version,
     revision,
     idleTimeoutMs,
     services,
     routes,
     removedRoutes,
-    digest: digestOfRoutes(after.routes),
+    digest: digestOfRoutes(toTable.routes),
   };
 }
 
 /**
- * The table that a change leads to; undefined when the change was not made for this table, or leads to another one than
- * it was made from. A table between two that were compared does not do: what changed there and back is not in the
- * change.
+ * Applies a change and returns the new table. Returns undefined when the change does not start from this table, or when
+ * the digest of the result does not match. A change cannot be applied to a table between its start and its end, because
+ * it lacks the routes that were changed and changed back in between.
  */
 export function applyTableChange(table: RouteTable, change: RouteTableChange): RouteTable | undefined {
   if (table.revision === change.revision) return table;
@@ -42,12 +42,12 @@
   return { version, ...epoch, revision, idleTimeoutMs, services, routes: changed };
 }
 
-/** True when `second` starts from the table that `first` leads to. */
+/** Returns true when `second` starts from the table that `first` produces. */
 export function isNextChange(first: RouteTableChange, second: RouteTableChange): boolean {
   return second.fromRevisions.includes(first.revision);
 }
 
-/** One change that does what `first` and then `second` do, of which `isNextChange` must hold. */
+/** Merges two consecutive changes into one; `isNextChange(first, second)` must be true. */
 export function joinTableChanges(first: RouteTableChange, second: RouteTableChange): RouteTableChange {
   const routes = byName(first.routes);
   const removed = new Set(first.removedRoutes);
@@ -63,7 +63,7 @@
   return { ...second, fromRevisions, routes: [...routes.values()], removedRoutes: [...removed] };
 }
 
-/** 32-bit digest of routes that does not depend on their order. */
+/** Computes a 32-bit digest of routes that does not depend on their order. */
 export function digestOfRoutes(routes: readonly Route[]): number {
   return routes.reduce((sum, route) => (sum + digestOfRoute(route)) >>> 0, 0);
 }
--- a/src/cookie-edge/routing/routes-in-force.ts
+++ b/src/cookie-edge/routing/routes-in-force.ts
@@ -1,7 +1,7 @@
 /**
- * The table of routes that is in force at this daemon. Owns the table's index and whether it is doubted; relies on
- * `RoutingKnowledge` to say how far the topic is known, on `source-epoch.ts` for the order of tables and on
- * `route-table-change.ts` for changes.
+ * Holds the route table in force at this daemon. Owns the table's index and its digest mismatch state. Relies on
+ * `RoutingKnowledge` for the revision up to which the topic is known, on `source-epoch.ts` for the order of tables, and
+ * on `route-table-change.ts` for changes.
  */
 import type { EventLog } from '../../observability/event.js';
 import { ROUTING_EVENTS } from './events.js';
@@ -12,15 +12,15 @@
 
 const UNKNOWN_REVISION = -1;
 
-/** The routes of one daemon. */
+/** Holds the route table of one daemon. */
 export class RoutesInForce {
   private current: RouteIndex | undefined;
-  /** True after a change for the table in force led to another table than its digest says. */
-  private isDoubted = false;
+  /** True after applying a change to the table in force gave a table with another digest than the change states. */
+  private hasDigestMismatch = false;
 
   constructor(private readonly events: EventLog) {}
 
-  /** The routes by address; undefined before the first table. */
+  /** Index of the table in force; undefined before the first table. */
   get index(): RouteIndex | undefined {
     return this.current;
   }
@@ -31,16 +31,19 @@
   }
 
   /**
-   * Revision of the table in force from which a change of `epoch` may start; -1 before the first table, for a table of
-   * another epoch, and while a change showed that it is not the source's.
+   * Revision of the table in force, to which a change of `epoch` may be applied; -1 before the first table, for a table
+   * of another epoch, and after a digest mismatch.
    */
   revisionIn(epoch: number): number {
     const { table } = this;
-    if (!table || this.isDoubted || epochOf(table) !== epoch) return UNKNOWN_REVISION;
+    if (!table || this.hasDigestMismatch || epochOf(table) !== epoch) return UNKNOWN_REVISION;
     return table.revision;
   }
 
-  /** False when the table is not known up to the update's revision. A change that fits the table leaves no gap. */
+  /**
+   * Applies an update; returns false when the table is not known up to the update's revision. A change that starts from
+   * the table in force leaves no gap.
+   */
   apply(update: RoutingUpdate, hasGap: boolean): boolean {
     update.routes.forEach((table) => this.applyTable(table));
     const { table } = this;
@@ -51,34 +54,46 @@
   }
 
   /**
-   * The update in the form in which others get it: what changed since `before`, which they know as well, or the whole
-   * table in force where an epoch began in between.
+   * Returns the update to gossip. It contains only the changes since `previousTable`, which peers have as well, or the
+   * whole table in force when an epoch has begun since.
    */
-  passedOn(update: RoutingUpdate, before: RouteTable | undefined, beganEpoch: boolean): RoutingUpdate {
-    const after = this.table;
-    if (update.routes.length === 0 || !after || !before) return update;
-    if (beganEpoch || compareEpochs(after, before) !== 'same') return { ...update, routes: [after] };
-    return { ...update, complete: false, routes: [], routeChange: compareTables(before, after) };
+  updateToGossip(
+    update: RoutingUpdate,
+    previousTable: RouteTable | undefined,
+    hasEpochBegun: boolean,
+  ): RoutingUpdate {
+    const currentTable = this.table;
+    if (update.routes.length === 0 || !currentTable || !previousTable) return update;
+    if (hasEpochBegun || compareEpochs(currentTable, previousTable) !== 'same')
+      return { ...update, routes: [currentTable] };
+    return {
+      ...update,
+      complete: false,
+      routes: [],
+      routeChange: compareTables(previousTable, currentTable),
+    };
   }
 
   private applyChange(table: RouteTable, change: RouteTableChange): boolean {
     const changed = applyTableChange(table, change);
     if (changed) this.applyTable(changed);
-    else if (change.fromRevisions.includes(table.revision)) this.doubt(table, change);
+    else if (change.fromRevisions.includes(table.revision)) this.recordDigestMismatch(table, change);
     return changed !== undefined;
   }
 
-  /** Marks the table as doubtful, so that the whole one is fetched; until it comes, this one stays in force. */
-  private doubt({ version, revision }: RouteTable, change: RouteTableChange): void {
-    this.isDoubted = true;
-    this.events.emit(ROUTING_EVENTS.tableDoubted, { version, revision, changeTo: change.revision });
+  /**
+   * Records a digest mismatch, so that the whole table is fetched. Until it arrives, the current one stays in force.
+   */
+  private recordDigestMismatch({ version, revision }: RouteTable, change: RouteTableChange): void {
+    this.hasDigestMismatch = true;
+    this.events.emit(ROUTING_EVENTS.tableDigestMismatch, { version, revision, changeTo: change.revision });
   }
 
   private applyTable(table: RouteTable): void {
     const inForce = this.table;
-    if (inForce && !supersedes(table, inForce)) return this.ignore(table, inForce);
+    if (inForce && !supersedes(table, inForce)) return this.logIgnoredTable(table, inForce);
     this.current = new RouteIndex(table);
-    this.isDoubted = false;
+    this.hasDigestMismatch = false;
     this.events.emit(ROUTING_EVENTS.routesInForce, {
       version: table.version,
       revision: table.revision,
@@ -89,10 +104,10 @@
     });
   }
 
-  private ignore({ version, revision, epoch }: RouteTable, inForce: RouteTable): void {
+  private logIgnoredTable({ version, revision, epoch }: RouteTable, inForce: RouteTable): void {
     const isSame = revision === inForce.revision && compareEpochs({ epoch }, inForce) === 'same';
     if (isSame) return;
     const fields = { version, revision, epoch, inForce: inForce.version };
-    this.events.emit(ROUTING_EVENTS.olderIgnored, fields);
+    this.events.emit(ROUTING_EVENTS.olderTableIgnored, fields);
   }
 }
--- a/src/cookie-edge/routing/routing-test-support.ts
+++ b/src/cookie-edge/routing/routing-test-support.ts
@@ -1,4 +1,4 @@
-/** Routes, back ends and a scripted source for tests. */
+/** Builders of routes, back ends and updates, and a scripted source, for tests. */
 import Result from 'true-myth/result';
 import { hashString } from '../../common/hash.js';
 import type { Endpoint } from '../../common/types.js';
@@ -16,8 +16,8 @@
 export const SERVICE_ADDRESS = 0xc6120001;
 export const SERVICE_PORT = 8443;
 
-/** A table with one route to `alpha` at `SERVICE_ADDRESS`. */
-export function tableAt(revision: number, change: Partial<RouteTable> = {}): RouteTable {
+/** Builds a table with one route to `alpha` at `SERVICE_ADDRESS`. */
+export function tableAt(revision: number, overrides: Partial<RouteTable> = {}): RouteTable {
   const targets = [{ service: 'alpha', weight: 1 }];
   return {
     version: revision,
@@ -25,12 +25,16 @@
     idleTimeoutMs: 15_000,
     routes: [{ name: 'route-1', address: SERVICE_ADDRESS, port: SERVICE_PORT, targets }],
     services: [{ name: 'alpha', maxConnections: 2_000 }],
-    ...change,
+    ...overrides,
   };
 }
 
-/** A back end of `alpha` that was recorded at `revision`; each id has an address of its own. */
-export function backendAt(id: string, revision: number, change: Partial<RoutedBackend> = {}): RoutedBackend {
+/** Builds a back end of `alpha` that was recorded at `revision`. Its address is derived from the id. */
+export function backendAt(
+  id: string,
+  revision: number,
+  overrides: Partial<RoutedBackend> = {},
+): RoutedBackend {
   return {
     id,
     service: 'alpha',
@@ -41,7 +45,7 @@
     coldMs: 0,
     createdRevision: revision,
     revision,
-    ...change,
+    ...overrides,
   };
 }
 
@@ -50,27 +54,27 @@
   return { host: `10.129.${hash >>> 24}.${hash & 0xff}`, port: 1_024 + ((hash >>> 8) & 0x7fff) };
 }
 
-/** An update without content. */
-export function updateAt(revision: number, change: Partial<RoutingUpdate> = {}): RoutingUpdate {
-  return { revision, complete: false, routes: [], backends: [], removals: [], ...change };
+/** Builds an update, without content unless `overrides` has some. */
+export function updateAt(revision: number, overrides: Partial<RoutingUpdate> = {}): RoutingUpdate {
+  return { revision, complete: false, routes: [], backends: [], removals: [], ...overrides };
 }
 
-/** A call that a scripted source answers. */
+/** A call to a scripted source. */
 export interface SourceCall {
   readonly kind: 'read' | 'watch';
   readonly topic: RoutingTopic;
   readonly revision: number;
   readonly waitMs: number;
-  /** Only of a read. */
+  /** Only set for a read. */
   readonly freshness?: ReadFreshness;
 }
 
-/** Answers each call as `answer` says; the promise may stay open. */
+/** Returns the result of `respond` for each call; its promise may never settle. */
 export class ScriptedSource implements RoutingSource {
   readonly calls: SourceCall[] = [];
 
   constructor(
-    private readonly answer: (call: SourceCall) => Promise<RoutingUpdate | RoutingSourceErrorKind>,
+    private readonly respond: (call: SourceCall) => Promise<RoutingUpdate | RoutingSourceErrorKind>,
   ) {}
 
   read(topic: RoutingTopic, freshness: ReadFreshness): Promise<Result<RoutingUpdate, RoutingSourceError>> {
@@ -87,9 +91,9 @@
 
   private async call(call: SourceCall): Promise<Result<RoutingUpdate, RoutingSourceError>> {
     this.calls.push(call);
-    const answer = await this.answer(call);
-    return typeof answer === 'string'
-      ? Result.err(new RoutingSourceError(answer, 'scripted'))
-      : Result.ok(answer);
+    const response = await this.respond(call);
+    return typeof response === 'string'
+      ? Result.err(new RoutingSourceError(response, 'scripted'))
+      : Result.ok(response);
   }
 }
--- a/src/cookie-edge/routing/settlement-rule.test.ts
+++ b/src/cookie-edge/routing/settlement-rule.test.ts
@@ -1,4 +1,4 @@
-/** Each state of a list of back ends, and what settles it. */
+/** Each state of the list of back ends, and the condition that settles it. */
 import test from 'ava';
 import { SETTLED_PEER_MS, SETTLING_MS } from './constants.js';
 import {
@@ -9,7 +9,7 @@
   type SettlementReason,
 } from './settlement-rule.js';
 
-const STARTED: SettlementInputs = {
+const JUST_STARTED: SettlementInputs = {
   sinceFirstListMs: 10,
   recordsMayLapse: false,
   sinceSettledPeerMs: Number.POSITIVE_INFINITY,
@@ -24,10 +24,10 @@
 ])[] = [
   ['without a list', { sinceFirstListMs: undefined, sinceSettledPeerMs: 5 }, 'unknown', 'peer'],
   ['just after the first list', {}, 'settling', undefined],
-  ['with a settled peer', { sinceSettledPeerMs: 60_000 }, 'settled', 'peer'],
+  ['that received a message from a settled peer', { sinceSettledPeerMs: 60_000 }, 'settled', 'peer'],
   ['with all of the roster listed', { isRosterListed: true }, 'settled', 'roster'],
-  ['just before the time', { sinceFirstListMs: SETTLING_MS - 1 }, 'settling', undefined],
-  ['at the time', { sinceFirstListMs: SETTLING_MS }, 'settled', 'time'],
+  ['just before `SETTLING_MS`', { sinceFirstListMs: SETTLING_MS - 1 }, 'settling', undefined],
+  ['at `SETTLING_MS`', { sinceFirstListMs: SETTLING_MS }, 'settled', 'time'],
   [
     'in an outage, long after its start',
     { sinceFirstListMs: 600_000, recordsMayLapse: true },
@@ -35,22 +35,22 @@
     'time',
   ],
   [
-    'that only itself lost the source',
+    'that lost the source while its peers did not',
     { sinceFirstListMs: 600_000, recordsMayLapse: true, sinceSettledPeerMs: SETTLED_PEER_MS - 1 },
     'settled',
     'peer',
   ],
   [
-    'in an outage that its peers have noticed by now',
+    'in an outage, `SETTLED_PEER_MS` after the last message from a settled peer',
     { sinceFirstListMs: 600_000, recordsMayLapse: true, sinceSettledPeerMs: SETTLED_PEER_MS },
     'settling',
     'peer',
   ],
 ];
 
-for (const [name, change, state, reason] of CASES) {
+for (const [name, overrides, state, reason] of CASES) {
   test(`the list of a daemon ${name} is ${state}`, (t) => {
-    t.is(decideSettlement({ ...STARTED, ...change }), state);
-    t.is(settlementReason({ ...STARTED, ...change }), reason);
+    t.is(decideSettlement({ ...JUST_STARTED, ...overrides }), state);
+    t.is(settlementReason({ ...JUST_STARTED, ...overrides }), reason);
   });
 }
--- a/src/cookie-edge/routing/settlement-rule.ts
+++ b/src/cookie-edge/routing/settlement-rule.ts
@@ -1,35 +1,37 @@
 /**
- * Rule: whether the list of back ends is to be believed where it lacks one. Does no input or output; times are ms.
+ * Rule: decides whether the list of back ends is considered complete, so that a missing back end has left. Performs
+ * no I/O; times are ms.
  *
- * Prevents that callers are refused for want of back ends that live: after an outage of the source, in which records
- * lapse, a list is complete by its form and all but empty until the back ends have written their records again.
+ * Prevents refusing callers while their back ends run. Records lapse during an outage of the source. After it, the
+ * source returns a list that is formally complete but almost empty, until the back ends have written their records
+ * again.
  *
- * Order: without a list nothing is known. While records may lapse, what this daemon reads is not to be believed, but a
- * peer's word is if it came just now: the source may only refuse this daemon. Otherwise a daemon that has just started
- * believes its list as soon as a peer that believes its own has answered, or every back end of the roster is listed,
- * or at last after `SETTLING_MS`. Missing knowledge (no peer, no roster) leaves the time.
+ * Order of conditions: without a list, nothing is known. While records may lapse, the daemon trusts no list from the
+ * source, but it trusts a recent message from a settled peer, since the source may be failing only for this daemon.
+ * Otherwise a daemon that has just started considers its list complete once a settled peer has sent a message, once
+ * all back ends of the roster are listed, or at the latest after `SETTLING_MS`. If there is no peer and no roster,
+ * only the time remains.
  */
 import { SETTLED_PEER_MS, SETTLING_MS } from './constants.js';
 
-/** `unknown`: no list yet. `settling`: live back ends may be missing. `settled`: who is missing has left. */
+/** `unknown`: no list yet. `settling`: running back ends may be missing. `settled`: missing back ends have left. */
 export type BackendKnowledge = 'unknown' | 'settling' | 'settled';
 
-/** What the rule looks at. */
 export interface SettlementInputs {
   /** Time since the first list; undefined before it. */
   readonly sinceFirstListMs: number | undefined;
-  /** Records may vanish because their owners cannot write. */
+  /** True while records may be missing only because back ends cannot write them. */
   readonly recordsMayLapse: boolean;
-  /** Time since a message of a settled peer; Infinity before any. */
+  /** Time since the last message from a settled peer; Infinity before the first. */
   readonly sinceSettledPeerMs: number;
-  /** The roster was read, names back ends, and all that it names are listed. */
+  /** True when the roster was read, is not empty, and all of its back ends are listed. */
   readonly isRosterListed: boolean;
 }
 
-/** What settled a list. */
+/** Condition by which a list came to be considered complete. */
 export type SettlementReason = 'peer' | 'roster' | 'time';
 
-/** Decides how far the list is known. */
+/** Decides the state of the list. */
 export function decideSettlement(inputs: SettlementInputs): BackendKnowledge {
   const { sinceFirstListMs, recordsMayLapse, sinceSettledPeerMs } = inputs;
   if (sinceFirstListMs === undefined) return 'unknown';
@@ -37,7 +39,7 @@
   return settlementReason(inputs) === undefined ? 'settling' : 'settled';
 }
 
-/** What lets a daemon believe its first list; undefined while nothing does. */
+/** Returns the condition by which a daemon trusts its first list; undefined while none holds. */
 export function settlementReason({
   sinceFirstListMs = 0,
   sinceSettledPeerMs,
--- a/src/cookie-edge/routing/source-availability.test.ts
+++ b/src/cookie-edge/routing/source-availability.test.ts
@@ -8,15 +8,15 @@
 
 const FAILURE = new RoutingSourceError('routing.unavailable', 'scripted');
 
-function createCircuit(): { clock: VirtualClock; availability: SourceAvailability } {
+function createAvailability(): { clock: VirtualClock; availability: SourceAvailability } {
   const clock = new VirtualClock();
   const availability = new SourceAvailability(clock, seededRandom(1), SILENT_EVENT_LOG);
   availability.beginReading();
   return { clock, availability };
 }
 
-test('failed calls for a while are an outage, and an answer ends it', (t) => {
-  const { clock, availability } = createCircuit();
+test('calls that fail for `OUTAGE_AFTER_MS` are an outage, and a response ends it', (t) => {
+  const { clock, availability } = createAvailability();
   availability.recordFailure('routes', FAILURE);
   t.false(availability.isLost);
   clock.advance(OUTAGE_AFTER_MS);
@@ -29,8 +29,8 @@
   t.false(availability.recordsMayLapse());
 });
 
-test('one failed call after a long time without any is no outage', (t) => {
-  const { clock, availability } = createCircuit();
+test('one failed call after a long time without calls is not an outage', (t) => {
+  const { clock, availability } = createAvailability();
   availability.recordResponse();
   availability.endReading();
   clock.advance(600_000);
@@ -39,24 +39,24 @@
   t.false(availability.isLost);
 });
 
-test('who leaves the source to others does not believe in an outage for ever', (t) => {
-  const { clock, availability } = createCircuit();
+test('an outage ends when the daemon stops reading the source', (t) => {
+  const { clock, availability } = createAvailability();
   clock.advance(OUTAGE_AFTER_MS);
   availability.recordFailure('routes', FAILURE);
   t.true(availability.isLost);
   availability.endReading();
   t.false(availability.isLost);
-  t.true(availability.recordsMayLapse(), 'records may still vanish for a while');
+  t.true(availability.recordsMayLapse(), 'records may still lapse for a while');
   clock.advance(LAPSE_AFTER_OUTAGE_MS);
   t.false(availability.recordsMayLapse());
 });
 
-test('waits grow to a bound, and begin anew with a new reading', (t) => {
-  const { availability } = createCircuit();
-  const waits = Array.from({ length: 12 }, () => availability.recordFailure('routes', FAILURE));
-  t.true(waits[0]! <= RETRY_MIN_MS * 1.5);
-  t.true(Math.max(...waits) <= RETRY_MAX_MS * 1.5);
-  t.true(waits.at(-1)! >= RETRY_MAX_MS * 0.5);
+test('the backoff grows up to a bound, and restarts when the daemon reads again', (t) => {
+  const { availability } = createAvailability();
+  const delays = Array.from({ length: 12 }, () => availability.recordFailure('routes', FAILURE));
+  t.true(delays[0]! <= RETRY_MIN_MS * 1.5);
+  t.true(Math.max(...delays) <= RETRY_MAX_MS * 1.5);
+  t.true(delays.at(-1)! >= RETRY_MAX_MS * 0.5);
   availability.endReading();
   availability.beginReading();
   t.true(availability.recordFailure('routes', FAILURE) <= RETRY_MIN_MS * 1.5);
--- a/src/cookie-edge/routing/source-availability.ts
+++ b/src/cookie-edge/routing/source-availability.ts
@@ -1,7 +1,7 @@
 /**
- * Tracks whether the source responds, over all calls of this daemon together, and computes the delay of retries. It
- * never stops calls. Owns the outage state and the count of failed calls; `source-retry.ts` and `lapsed-records.ts`
- * decide. Relies on each follower to report its responses and failures.
+ * Tracks whether the source responds, across all calls of this daemon, and computes the retry delay. It never blocks
+ * calls. Owns the outage state and the count of failed calls; `source-retry.ts` and `lapsed-records.ts` contain the
+ * rules. Relies on each follower to report its responses and failures.
  */
 import type { Clock } from '../../common/clock.js';
 import { jitter, type RandomSource } from '../../common/random.js';
@@ -13,11 +13,11 @@
 import { isOutage, retryDelayMs } from './source-retry.js';
 import type { RoutingTopic } from './types.js';
 
-/** The outage state of the source. Times are monotonic ms. */
+/** Tracks outages of the source. Times are monotonic ms. */
 export class SourceAvailability {
   private lastResponseMs: number;
   private failedCalls = 0;
-  private lost = false;
+  private isSourceLost = false;
   private regainedAtMs = Number.NEGATIVE_INFINITY;
   private minimumRetryDelayMs: () => number = () => 0;
 
@@ -30,53 +30,55 @@
   }
 
   /**
-   * Sets the function that returns the shortest delay after a failed call, in ms without jitter; called at each
-   * failure.
+   * Sets the function that returns the minimum retry delay in ms, before jitter. It is called at each failure.
    */
   setMinimumRetryDelay(minimumRetryDelayMs: () => number): void {
     this.minimumRetryDelayMs = minimumRetryDelayMs;
   }
 
-  /** True while calls have failed for longer than `OUTAGE_AFTER_MS`. */
+  /** True once calls have failed for `OUTAGE_AFTER_MS`, until the next response or `endReading`. */
   get isLost(): boolean {
-    return this.lost;
+    return this.isSourceLost;
   }
 
-  /** True during an outage and for a while after it: records may vanish because their owners cannot write. */
+  /** Returns true during and shortly after an outage, when records may expire because back ends cannot renew them. */
   recordsMayLapse(): boolean {
-    return recordsMayLapse(this.lost, this.clock.now() - this.regainedAtMs);
+    return recordsMayLapse(this.isSourceLost, this.clock.now() - this.regainedAtMs);
   }
 
-  /** Call when this daemon begins to read the source: silence counts from now. */
+  /** Call when this daemon starts to read the source; the time without a response counts from now. */
   beginReading(): void {
     this.lastResponseMs = this.clock.now();
     this.failedCalls = 0;
   }
 
-  /** Call when this daemon stops reading the source: only readers can see whether an outage continues. */
+  /**
+   * Call when this daemon stops reading the source. It ends an outage, since only readers can see whether it
+   * continues.
+   */
   endReading(): void {
-    if (this.lost) this.regainedAtMs = this.clock.now();
-    this.lost = false;
+    if (this.isSourceLost) this.regainedAtMs = this.clock.now();
+    this.isSourceLost = false;
   }
 
-  /** Records a response, which ends an outage. */
+  /** Records a response; it ends an outage. */
   recordResponse(): void {
     const nowMs = this.clock.now();
-    if (this.lost) {
+    if (this.isSourceLost) {
       this.regainedAtMs = nowMs;
       const silentMs = Math.round(nowMs - this.lastResponseMs);
       this.events.emit(ROUTING_EVENTS.sourceRegained, { silentMs });
     }
-    this.lost = false;
+    this.isSourceLost = false;
     this.failedCalls = 0;
     this.lastResponseMs = nowMs;
   }
 
   /**
-   * Records and logs a failed call; returns the jittered delay before the next one, in ms. `failuresInARow`: as the
-   * follower counts them, where calls succeed in between that bring it no further.
+   * Records and logs a failed call; returns the jittered delay before the next one, in ms. A follower passes its own
+   * `consecutiveFailures` when calls in between succeed without making progress.
    */
-  recordFailure(topic: RoutingTopic, error: RoutingSourceError, failuresInARow = 1): number {
+  recordFailure(topic: RoutingTopic, error: RoutingSourceError, consecutiveFailures = 1): number {
     const silentMs = Math.round(this.clock.now() - this.lastResponseMs);
     this.failedCalls += 1;
     this.events.emit(ROUTING_EVENTS.sourceCallFailed, {
@@ -85,11 +87,11 @@
       error: error.problem,
       silentMs,
     });
-    if (!this.lost && isOutage(silentMs)) {
-      this.lost = true;
+    if (!this.isSourceLost && isOutage(silentMs)) {
+      this.isSourceLost = true;
       this.events.emit(ROUTING_EVENTS.sourceLost, { silentMs, kind: error.kind });
     }
-    const failures = Math.max(this.failedCalls, failuresInARow);
+    const failures = Math.max(this.failedCalls, consecutiveFailures);
     const delayMs = retryDelayMs(failures, this.minimumRetryDelayMs());
     return jitter(delayMs, RETRY_DELAY_JITTER, this.random);
   }
--- a/src/cookie-edge/routing/source-follower.ts
+++ b/src/cookie-edge/routing/source-follower.ts
@@ -1,7 +1,7 @@
 /**
- * The task in which a reader follows one topic of the source: reads it once, which may return a state some seconds old,
- * then watches for changes, and reads it again after a gap. Owns the call under way. Relies on `SourceAvailability` for
- * retries, on `watch-wait.ts` for the length of a watch, and on `RoutingKnowledge` to apply what comes.
+ * Follows one topic of the source: reads it once, which may return a state some seconds old, then watches for changes,
+ * and reads it again after a gap. Owns the call in progress. Relies on `SourceAvailability` for retry delays, on
+ * `watch-wait.ts` for the length of a watch, and on `RoutingKnowledge` to apply the responses.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
@@ -14,9 +14,8 @@
 import { compareEpochs, isBefore } from './source-epoch.js';
 import type { SourceHistoryLog } from './source-history-log.js';
 import type { ReadFreshness, RoutingSource, RoutingTopic, RoutingUpdate } from './types.js';
-import { isUnconfirmed, mayWatchLong, watchWaitMs, type WatchRequest } from './watch-wait.js';
+import { isOverdue, canUseLongWatch, watchWaitMs, type WatchRequest } from './watch-wait.js';
 
-/** What a follower needs. */
 export interface SourceFollowerOptions {
   readonly clock: Clock;
   readonly source: RoutingSource;
@@ -25,57 +24,57 @@
   readonly timings: FreshnessTimings;
   readonly problems: ProblemLog;
   readonly history: SourceHistoryLog;
-  /** False: the cordons are watched as often as the other topics. True unless given. */
+  /** False: cordons are watched with short waits, like the other topics. Default: true. */
   readonly usesLongWatches?: boolean;
-  /** Called after each response that confirmed something. */
+  /** Called after each response that confirmed the topic's freshness. */
   readonly onConfirmation?: () => void;
 }
 
-/** A response that may be old confirms nothing. */
-const CONFIRMS_NOTHING_MS = Number.NEGATIVE_INFINITY;
+/** Confirmation time of a response that may be outdated and therefore confirms nothing. */
+const NO_CONFIRMATION_MS = Number.NEGATIVE_INFINITY;
 
 /**
- * The topic that changes least is watched with long waits, because responses about the others confirm it, too. Watching
- * all three alike would cost half as many calls again as the other two. The others keep short waits, because each of a
- * reader's responses shows that it reads: with half as many, surplus readers stand down later (4 instead of 2 of 30
- * simulated daemons still read 4 s after an outage).
+ * Topic that is watched with long waits, because it changes least and responses about the others confirm it too.
+ * Short waits for all three topics would need 1.5 times the calls of two topics. The other topics keep short waits,
+ * because each response shows other daemons that this one reads. With half as many responses, surplus readers stop
+ * reading later (4 instead of 2 of 30 simulated daemons still read 4 s after an outage).
  */
-const LONG_WATCHED_TOPIC: RoutingTopic = 'cordons';
+const RARELY_CHANGING_TOPIC: RoutingTopic = 'cordons';
 
-/** Follows one topic. No method throws or rejects. */
+/** Follows one topic. Its methods never throw or reject. */
 export class SourceFollower {
   private reads = 0;
   private watches = 0;
-  private firstReading: Promise<void> | undefined;
-  /** Revision of the last response to a watch, and whether it equalled that of the one before. */
-  private watchedRevision = -1;
-  private isSourceCalm = false;
-  /** Watches without an answer that continues what is known, since the last one with it. */
-  private gapsInARow = 0;
+  private firstRead: Promise<void> | undefined;
+  /** Revision of the last response to a watch; `isRevisionStable`: the previous response had the same revision. */
+  private lastWatchRevision = -1;
+  private isRevisionStable = false;
+  /** Consecutive watches whose response did not continue the known history. */
+  private consecutiveGaps = 0;
 
   constructor(
     private readonly topic: RoutingTopic,
     private readonly options: SourceFollowerOptions,
   ) {}
 
-  /** Calls made since start. */
+  /** Number of calls since start. */
   get calls(): number {
     return this.reads + this.watches;
   }
 
-  /** Reads the topic once unless gossip brings it first; the response may be some seconds old. Never throws. */
+  /** Reads the topic once, unless gossip delivers it first; the response may be some seconds old. */
   readFirst(signal: AbortSignal): Promise<void> {
-    this.firstReading ??= this.readUntilKnown(signal);
-    return this.firstReading;
+    this.firstRead ??= this.readUntilKnown(signal);
+    return this.firstRead;
   }
 
-  /** Follows until `signal` aborts. Never throws. */
+  /** Follows the topic until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await this.readFirst(signal);
     let hasGap = !this.isKnown();
-    if (this.startsLate) await pause(this.options.clock, LONG_WATCH_START_MS, signal);
+    if (this.shouldDelayFirstWatch) await pause(this.options.clock, LONG_WATCH_START_MS, signal);
     while (!signal.aborted) {
-      const complete = await this.step(hasGap, signal);
+      const complete = await this.callOnce(hasGap, signal);
       hasGap = !complete;
     }
   }
@@ -86,42 +85,45 @@
 
   private async readUntilKnown(signal: AbortSignal): Promise<void> {
     while (!signal.aborted && !this.isKnown()) {
-      await this.guarded(() => this.readAll('any', signal), signal);
+      await this.retryMalformed(() => this.readAll('any', signal), signal);
     }
   }
 
-  /** One call; false when everything must be read next. */
-  private step(hasGap: boolean, signal: AbortSignal): Promise<boolean> {
-    return this.guarded(() => (hasGap ? this.readAll('current', signal) : this.watchOnce(signal)), signal);
+  /** Makes one call; returns false when the whole topic must be read next. */
+  private callOnce(hasGap: boolean, signal: AbortSignal): Promise<boolean> {
+    return this.retryMalformed(
+      () => (hasGap ? this.readAll('current', signal) : this.watchOnce(signal)),
+      signal,
+    );
   }
 
-  /** A response that cannot be applied counts as malformed. */
-  private async guarded(call: () => Promise<boolean>, signal: AbortSignal): Promise<boolean> {
+  /** Runs a call. If it throws, for example because a response cannot be applied, it counts as malformed. */
+  private async retryMalformed(call: () => Promise<boolean>, signal: AbortSignal): Promise<boolean> {
     try {
       return await call();
     } catch (cause) {
-      const problem = `an answer could not be taken in: ${(cause as Error).message}`;
-      await this.waitAfter(new RoutingSourceError('routing.malformed', problem, { cause }), signal);
+      const problem = `a response could not be applied: ${(cause as Error).message}`;
+      await this.backOff(new RoutingSourceError('routing.malformed', problem, { cause }), signal);
       return false;
     }
   }
 
-  /** Reads the topic; false when that failed. */
+  /** Reads the whole topic; returns false when that failed or left a gap. */
   private async readAll(freshness: ReadFreshness, signal: AbortSignal): Promise<boolean> {
     const { source, clock } = this.options;
     const requestedAtMs = clock.now();
     this.reads += 1;
     const response = await source.read(this.topic, freshness, signal);
     if (response.isErr) {
-      await this.waitAfter(response.error, signal);
+      await this.backOff(response.error, signal);
       return false;
     }
     const isCurrent = freshness === 'current';
-    if (isCurrent) this.noteRevision(response.value);
-    return this.apply(response.value, -1, isCurrent ? requestedAtMs : CONFIRMS_NOTHING_MS);
+    if (isCurrent) this.logIfOlderRevision(response.value);
+    return this.apply(response.value, -1, isCurrent ? requestedAtMs : NO_CONFIRMATION_MS);
   }
 
-  /** Watches once; false when everything must be read again. */
+  /** Watches once; returns false when the whole topic must be read again. */
   private async watchOnce(signal: AbortSignal): Promise<boolean> {
     const { source, clock, knowledge } = this.options;
     const since = knowledge.revisionOf(this.topic);
@@ -129,55 +131,56 @@
     const requestedAtMs = clock.now();
     this.watches += 1;
     const waitMs = watchWaitMs(this.watchRequest(), this.options.timings);
-    const attempt = this.beginAttempt(signal);
-    const response = await source.watch(this.topic, since, waitMs, attempt.signal);
-    attempt.end();
+    const abortableWatch = this.beginAbortableWatch(signal);
+    const response = await source.watch(this.topic, since, waitMs, abortableWatch.signal);
+    abortableWatch.end();
     if (response.isErr) {
-      if (attempt.signal.aborted && !signal.aborted) {
-        this.isSourceCalm = false;
+      if (abortableWatch.signal.aborted && !signal.aborted) {
+        this.isRevisionStable = false;
         return true;
       }
       if (response.error.kind === 'routing.history-gone') {
         this.options.history.recordHistoryGone(this.topic, since);
-        return this.afterGap(response.error, signal);
+        return this.handleGap(response.error, signal);
       }
-      await this.waitAfter(response.error, signal);
+      await this.backOff(response.error, signal);
       return true;
     }
-    // Revisions are given out again after a restore of the source, so that an answer of another epoch may leave out
-    // changes, or confirm what it does not know.
-    if (compareEpochs(response.value, { epoch }) !== 'same') return this.afterRestore(response.value, signal);
-    this.gapsInARow = 0;
-    // A response without changes was held back for the whole wait, so it confirms that much more.
-    const broughtChange = hasContent(response.value);
-    this.isSourceCalm = response.value.revision === this.watchedRevision;
-    this.watchedRevision = response.value.revision;
-    const heldMs = broughtChange ? 0 : waitMs;
-    this.options.history.recordContinued(this.topic);
+    // The source assigns revisions again after a restore, so a response of another epoch may omit changes, or confirm
+    // a state that the source does not have.
+    if (compareEpochs(response.value, { epoch }) !== 'same')
+      return this.handleOtherEpoch(response.value, signal);
+    this.consecutiveGaps = 0;
+    // The source held back a response without changes for the whole wait, so nothing changed until then.
+    const hasChanges = hasContent(response.value);
+    this.isRevisionStable = response.value.revision === this.lastWatchRevision;
+    this.lastWatchRevision = response.value.revision;
+    const heldMs = hasChanges ? 0 : waitMs;
+    this.options.history.clearLoggedBreaks(this.topic);
     const complete = this.apply(response.value, since, Math.min(requestedAtMs + heldMs, clock.now()));
-    if (broughtChange) await pause(clock, CHANGE_WATCH_DELAY_MS, signal);
+    if (hasChanges) await pause(clock, CHANGE_WATCH_DELAY_MS, signal);
     return complete;
   }
 
-  /** True when gossip has brought the answer's epoch meanwhile, so that a watch goes on from there. */
-  private afterRestore(update: RoutingUpdate, signal: AbortSignal): Promise<boolean> {
+  /** Returns true when gossip has delivered the response's epoch in the meantime, so that watching can continue. */
+  private handleOtherEpoch(update: RoutingUpdate, signal: AbortSignal): Promise<boolean> {
     const known = { epoch: this.options.knowledge.epochOf(this.topic) };
     if (compareEpochs(update, known) === 'same') return Promise.resolve(true);
-    const problem = 'the source was restored from a copy, so that its changes do not continue what is known';
-    return this.afterGap(new RoutingSourceError('routing.history-gone', problem), signal);
+    const problem = 'the source was restored from a backup, so its changes do not continue the known history';
+    return this.handleGap(new RoutingSourceError('routing.history-gone', problem), signal);
   }
 
   /**
-   * False: everything must be read. The second time in a row that waits as after a failed call; without that, a reader
-   * whose reads did not close the gap made 110 calls a second.
+   * Always returns false: the whole topic must be read. From the second consecutive gap on, it waits as after a failed
+   * call. Without the wait, a reader whose reads did not close the gap made 110 calls a second.
    */
-  private async afterGap(error: RoutingSourceError, signal: AbortSignal): Promise<boolean> {
-    this.gapsInARow += 1;
-    if (this.gapsInARow > 1) await this.waitAfter(error, signal, this.gapsInARow - 1);
+  private async handleGap(error: RoutingSourceError, signal: AbortSignal): Promise<boolean> {
+    this.consecutiveGaps += 1;
+    if (this.consecutiveGaps > 1) await this.backOff(error, signal, this.consecutiveGaps - 1);
     return false;
   }
 
-  private noteRevision(update: RoutingUpdate): void {
+  private logIfOlderRevision(update: RoutingUpdate): void {
     const { history, knowledge } = this.options;
     const known = { epoch: knowledge.epochOf(this.topic), revision: knowledge.revisionOf(this.topic) };
     if (isBefore(update, known)) history.recordOlderRevision(this.topic, known.revision, update.revision);
@@ -185,31 +188,34 @@
 
   private watchRequest(): WatchRequest {
     const ageMs = this.options.knowledge.ageOf(this.topic);
-    return { ageMs, isLongWatched: this.isLongWatched, isSourceCalm: this.isSourceCalm };
+    return { ageMs, isLongWatchEnabled: this.isLongWatchEnabled, isRevisionStable: this.isRevisionStable };
   }
 
-  /** True where the other followers' responses are about to bring the first confirmation of this topic. */
-  private get startsLate(): boolean {
+  /** True when responses about the other topics will soon give this topic its first confirmation. */
+  private get shouldDelayFirstWatch(): boolean {
     const wasConfirmed = Number.isFinite(this.options.knowledge.ageOf(this.topic));
-    return this.isLongWatched && !wasConfirmed;
+    return this.isLongWatchEnabled && !wasConfirmed;
   }
 
-  private get isLongWatched(): boolean {
-    return this.topic === LONG_WATCHED_TOPIC && this.options.usesLongWatches !== false;
+  private get isLongWatchEnabled(): boolean {
+    return this.topic === RARELY_CHANGING_TOPIC && this.options.usesLongWatches !== false;
   }
 
-  private isUnconfirmed(): boolean {
-    return isUnconfirmed(this.options.knowledge.ageOf(this.topic), this.options.timings);
+  private isTopicOverdue(): boolean {
+    return isOverdue(this.options.knowledge.ageOf(this.topic), this.options.timings);
   }
 
-  /** A call that ends with `signal`; a long watch also ends as soon as its topic lacks a confirmation. */
-  private beginAttempt(signal: AbortSignal): { readonly signal: AbortSignal; readonly end: () => void } {
-    if (!mayWatchLong(this.watchRequest(), this.options.timings)) return { signal, end: () => undefined };
-    const attempt = new AbortController();
-    const abort = (): void => attempt.abort();
+  /** Returns an abort signal for a watch. It also aborts a long watch once its topic's confirmation is overdue. */
+  private beginAbortableWatch(signal: AbortSignal): {
+    readonly signal: AbortSignal;
+    readonly end: () => void;
+  } {
+    if (!canUseLongWatch(this.watchRequest(), this.options.timings)) return { signal, end: () => undefined };
+    const watchAbort = new AbortController();
+    const abort = (): void => watchAbort.abort();
     let timer: TimerHandle;
     const check = (): void => {
-      if (this.isUnconfirmed()) abort();
+      if (this.isTopicOverdue()) abort();
       else timer = this.options.clock.schedule(CONFIRM_CHECK_MS, check);
     };
     timer = this.options.clock.schedule(CONFIRM_CHECK_MS, check);
@@ -218,7 +224,7 @@
       timer.cancel();
       signal.removeEventListener('abort', abort);
     };
-    return { signal: attempt.signal, end };
+    return { signal: watchAbort.signal, end };
   }
 
   private apply(update: RoutingUpdate, since: number, confirmedAtMs: number): boolean {
@@ -231,7 +237,7 @@
     return complete;
   }
 
-  private async waitAfter(
+  private async backOff(
     error: RoutingSourceError,
     signal: AbortSignal,
     failuresInARow?: number,
--- a/src/cookie-edge/routing/types.ts
+++ b/src/cookie-edge/routing/types.ts
@@ -1,13 +1,13 @@
 /**
- * What a daemon of the cookie edge knows: routes, the back ends that serve them, and zones that get no new flows. All
- * of it comes from a `RoutingSource` or from other daemons that read it there. The source's revisions order everything
- * within an epoch, which ends when the source is restored from an older copy (`source-epoch.ts`).
+ * Data model of the cookie edge: routes, the back ends that serve them, and cordoned zones. All of it comes from a
+ * `RoutingSource`, directly or by gossip from other daemons. The source's revisions order all records within an
+ * epoch; a restore of the source from an older backup starts a new epoch (`source-epoch.ts`).
  */
 import type Result from 'true-myth/result';
 import type { Endpoint } from '../../common/types.js';
 import type { RoutingSourceError } from './errors.js';
 
-/** One part of a route's traffic. */
+/** A service that gets a share of a route's new flows. */
 export interface RouteTarget {
   readonly service: string;
   /** Relative share of the route's new flows, > 0. */
@@ -22,105 +22,105 @@
   readonly port: number;
   /** Not empty; a route without a split has one target. */
   readonly targets: readonly RouteTarget[];
-  /** Regions whose back ends may serve it; undefined: all. */
+  /** Regions whose back ends may serve the route; undefined: all. */
   readonly allowedRegions?: readonly string[];
-  /** Urgency of its requests: 0 is the most urgent; undefined: the least. */
+  /** Priority of its requests: 0 is the highest; undefined: the lowest. */
   readonly priority?: number;
-  /** Time in ms from the caller's first packet within which its requests should be answered; undefined: none. */
+  /** Target time in ms from the caller's first packet to the response; undefined: none. */
   readonly targetLatencyMs?: number;
 }
 
 /** Settings of one service. */
 export interface RoutedService {
   readonly name: string;
-  /** Open flows that one back end of it holds. */
+  /** Maximum number of open flows per back end. */
   readonly maxConnections: number;
-  /** Requests a second that one back end of it bears while it is cold from its start; undefined: no limit. */
+  /** Maximum request rate (per second) per back end during slow start; undefined: no limit. */
   readonly coldRequestsPerSecond?: number;
 }
 
-/** All routes as they are in force together. */
+/** All routes and service settings of one version. */
 export interface RouteTable {
-  /** Version as the operator counts it; rises in irregular steps. */
+  /** Version set by the operator; increases in irregular steps. */
   readonly version: number;
   /** Epoch of the source's history to which `revision` belongs; absent: 0. */
   readonly epoch?: number;
-  /** Revision of the source that brought it; orders tables of one epoch. */
+  /** Source revision of this table; orders tables of one epoch. */
   readonly revision: number;
   readonly routes: readonly Route[];
   readonly services: readonly RoutedService[];
-  /** An open flow without packets for this long may be forgotten. */
+  /** An open flow without packets for this long may be discarded. */
   readonly idleTimeoutMs: number;
 }
 
-/** Leads from each table of `fromRevisions`, and from no other, to the table of `revision`. */
+/** A delta that turns any table of `fromRevisions`, and no other, into the table of `revision`. */
 export interface RouteTableChange {
-  /** Tables between which the joined changes lead; one for a single change. */
+  /** Revisions of the tables from which the change can start: one for a single change, several for merged ones. */
   readonly fromRevisions: readonly number[];
   readonly version: number;
   readonly revision: number;
   readonly idleTimeoutMs: number;
-  /** All services of the new table: they are few. */
+  /** All services of the new table, because there are few. */
   readonly services: readonly RoutedService[];
   /** Routes that are new or differ. */
   readonly routes: readonly Route[];
-  /** Names of routes that are gone. */
+  /** Names of removed routes. */
   readonly removedRoutes: readonly string[];
-  /** `digestOfRoutes` of the new table, by which the outcome is checked. */
+  /** `digestOfRoutes` of the new table, to verify the result. */
   readonly digest: number;
 }
 
-/** A back end process. It may start again under its id, as another incarnation. */
+/** Record of a back end process. The process may restart under the same id, as another incarnation. */
 export interface RoutedBackend {
   readonly id: string;
-  /** Start time of the process, Unix ms on its own machine's clock; undefined when the record names none. */
+  /** Start time of the process, in Unix ms of its own machine's clock; undefined when the record has none. */
   readonly incarnation?: number;
   readonly service: string;
   readonly endpoint: Endpoint;
   readonly zone: string;
-  /** Requests it works on at once. */
+  /** Number of requests that it processes concurrently. */
   readonly capacity: number;
-  /** It is leaving: it gets no new flows, and open flows stay. */
+  /** True while it is shutting down: it gets no new flows, and open flows continue. */
   readonly draining: boolean;
-  /** Milliseconds for which it is still slow from its start, when this record was written. */
+  /** Remaining slow start time in ms when this record was written. */
   readonly coldMs: number;
   /**
-   * Revision of the source at which the record was created; -1: in an earlier epoch. A record may be created anew, so
-   * that it says nothing of when the process started. What a daemon keeps has the lowest that it has been told.
+   * Source revision at which the record was created; -1: in an earlier epoch. A record may be created again while the
+   * process runs, so this does not tell when the process started. A daemon keeps the lowest value that it receives.
    */
   readonly createdRevision: number;
-  /** Revision of the last change of this record; orders records of one id. */
+  /** Source revision of the last change of this record; orders records of one id. */
   readonly revision: number;
 }
 
-/** A back end that left the source. */
+/** Removal of a back end's record from the source. */
 export interface BackendRemoval {
   readonly id: string;
-  /** Revision of the last record of it; a removal goes before a record of the same revision. */
+  /** Revision of its last record or of the removal. A removal wins over a record of the same revision. */
   readonly revision: number;
 }
 
-/** A back end that left, as another daemon remembers it. */
+/** A departed back end as sent by another daemon. */
 export interface DepartedBackend {
   /** Its last record. */
   readonly record: RoutedBackend;
-  /** Monotonic ms at which it left. */
+  /** Monotonic ms at which it departed. */
   readonly departedAtMs: number;
-  /** Its record may only have lapsed; absent: it left. */
+  /** True when its record may only have expired; absent: it left. */
   readonly lapsed?: boolean;
 }
 
-/** A zone whose back ends get no new flows until the operator takes that back. */
+/** A cordon: the zone's back ends get no new flows until the operator removes it. */
 export interface ZoneCordon {
   readonly zone: string;
-  /** Revision of the source at which it was recorded. */
+  /** Source revision at which it was recorded. */
   readonly revision: number;
 }
 
-/** A cordon that was taken back. */
+/** Removal of a cordon. */
 export interface CordonRemoval {
   readonly zone: string;
-  /** Revision of the last record of it or of its removal; a removal goes before a record of the same revision. */
+  /** Revision of its last record or of the removal. A removal wins over a record of the same revision. */
   readonly revision: number;
 }
 
@@ -129,51 +129,51 @@
   /** Name of the record, and the revision of its last change. */
   readonly name: string;
   readonly revision: number;
-  /** What is wrong, and what is done about it. */
+  /** Description of the fault and of how the record is treated. */
   readonly problem: string;
 }
 
-/** What a source is read and watched for separately. Cordons are followed only where the deployment has them. */
+/** Part of the source's data that is read and watched separately. Some deployments have no cordons. */
 export type RoutingTopic = 'routes' | 'backends' | 'cordons';
 
-/** What a source says about a topic, complete up to `revision`. */
+/** Records and removals of one topic up to `revision`. */
 export interface RoutingUpdate {
-  /** Epoch of the source's history to which all revisions in here belong, tables apart; absent: 0. */
+  /** Epoch of all revisions in the update, except those of route tables, which have their own; absent: 0. */
   readonly epoch?: number;
-  /** Everything of the topic up to this revision of the source is in here or was before. */
+  /** The update, with the earlier ones, covers the topic up to this source revision. */
   readonly revision: number;
-  /** True: back ends and cordons that are not listed are gone. False: the changes since the requested revision. */
+  /** True: unlisted back ends and cordons are gone. False: it contains only changes since the requested revision. */
   readonly complete: boolean;
   readonly routes: readonly RouteTable[];
-  /** The changes of the table instead of the whole one; only from other daemons. */
+  /** Delta instead of a whole table; only in updates from other daemons. */
   readonly routeChange?: RouteTableChange;
   readonly backends: readonly RoutedBackend[];
   readonly removals: readonly BackendRemoval[];
-  /** Only of the topic `cordons`. */
+  /** Only in updates of the topic `cordons`, as are `cordonRemovals`. */
   readonly cordons?: readonly ZoneCordon[];
   readonly cordonRemovals?: readonly CordonRemoval[];
-  /** Last records of back ends that left, for daemons that never knew them; only from other daemons. */
+  /** Departed back ends, for daemons that never received them; only in updates from other daemons. */
   readonly departed?: readonly DepartedBackend[];
-  /** Faults in records, which are left out here or corrected; only from the source. */
+  /** Faults in records that the update omits or corrects; only in updates from the source. */
   readonly problems?: readonly RecordProblem[];
 }
 
-/** How far a topic is known, and when that was last confirmed. */
+/** Revision up to which a topic is known, and when this was last confirmed as current. */
 export interface TopicConfirmation {
   /** Epoch of the source's history to which the revisions belong; absent: 0. */
   readonly epoch?: number;
-  /** Everything up to this revision of the source is known; -1 before the first complete update. */
+  /** The topic is known up to this source revision; -1 before the first complete update. */
   readonly revision: number;
-  /** Nothing changed between this revision and `revision`. */
+  /** The topic did not change between this revision and `revision`. */
   readonly changedRevision: number;
-  /** Monotonic ms at which nothing newer than `revision` existed; -Infinity before the first confirmation. */
+  /** Monotonic ms at which the source had nothing newer than `revision`; -Infinity before the first confirmation. */
   readonly confirmedAtMs: number;
 }
 
-/** How new a response must be. `any`: it may be seconds old, which costs the source less. */
+/** Required freshness of a response. `any`: it may be seconds old, which is cheaper for the source. */
 export type ReadFreshness = 'current' | 'any';
 
-/** Where routes, back ends and cordons are recorded. All calls end when `signal` aborts. */
+/** Store of routes, back ends and cordons. All calls end when `signal` aborts. */
 export interface RoutingSource {
   /** Reads the whole topic. */
   read(
@@ -181,7 +181,7 @@
     freshness: ReadFreshness,
     signal: AbortSignal,
   ): Promise<Result<RoutingUpdate, RoutingSourceError>>;
-  /** Waits up to `waitMs` for changes after `revision`; an update without changes confirms that there were none. */
+  /** Waits up to `waitMs` for changes after `revision`; an update without content confirms that there were none. */
   watch(
     topic: RoutingTopic,
     revision: number,
--- a/src/cookie-edge/routing/watch-wait.test.ts
+++ b/src/cookie-edge/routing/watch-wait.test.ts
@@ -1,39 +1,39 @@
-/** How long a watch may be held back. */
+/** Wait of a watch by the state of its topic. */
 import test from 'ava';
 import { FIRST_WATCH_WAIT_MS } from './constants.js';
 import { freshnessTimings } from './freshness.js';
-import { isUnconfirmed, mayWatchLong, watchWaitMs, type WatchRequest } from './watch-wait.js';
+import { isOverdue, canUseLongWatch, watchWaitMs, type WatchRequest } from './watch-wait.js';
 
 const TIMINGS = freshnessTimings(3_000);
-const ORDINARY: WatchRequest = { ageMs: 0, isLongWatched: false, isSourceCalm: true };
-const LONG: WatchRequest = { ...ORDINARY, isLongWatched: true };
+const ORDINARY: WatchRequest = { ageMs: 0, isLongWatchEnabled: false, isRevisionStable: true };
+const LONG: WatchRequest = { ...ORDINARY, isLongWatchEnabled: true };
 
-const WAITS: readonly (readonly [string, WatchRequest, number])[] = [
+const WAIT_CASES: readonly (readonly [string, WatchRequest, number])[] = [
   ['never confirmed', { ...ORDINARY, ageMs: Infinity }, FIRST_WATCH_WAIT_MS],
-  ['seldom changing, never confirmed', { ...LONG, ageMs: Infinity }, FIRST_WATCH_WAIT_MS],
+  ['rarely changing, never confirmed', { ...LONG, ageMs: Infinity }, FIRST_WATCH_WAIT_MS],
   ['just confirmed', ORDINARY, TIMINGS.watchWaitMs],
-  ['half the age left', { ...ORDINARY, ageMs: TIMINGS.readerAgeMs - 500 }, 500],
-  ['too old', { ...ORDINARY, ageMs: TIMINGS.readerAgeMs }, TIMINGS.watchMinWaitMs],
-  ['seldom changing, calm source', LONG, TIMINGS.longWatchWaitMs],
-  ['seldom changing, source moves', { ...LONG, isSourceCalm: false }, TIMINGS.watchWaitMs],
+  ['500 ms left of the maximum age', { ...ORDINARY, ageMs: TIMINGS.readerAgeMs - 500 }, 500],
+  ['at the maximum age', { ...ORDINARY, ageMs: TIMINGS.readerAgeMs }, TIMINGS.watchMinWaitMs],
+  ['rarely changing, revision stable', LONG, TIMINGS.longWatchWaitMs],
+  ['rarely changing, revision changing', { ...LONG, isRevisionStable: false }, TIMINGS.watchWaitMs],
   [
-    'seldom changing, unconfirmed',
+    'rarely changing, confirmation overdue',
     { ...LONG, ageMs: TIMINGS.confirmAfterMs },
     Math.max(TIMINGS.watchMinWaitMs, TIMINGS.readerAgeMs - TIMINGS.confirmAfterMs),
   ],
 ];
 
-for (const [name, request, expected] of WAITS) {
+for (const [name, request, expected] of WAIT_CASES) {
   test(`wait: ${name}`, (t) => {
     t.is(watchWaitMs(request, TIMINGS), expected);
   });
 }
 
-test('a long watch needs a topic that seldom changes, a calm source, and a confirmation', (t) => {
-  t.true(mayWatchLong(LONG, TIMINGS));
-  t.false(mayWatchLong(ORDINARY, TIMINGS));
-  t.false(mayWatchLong({ ...LONG, isSourceCalm: false }, TIMINGS));
-  t.false(mayWatchLong({ ...LONG, ageMs: TIMINGS.confirmAfterMs }, TIMINGS));
-  t.false(isUnconfirmed(TIMINGS.confirmAfterMs - 1, TIMINGS));
-  t.true(isUnconfirmed(TIMINGS.confirmAfterMs, TIMINGS));
+test('a long watch requires a topic that rarely changes, a stable revision, and a recent confirmation', (t) => {
+  t.true(canUseLongWatch(LONG, TIMINGS));
+  t.false(canUseLongWatch(ORDINARY, TIMINGS));
+  t.false(canUseLongWatch({ ...LONG, isRevisionStable: false }, TIMINGS));
+  t.false(canUseLongWatch({ ...LONG, ageMs: TIMINGS.confirmAfterMs }, TIMINGS));
+  t.false(isOverdue(TIMINGS.confirmAfterMs - 1, TIMINGS));
+  t.true(isOverdue(TIMINGS.confirmAfterMs, TIMINGS));
 });
--- a/src/cookie-edge/routing/watch-wait.ts
+++ b/src/cookie-edge/routing/watch-wait.ts
@@ -1,42 +1,42 @@
 /**
- * Rule: the longest wait of a watch, the time that the source may hold its response back. Prevents both calls that
- * bring nothing and knowledge that is older than the freshness bound. Does no input or output; times are ms.
+ * Rule: computes the wait of a watch, that is, how long the source may hold back its response. Prevents needless calls,
+ * and a state that is older than the freshness bound. Performs no I/O; times are ms.
  *
- * Order: a topic without any confirmation is watched with practically no wait, because the first confirmation shows
- * others that this daemon reads. A topic that seldom changes comes next, since confirmations by other topics make its
- * own age irrelevant. Any other watch waits until the topic's age reaches `readerAgeMs`: a response with changes may
- * have been under way for long, so it confirms no more than that nothing newer existed when it was requested.
+ * Order of conditions: a topic without any confirmation is watched with almost no wait, because the first confirmation
+ * shows other daemons that this one reads. A topic that rarely changes comes next, because responses about other topics
+ * keep confirming it. Any other watch waits until the topic's age reaches `readerAgeMs`. A response with changes may
+ * have taken long, so it only confirms that nothing newer existed at the time of the request.
  */
 import { FIRST_WATCH_WAIT_MS } from './constants.js';
 import type { FreshnessTimings } from './freshness.js';
 
-/** What is known when a watch begins. */
+/** State of a topic when a watch begins. */
 export interface WatchRequest {
-  /** Age of the topic's last confirmation; Infinity without any. */
+  /** Time since the topic's last confirmation; Infinity without any. */
   readonly ageMs: number;
-  /** The topic seldom changes, and other topics' responses confirm it. */
-  readonly isLongWatched: boolean;
-  /** The source's revision stood still between the last two responses. */
-  readonly isSourceCalm: boolean;
+  /** True for a topic that rarely changes and that responses about other topics confirm. */
+  readonly isLongWatchEnabled: boolean;
+  /** True when the last two responses had the same source revision. */
+  readonly isRevisionStable: boolean;
 }
 
-/** True when nothing confirmed a topic for so long that a long watch of it is broken off. */
-export function isUnconfirmed(ageMs: number, { confirmAfterMs }: FreshnessTimings): boolean {
+/** Returns true when a topic has been unconfirmed for so long that a long watch of it must be aborted. */
+export function isOverdue(ageMs: number, { confirmAfterMs }: FreshnessTimings): boolean {
   return ageMs >= confirmAfterMs;
 }
 
 /**
- * While the source's revision moves, responses about other topics do not confirm this one, so that it is watched with
- * short waits.
+ * Returns true when a topic can be watched with a long wait. While the source's revision changes, responses about other
+ * topics do not confirm this one, so it needs short waits.
  */
-export function mayWatchLong(request: WatchRequest, timings: FreshnessTimings): boolean {
-  return request.isLongWatched && request.isSourceCalm && !isUnconfirmed(request.ageMs, timings);
+export function canUseLongWatch(request: WatchRequest, timings: FreshnessTimings): boolean {
+  return request.isLongWatchEnabled && request.isRevisionStable && !isOverdue(request.ageMs, timings);
 }
 
-/** The longest time that the source may hold the watch back. */
+/** Computes the longest time that the source may hold back the response. */
 export function watchWaitMs(request: WatchRequest, timings: FreshnessTimings): number {
   if (!Number.isFinite(request.ageMs)) return FIRST_WATCH_WAIT_MS;
-  if (mayWatchLong(request, timings)) return timings.longWatchWaitMs;
+  if (canUseLongWatch(request, timings)) return timings.longWatchWaitMs;
   const leftMs = Math.floor(timings.readerAgeMs - request.ageMs);
   return Math.max(timings.watchMinWaitMs, Math.min(timings.watchWaitMs, leftMs));
 }
