--- a/src/cookie-edge/routing/constants.ts
+++ b/src/cookie-edge/routing/constants.ts
@@ -27,7 +27,10 @@
 /** Upper bound of doublings. 2^10 times `RETRY_MIN_MS` is far above `RETRY_MAX_MS`. */
 export const RETRY_MAX_DOUBLINGS = 10;
 
-/** Largest fraction of a delay that jitter adds or subtracts, so that daemons don't retry in sync. */
+/**
+ * Largest fraction of a delay that jitter adds or subtracts, so that daemons that fail together don't retry
+ * together.
+ */
 export const RETRY_DELAY_JITTER = 0.5;
 
 /** The source counts as lost once calls have failed for this long. */
--- a/src/cookie-edge/routing/known-backend.ts
+++ b/src/cookie-edge/routing/known-backend.ts
@@ -18,7 +18,7 @@
   /** Highest revision at which it was removed; records up to this revision are outdated. */
   removedRevision: number;
   /**
-   * True for a lapsed back end that the source has never listed to this daemon. It is known only from the roster or a
+   * True for a departed back end that the source has never listed to this daemon. It is known only from the roster or a
    * peer, so no sign of life can be expected yet.
    */
   remembered?: boolean;
--- a/src/cookie-edge/routing/restored-source.test.ts
+++ b/src/cookie-edge/routing/restored-source.test.ts
@@ -174,7 +174,7 @@
   t.false(knowledge.backends.get('b')?.departed);
 });
 
-test('a departed back end that the backup lists returns once it writes, and stays departed once it is removed', (t) => {
+test('a departed back end that the backup lists returns when it writes its record, and not when that is removed', (t) => {
   for (const isWrittenAgain of [true, false]) {
     const { knowledge, clock } = createKnowledge();
     knowledge.apply('backends', updateAt(22, { removals: [{ id: 'b', revision: 22 }] }), origin(21));
--- a/src/cookie-edge/routing/route-table-change.test.ts
+++ b/src/cookie-edge/routing/route-table-change.test.ts
@@ -45,7 +45,7 @@
   t.deepEqual(applyTableChange(tableAt(5), change)?.routes, []);
 });
 
-test('a change is not applied to a table between its start and its end, which has since-reverted routes', (t) => {
+test('a change is not applied to an intermediate table with a route that was changed back later', (t) => {
   const baseTable = tableAt(2);
   const splitRoutes = [
     { ...baseTable.routes[0]!, targets: [...baseTable.routes[0]!.targets, { service: 'beta', weight: 1 }] },
--- a/src/cookie-edge/routing/settlement-rule.ts
+++ b/src/cookie-edge/routing/settlement-rule.ts
@@ -8,9 +8,9 @@
  *
  * Order of conditions: without a list, nothing is known. While records may lapse, the daemon trusts no list from the
  * source, but it trusts a recent message from a settled peer, since the source may be failing only for this daemon.
- * Otherwise a daemon that has just started considers its list complete once a settled peer has sent a message, once
- * all back ends of the roster are listed, or at the latest after `SETTLING_MS`. If there is no peer and no roster,
- * only the time remains.
+ * A settled peer is one that considers its own list complete. Otherwise a daemon that has just started considers its
+ * list complete once a settled peer has sent a message, once all back ends of the roster are listed, or at the
+ * latest after `SETTLING_MS`. If there is no peer and no roster, only the time remains.
  */
 import { SETTLED_PEER_MS, SETTLING_MS } from './constants.js';
 
--- a/src/cookie-edge/routing/source-follower.test.ts
+++ b/src/cookie-edge/routing/source-follower.test.ts
@@ -51,7 +51,7 @@
   stop();
 });
 
-test('the wait of a watch is limited by the age of the topic, which a response with changes hardly reduces', async (t) => {
+test('a watch waits until the topic reaches `readerAgeMs`, as a response with changes confirms only its request time', async (t) => {
   const CHANGE_AFTER_MS = [1_000, 500, 100];
   let revision = 6;
   const { clock, source, knowledge, stop } = startFollower((call, virtual) => {
--- a/src/cookie-edge/routing/source-follower.ts
+++ b/src/cookie-edge/routing/source-follower.ts
@@ -85,20 +85,20 @@
 
   private async readUntilKnown(signal: AbortSignal): Promise<void> {
     while (!signal.aborted && !this.isKnown()) {
-      await this.retryMalformed(() => this.readAll('any', signal), signal);
+      await this.backOffOnException(() => this.readAll('any', signal), signal);
     }
   }
 
   /** Makes one call; returns false when the whole topic must be read next. */
   private callOnce(hasGap: boolean, signal: AbortSignal): Promise<boolean> {
-    return this.retryMalformed(
+    return this.backOffOnException(
       () => (hasGap ? this.readAll('current', signal) : this.watchOnce(signal)),
       signal,
     );
   }
 
-  /** Runs a call. If it throws, for example because a response cannot be applied, it counts as malformed. */
-  private async retryMalformed(call: () => Promise<boolean>, signal: AbortSignal): Promise<boolean> {
+  /** Runs a call. An exception, for example from a response that cannot be applied, counts as a malformed response. */
+  private async backOffOnException(call: () => Promise<boolean>, signal: AbortSignal): Promise<boolean> {
     try {
       return await call();
     } catch (cause) {
@@ -205,7 +205,10 @@
     return isOverdue(this.options.knowledge.ageOf(this.topic), this.options.timings);
   }
 
-  /** Returns an abort signal for a watch. It also aborts a long watch once its topic's confirmation is overdue. */
+  /**
+   * Returns a signal that aborts with `signal`, and for a long watch also once the topic's confirmation is overdue.
+   * Call `end` after the watch to cancel the check.
+   */
   private beginAbortableWatch(signal: AbortSignal): {
     readonly signal: AbortSignal;
     readonly end: () => void;
--- a/src/cookie-edge/routing/types.ts
+++ b/src/cookie-edge/routing/types.ts
@@ -96,7 +96,7 @@
 /** Removal of a back end's record from the source. */
 export interface BackendRemoval {
   readonly id: string;
-  /** Revision of its last record or of the removal. A removal wins over a record of the same revision. */
+  /** Revision of its last record. A removal wins over a record of the same revision. */
   readonly revision: number;
 }
 
