--- a/src/cookie-edge/backend-health/address-reuse.test.ts
+++ b/src/cookie-edge/backend-health/address-reuse.test.ts
@@ -5,27 +5,27 @@
 import { ForwarderHarness } from '../forwarding/cookie-test-support.js';
 import type { RoutedBackend, RoutingUpdate } from '../routing/index.js';
 import { backendAt, updateAt } from '../routing/routing-test-support.js';
-import { CREATIONS_LEARNED_MS } from './constants.js';
+import { CREATION_HISTORY_UPTIME_MS } from './constants.js';
 import { REQUEST, SERVICES } from './dead-backends-test-support.js';
 
 const ADDRESS = { endpoint: { host: '10.128.0.1', port: 8_080 } };
 
 /** The revision of the list that a balancer starts with. */
-const LISTED_AT = 30;
+const LISTED_REVISION = 30;
 
 /** A balancer that has just started and read this list. */
-function startWith(records: readonly RoutedBackend[]): ForwarderHarness {
-  return new ForwarderHarness().know(records, { services: SERVICES }, LISTED_AT);
+function harnessWithList(records: readonly RoutedBackend[]): ForwarderHarness {
+  return new ForwarderHarness().know(records, { services: SERVICES }, LISTED_REVISION);
 }
 
 /** Applies a change after those that are known up to `since`. */
-function change(harness: ForwarderHarness, since: number, update: RoutingUpdate): void {
+function applyChange(harness: ForwarderHarness, since: number, update: RoutingUpdate): void {
   const origin = { since, confirmedAtMs: harness.clock.now(), mayHaveLapsed: false };
   harness.knowledge.apply('backends', update, origin);
 }
 
 /** Where a packet of a flow goes that another balancer placed at back end `id`; undefined for a reset. */
-function takeOver(harness: ForwarderHarness, port: number, id: string): string | undefined {
+function forwardByCookie(harness: ForwarderHarness, port: number, id: string): string | undefined {
   return harness.goOn(port, hashString(id), REQUEST)?.backend;
 }
 
@@ -36,11 +36,11 @@
     [crashed, successor],
     [successor, crashed],
   ]) {
-    const harness = startWith(list);
-    t.is(takeOver(harness, 41_000, 'y'), 'y', 'while both are listed');
-    harness.depart('x', LISTED_AT + 1);
+    const harness = harnessWithList(list);
+    t.is(forwardByCookie(harness, 41_000, 'y'), 'y', 'while both are listed');
+    harness.depart('x', LISTED_REVISION + 1);
     harness.clock.advance(HOUSEKEEPING_TICK_MS);
-    t.is(takeOver(harness, 41_001, 'y'), 'y', 'after the late record has run out');
+    t.is(forwardByCookie(harness, 41_001, 'y'), 'y', 'after the late record has run out');
     t.is(harness.goOn(41_000, hashString('y'))?.backend, 'y');
     t.is(harness.resets.length, 0);
   }
@@ -48,63 +48,63 @@
 
 test('a late record of a crashed back end and its removal in one change do not end its successor', (t) => {
   const successor = backendAt('y', 15, { ...ADDRESS, service: 'beta' });
-  const harness = startWith([successor]);
-  const recorded = backendAt('x', LISTED_AT + 1, ADDRESS);
-  const removals = [{ id: 'x', revision: LISTED_AT + 2 }];
-  change(harness, LISTED_AT, updateAt(LISTED_AT + 2, { backends: [recorded], removals }));
-  t.is(takeOver(harness, 41_000, 'y'), 'y');
+  const harness = harnessWithList([successor]);
+  const recorded = backendAt('x', LISTED_REVISION + 1, ADDRESS);
+  const removals = [{ id: 'x', revision: LISTED_REVISION + 2 }];
+  applyChange(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 2, { backends: [recorded], removals }));
+  t.is(forwardByCookie(harness, 41_000, 'y'), 'y');
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
-  t.is(takeOver(harness, 41_001, 'y'), 'y');
+  t.is(forwardByCookie(harness, 41_001, 'y'), 'y');
   t.is(harness.resets.length, 0);
 });
 
 test('a back end whose record has lapsed keeps its flows although its predecessor was recorded anew', (t) => {
   const predecessor = backendAt('p', 20, { ...ADDRESS, service: 'beta' });
-  const harness = startWith([predecessor]);
+  const harness = harnessWithList([predecessor]);
   const departed = [{ record: backendAt('l', 15, ADDRESS), departedAtMs: 0, lapsed: true }];
-  change(harness, LISTED_AT, updateAt(LISTED_AT + 1, { departed }));
-  t.is(takeOver(harness, 41_000, 'l'), 'l');
+  applyChange(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 1, { departed }));
+  t.is(forwardByCookie(harness, 41_000, 'l'), 'l');
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
-  t.is(takeOver(harness, 41_001, 'l'), 'l');
+  t.is(forwardByCookie(harness, 41_001, 'l'), 'l');
   t.is(harness.resets.length, 0);
 });
 
 test('the flows of a crashed back end are reset once a peer tells that it was known before its successor', (t) => {
   const crashed = backendAt('x', 20, ADDRESS);
   const successor = backendAt('y', 15, { ...ADDRESS, service: 'beta' });
-  const harness = startWith([crashed, successor]);
+  const harness = harnessWithList([crashed, successor]);
   const departed = [{ record: backendAt('x', 5, { ...ADDRESS, revision: 20 }), departedAtMs: 0 }];
-  const wholeState = { complete: true, backends: [successor], departed };
-  change(harness, -1, updateAt(LISTED_AT + 1, wholeState));
-  t.is(takeOver(harness, 41_000, 'x'), 'x', 'not before other peers may have told of it');
-  harness.clock.advance(CREATIONS_LEARNED_MS + HOUSEKEEPING_TICK_MS);
-  t.is(takeOver(harness, 41_001, 'x'), undefined);
-  t.is(takeOver(harness, 41_002, 'y'), 'y');
+  const peerState = { complete: true, backends: [successor], departed };
+  applyChange(harness, -1, updateAt(LISTED_REVISION + 1, peerState));
+  t.is(forwardByCookie(harness, 41_000, 'x'), 'x', 'not before other peers may have told of it');
+  harness.clock.advance(CREATION_HISTORY_UPTIME_MS + HOUSEKEEPING_TICK_MS);
+  t.is(forwardByCookie(harness, 41_001, 'x'), undefined);
+  t.is(forwardByCookie(harness, 41_002, 'y'), 'y');
 });
 
 test('a superseded back end that is recorded again keeps the flows that come after that', (t) => {
-  const harness = startWith([backendAt('x', 5, ADDRESS)]);
-  harness.clock.advance(CREATIONS_LEARNED_MS);
-  const successor = backendAt('y', LISTED_AT + 1, { ...ADDRESS, service: 'beta' });
-  change(harness, LISTED_AT, updateAt(LISTED_AT + 1, { backends: [successor] }));
-  harness.depart('x', LISTED_AT + 2);
+  const harness = harnessWithList([backendAt('x', 5, ADDRESS)]);
+  harness.clock.advance(CREATION_HISTORY_UPTIME_MS);
+  const successor = backendAt('y', LISTED_REVISION + 1, { ...ADDRESS, service: 'beta' });
+  applyChange(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 1, { backends: [successor] }));
+  harness.depart('x', LISTED_REVISION + 2);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
-  t.is(takeOver(harness, 41_000, 'x'), undefined);
-  const again = backendAt('x', LISTED_AT + 3, ADDRESS);
-  change(harness, LISTED_AT + 2, updateAt(LISTED_AT + 3, { backends: [again] }));
+  t.is(forwardByCookie(harness, 41_000, 'x'), undefined);
+  const recordedAgain = backendAt('x', LISTED_REVISION + 3, ADDRESS);
+  applyChange(harness, LISTED_REVISION + 2, updateAt(LISTED_REVISION + 3, { backends: [recordedAgain] }));
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
-  t.is(takeOver(harness, 41_001, 'x'), 'x');
+  t.is(forwardByCookie(harness, 41_001, 'x'), 'x');
   t.is(harness.open(42_000)?.backend, undefined, 'but no new ones');
 });
 
 test('no flow is reset because of a later record before peers have told how long both have been known', (t) => {
   const surroundings = { hasLearntFromPeers: () => false };
   const harness = new ForwarderHarness(undefined, 1, [], surroundings);
-  harness.know([backendAt('x', 5, ADDRESS)], { services: SERVICES }, LISTED_AT);
-  const successor = backendAt('y', LISTED_AT + 1, { ...ADDRESS, service: 'beta' });
-  change(harness, LISTED_AT, updateAt(LISTED_AT + 1, { backends: [successor] }));
-  harness.depart('x', LISTED_AT + 2);
-  harness.clock.advance(2 * CREATIONS_LEARNED_MS);
-  t.is(takeOver(harness, 41_000, 'x'), 'x');
+  harness.know([backendAt('x', 5, ADDRESS)], { services: SERVICES }, LISTED_REVISION);
+  const successor = backendAt('y', LISTED_REVISION + 1, { ...ADDRESS, service: 'beta' });
+  applyChange(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 1, { backends: [successor] }));
+  harness.depart('x', LISTED_REVISION + 2);
+  harness.clock.advance(2 * CREATION_HISTORY_UPTIME_MS);
+  t.is(forwardByCookie(harness, 41_000, 'x'), 'x');
   t.is(harness.resets.length, 0);
 });
--- a/src/cookie-edge/backend-health/address-reuse.ts
+++ b/src/cookie-edge/backend-health/address-reuse.ts
@@ -1,59 +1,63 @@
 /**
- * Rule: what other back ends that are known at its address mean for a back end. At most one of them listens there.
+ * Decides which of the back ends that are known at one address still listens there. At most one can.
  *
- * Prevents two failures. Callers of a back end that ended would wait for their timeouts at the process that has its
- * address now; and a back end that serves would lose its open flows if it were taken for one that ended. Does no input
- * or output; times are monotonic ms.
+ * Prevents two failures. Callers of a back end that ended would wait for their timeouts, because another process has
+ * its address now. A back end that still serves would lose its open flows if it were declared ended by mistake. Does
+ * no input or output; times are monotonic ms.
  *
- * The order of creation of two records is not the order of their processes' starts: a record is created anew after it
- * lapsed, or when a write of a process that has ended is carried out late. So it alone keeps new flows away from the
- * probable loser, which costs callers nothing, and never ends open flows. These end only where the record is gone as
- * well, did not merely lapse, and no sign of life came since. A daemon that has just started knows a record only as it
- * was created last, so it decides no end before a peer has told it how long each back end has been known.
+ * Two records need not have been created in the order in which their processes started: a record is created anew after
+ * it lapsed, or when a write of a process that has ended is carried out late. The order of creation alone therefore
+ * only keeps new flows away from the back end that probably ended, which costs callers nothing; it never ends open
+ * flows. Open flows end only if, in addition, the record is gone, it did not merely lapse, and no sign of life came
+ * since. A daemon that has just started knows only the last creation of each record. It therefore declares no back end
+ * ended until peers have sent the first creation of each.
  *
- * Every input is present knowledge: the outcome is revised whenever that changes.
+ * A decision depends only on the present state and is made again whenever that changes.
  */
 import type { KnownBackend } from '../routing/index.js';
 
 /**
- * `undisputed`: no other back end probably listens at its address. `disputed`: another one probably does, so no new
- * flows; open ones go on. `superseded`: it has ended.
+ * `undisputed`: probably no other back end listens at its address. `disputed`: another one probably does, so it gets no
+ * new flows, but its open flows continue. `superseded`: it has ended.
  */
-export type AddressStanding = 'undisputed' | 'disputed' | 'superseded';
+export type AddressStatus = 'undisputed' | 'disputed' | 'superseded';
 
-/** A back end among those at its address. */
-export interface AddressRequest {
+/** A back end, the others at its address, and the evidence about it. */
+export interface AddressStatusInput {
   readonly backend: KnownBackend;
-  /** All that are known there; `backend` may be among them. */
-  readonly sharing: Iterable<KnownBackend>;
-  /** When it last gave a sign of life; -Infinity if never. */
+  /** All back ends that are known at the address; may include `backend`. */
+  readonly backendsAtAddress: Iterable<KnownBackend>;
+  /** Time of the last sign of life of `backend`; -Infinity if none. */
   readonly lastSignOfLifeMs: number;
-  /** True once this daemon knows how long each back end has been known. */
-  readonly knowsCreations: boolean;
+  /** True once this daemon has received from its peers when each back end was first created. */
+  readonly hasCreationHistory: boolean;
 }
 
-/** The standing of a back end, and the one at its address that it gives way to. */
-export interface AddressOutcome {
-  readonly standing: AddressStanding;
+/** The status of a back end, and the back end that probably listens at its address instead. */
+export interface AddressDecision {
+  readonly status: AddressStatus;
   readonly successor?: KnownBackend;
 }
 
-/** The standing of one of the back ends at an address. */
-export function decideStanding(request: AddressRequest): AddressOutcome {
-  const { backend } = request;
-  let rival: KnownBackend | undefined;
-  for (const other of request.sharing) {
+/** Decides the status of one of the back ends at an address. */
+export function decideAddressStatus(input: AddressStatusInput): AddressDecision {
+  const { backend } = input;
+  let likelierListener: KnownBackend | undefined;
+  for (const other of input.backendsAtAddress) {
     if (other === backend) continue;
-    if (wasCreatedLater(other, backend) && hasEnded(request))
-      return { standing: 'superseded', successor: other };
-    if (isLikelier(other, backend)) rival ??= other;
+    if (wasCreatedLater(other, backend) && hasCertainlyEnded(input))
+      return { status: 'superseded', successor: other };
+    if (isLikelierListener(other, backend)) likelierListener ??= other;
   }
-  return rival ? { standing: 'disputed', successor: rival } : { standing: 'undisputed' };
+  return likelierListener ? { status: 'disputed', successor: likelierListener } : { status: 'undisputed' };
 }
 
-/** True when nothing speaks for a back end beside which a later one is known. */
-function hasEnded({ backend, lastSignOfLifeMs, knowsCreations }: AddressRequest): boolean {
-  if (!knowsCreations || !backend.departed || backend.lapsed) return false;
+/**
+ * True when the record was removed rather than lapsed, and no sign of life came after that. Call it only if a back end
+ * that was created later is known at the address.
+ */
+function hasCertainlyEnded({ backend, lastSignOfLifeMs, hasCreationHistory }: AddressStatusInput): boolean {
+  if (!hasCreationHistory || !backend.departed || backend.lapsed) return false;
   return lastSignOfLifeMs <= (backend.departedAtMs ?? Number.NEGATIVE_INFINITY);
 }
 
@@ -62,10 +66,11 @@
 }
 
 /**
- * True when `other` rather than `backend` listens at their address. One that is recorded goes before one that left: a
- * process that starts again under its id may keep the revision of its creation.
+ * True when `other` probably listens at the address rather than `backend`. A recorded back end takes precedence over a
+ * departed one regardless of their creation: a process that restarts under its id may keep the revision of its
+ * creation.
  */
-function isLikelier(other: KnownBackend, backend: KnownBackend): boolean {
+function isLikelierListener(other: KnownBackend, backend: KnownBackend): boolean {
   if (other.departed !== backend.departed) return backend.departed;
   return wasCreatedLater(other, backend);
 }
--- a/src/cookie-edge/backend-health/backend-prober.ts
+++ b/src/cookie-edge/backend-health/backend-prober.ts
@@ -1,25 +1,25 @@
 /**
  * Sends probes: connections that test whether a process listens at a back end's address. Owns the count of probes;
- * `dead-verdict.ts` decides what they mean. Relies on the pause detector to recognize a pause of this process, in which
- * an answer may have been missed.
+ * `dead-verdict.ts` interprets their results. Relies on the pause detector, because this process may miss an answer
+ * while it is paused.
  */
 import type { Clock } from '../../common/clock.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
 import { pause } from '../../common/pause.js';
 import type { Endpoint } from '../../common/types.js';
 import { PROBE_SPACING_MS, PROBE_TIMEOUT_MS } from './constants.js';
-import { findingOf, findingOfPair } from './dead-verdict.js';
+import { evaluateProbe, combineFindings } from './dead-verdict.js';
 
-/** How a connection to a back end's address ended; `silent`: no response until the timeout. */
+/** How a connection to a back end's address ended; `silent`: no response before the timeout. */
 export type ProbeOutcome = 'answered' | 'refused' | 'silent';
 
-/** Result of one probe or of a pair; `inconclusive` when this process may have paused while the answer came. */
+/** Result of one probe or of a pair; `inconclusive`: this process may have been paused when the answer came. */
 export type ProbeFinding = ProbeOutcome | 'inconclusive';
 
-/** Opens a connection and closes it as soon as it is answered. Never rejects. */
+/** Opens a connection and closes it as soon as the other side answers. Never rejects. */
 export type ConnectProbe = (endpoint: Endpoint, timeoutMs: number) => Promise<ProbeOutcome>;
 
-/** What a prober needs. */
+/** Dependencies of `BackendProber`. */
 export interface BackendProberOptions {
   readonly clock: Clock;
   readonly pauses: PauseDetector;
@@ -33,23 +33,23 @@
   constructor(private readonly options: BackendProberOptions) {}
 
   /** Probes sent since start. */
-  get probes(): number {
+  get probesSent(): number {
     return this.probeCount;
   }
 
   /**
-   * Sends a second probe `PROBE_SPACING_MS` after the first, unless that was answered or refused by then. Never
-   * rejects.
+   * Sends a probe, and a second one `PROBE_SPACING_MS` later unless the first has been answered or refused by then.
+   * Never rejects.
    *
    * @param onUnanswered called just before the second probe is sent
    */
   async probeTwice(endpoint: Endpoint, onUnanswered: () => void): Promise<ProbeFinding> {
-    const first = this.probeOnce(endpoint);
-    const early = await Promise.race([first, pause(this.options.clock, PROBE_SPACING_MS)]);
-    if (early === 'answered' || early === 'refused') return early;
+    const firstProbe = this.probeOnce(endpoint);
+    const earlyResult = await Promise.race([firstProbe, pause(this.options.clock, PROBE_SPACING_MS)]);
+    if (earlyResult === 'answered' || earlyResult === 'refused') return earlyResult;
     onUnanswered();
-    const second = await this.probeOnce(endpoint);
-    return findingOfPair(await first, second);
+    const secondFinding = await this.probeOnce(endpoint);
+    return combineFindings(await firstProbe, secondFinding);
   }
 
   private async probeOnce(endpoint: Endpoint): Promise<ProbeFinding> {
@@ -58,6 +58,6 @@
     this.probeCount += 1;
     const outcome = await probe(endpoint, PROBE_TIMEOUT_MS);
     const nowMs = clock.now();
-    return findingOf(outcome, nowMs - startedMs, pauses.mayHaveWaited(nowMs));
+    return evaluateProbe(outcome, nowMs - startedMs, pauses.mayHaveWaited(nowMs));
   }
 }
--- a/src/cookie-edge/backend-health/constants.ts
+++ b/src/cookie-edge/backend-health/constants.ts
@@ -1,101 +1,100 @@
-/** Timeouts and limits of passive health, of probes and of dead verdicts. Durations are in ms. */
+/** Timeouts and limits of passive health checks, probes and dead verdicts. Durations are in ms. */
 
 /**
- * An opening that its caller has not continued after this long is unanswered. Below the 200 ms after which callers
- * retransmit a SYN. The forwarder checks once a `HOUSEKEEPING_TICK_MS`, so the failure is counted up to that much
+ * An opening that its caller has not continued after this time counts as unanswered. Below the 200 ms after which
+ * callers retransmit a SYN. The forwarder checks every `HOUSEKEEPING_TICK_MS`, so it counts the failure up to one tick
  * later.
  */
-export const OPENING_ANSWER_MS = 150;
+export const OPENING_ANSWER_TIMEOUT_MS = 150;
 
 /**
- * Consecutive failures (unanswered openings, retransmitted data) without a sign of life that eject a back end. A single
- * one may be a lost packet.
+ * Failures (unanswered openings, retransmitted data) without a sign of life between them that eject a back end. A
+ * single failure may be a lost packet.
  */
 export const EJECT_AFTER_FAILURES = 2;
 
-/** First ejection time; each failed trial opening doubles it. */
+/** Length of the first ejection; each failed trial opening doubles it. */
 export const EJECT_MIN_MS = 1_000;
 
-/** Longest ejection time, reached with the fourth ejection without a sign of life between. */
+/** Longest ejection, reached at the fourth one without a sign of life between them. */
 export const EJECT_MAX_MS = 8_000;
 
 /**
- * A back end with failures, but too few to eject it, is suspect this long after the last one. Another daemon's ejection
- * of the same back end counts as new again after this long, too.
+ * A back end with too few failures to eject it stays suspect for this long after the last one. Ejection reports of the
+ * same back end less than this apart count as duplicates.
  */
 export const SUSPECT_MS = 1_000;
 
 /**
- * A back end that another daemon ejected is suspect this long, unless it gives a sign of life here. Spreading gossips
- * an ejection for as long.
+ * A back end that another daemon ejected stays suspect here for this long, unless it gives a sign of life here. Equals
+ * the time for which daemons gossip an ejection.
  */
 export const SHARED_SUSPECT_MS = 2_000;
 
 /**
- * Time constant with which a closed flow's weight decays. Without closed flows a back end that holds no long flows gets
- * every short one, since each has ended before the next one comes.
+ * Time constant of the exponential decay of closed flows in the load. If the load ignored closed flows, a back end
+ * without long flows would get every short flow, because each short flow ends before the next one opens.
  */
-export const CLOSED_FLOW_COUNTS_MS = 2_000;
+export const CLOSED_FLOW_DECAY_MS = 2_000;
 
 /**
- * Timeout of a probe. Longer than packets wait on a link that is not overloaded (500 ms, the platform's own measure),
- * so that a busy link is not taken for a dead back end. A lost packet of a probe costs as much.
+ * Timeout of a probe. Longer than the 500 ms that the platform allows packets to wait on a link that is not overloaded,
+ * so that a busy link does not look like a dead back end. A probe that loses a packet also takes the whole timeout.
  */
 export const PROBE_TIMEOUT_MS = 600;
 
 /**
- * Delay of the second probe after the first. Both must stay unanswered: with a loss of 3% in each direction one probe
- * is lost in 6% of the cases and both in 0.4%. Overlapping probes take 800 ms instead of 1,200 ms one after the other.
+ * Delay of the second probe after the first. Silence counts only if both stay unanswered: with 3% packet loss in each
+ * direction, one probe is lost in 6% of the cases and both in 0.4%. Overlapping probes take 800 ms; probes sent one
+ * after the other would take 1,200 ms.
  */
 export const PROBE_SPACING_MS = 200;
 
-/** Pairs of probes of one back end that may follow each other without a proof. */
+/** Pairs of probes sent to one back end before the prober gives up without a proof. */
 export const MAX_PROBE_PAIRS = 2;
 
-/** Back ends probed at once. Each probe takes a file descriptor here and a connection there. */
+/** Most back ends probed at once. Each probe takes a file descriptor here and a connection at the back end. */
 export const MAX_PROBES_AT_ONCE = 64;
 
-/** A back end that answered a probe is not probed again for this long. */
-export const PROBE_AGAIN_MS = 1_000;
+/** Shortest time from an answered probe to the next probe of the same back end. */
+export const PROBE_COOLDOWN_MS = 1_000;
 
-/** A probe that ends this much after its timeout is inconclusive, because this process stood still. */
-export const PROBE_LATE_MS = 100;
+/** A probe that ends later than its timeout by more than this is inconclusive: this process was paused. */
+export const PROBE_TIMEOUT_SLACK_MS = 100;
 
 /**
- * Lifetime of a dead verdict obtained by probing; later probes renew it. Must exceed `DEAD_RECHECK_MS` plus a pair of
- * probes, which is 1,800 ms.
+ * Lifetime of a dead verdict that follows from probes; later probes renew it. Must exceed `DEAD_RECHECK_DELAY_MS` plus
+ * the time of a pair of probes, together 1,800 ms.
  */
-export const DEAD_VERDICT_MS = 2_000;
+export const DEAD_VERDICT_TTL_MS = 2_000;
 
 /**
- * Delay after which a back end with a dead verdict is probed again. Without it each daemon tries every dead back end
- * with callers' flows when its verdict ends: on a day of 34 s on which 35 back ends of a zone crashed, tries that ended
- * with a reset fell from 834 to 280, together with the change that a refusal alone is a proof (74 daemons, one run
- * each).
+ * Delay before a back end with a dead verdict is probed again. Without these probes each daemon would place callers'
+ * flows at every dead back end when its verdict ends. When 35 back ends of a zone crashed within 34 s, seen by 74
+ * daemons, the probes cut attempts that ended with a reset from 834 to 280, together with the rule that a refusal alone
+ * is a proof.
  */
-export const DEAD_RECHECK_MS = 1_000;
+export const DEAD_RECHECK_DELAY_MS = 1_000;
 
-/** Two deaths in a zone within this time put its other back ends in doubt. */
-export const DEAD_IN_ZONE_MS = 2_000;
+/** Two deaths in a zone within this time cause probes of its other back ends. */
+export const ZONE_DEATH_WINDOW_MS = 2_000;
 
 /**
- * Time after its start in which a daemon has heard from its peers whether they know more of back ends than the source
- * lists, and so how long each has been known.
+ * Uptime after which a daemon has received from its peers whether they know more back ends than the source lists, and
+ * so when each back end was first created.
  */
-export const CREATIONS_LEARNED_MS = 5_000;
+export const CREATION_HISTORY_UPTIME_MS = 5_000;
 
 /**
- * A handshake is slow when it takes longer than `SLOW_HANDSHAKE_FACTOR` times the moving average plus this. Avoiding
- * back ends with a slow handshake cut the requests lost at their last try from 24 to 12 (a trial day, one run each).
+ * A handshake is slow when it takes longer than `SLOW_HANDSHAKE_FACTOR` times the moving average plus this margin.
+ * Avoiding back ends with a slow handshake cut the requests that failed at their last attempt from 24 to 12.
  */
 export const SLOW_HANDSHAKE_MARGIN_MS = 5;
 
-/**
- * Multiple of the moving average; `SLOW_HANDSHAKE_MARGIN_MS` says what was measured.
- */
+/** Multiple of the moving average above which, plus `SLOW_HANDSHAKE_MARGIN_MS`, a handshake is slow. */
 export const SLOW_HANDSHAKE_FACTOR = 2;
 
-/** Weight of the newest handshake in the moving average, which so covers about the last 1 / 0.05 = 20. */
+/** Weight of the newest handshake in the moving average; the average covers about the last 1 / 0.05 = 20 handshakes. */
 export const HANDSHAKE_AVERAGE_WEIGHT = 0.05;
 
 /** Moving average before the first handshake; a handshake is then slow from 45 ms. */
--- a/src/cookie-edge/backend-health/dead-backends-test-support.ts
+++ b/src/cookie-edge/backend-health/dead-backends-test-support.ts
@@ -5,27 +5,27 @@
 import type { ProbeOutcome } from './backend-prober.js';
 
 /** A caller repeats data after this long, in ms. */
-const REPEAT_MS = 200;
+const RETRANSMISSION_DELAY_MS = 200;
 export const REQUEST = { payloadBytes: 100, sequence: 500 };
 
 /** Services that the configuration names: a successor at an address may be of another one. */
 export const SERVICES = ['alpha', 'beta'].map((name) => ({ name, maxConnections: 2_000 }));
 
 /** Addresses of back ends that a probe does not reach, and how it fails there. */
-export type Unreachable = Map<string, ProbeOutcome>;
+export type UnreachableHosts = Map<string, ProbeOutcome>;
 
 /** A harness in which probes take no time and fail as `unreachable` says; `probed` lists their addresses. */
 export function setUp(
   count: number,
-  more: HarnessSurroundings = {},
-): { harness: ForwarderHarness; unreachable: Unreachable; probed: string[] } {
-  const unreachable: Unreachable = new Map();
+  surroundings: HarnessSurroundings = {},
+): { harness: ForwarderHarness; unreachable: UnreachableHosts; probed: string[] } {
+  const unreachable: UnreachableHosts = new Map();
   const probed: string[] = [];
   const probe = ({ host }: Endpoint): Promise<ProbeOutcome> => {
     probed.push(host);
     return Promise.resolve(unreachable.get(host) ?? 'answered');
   };
-  const harness = new ForwarderHarness(new VirtualClock(), 1, [], { probe, ...more });
+  const harness = new ForwarderHarness(new VirtualClock(), 1, [], { probe, ...surroundings });
   harness.know(backends(count), { services: SERVICES });
   return { harness, unreachable, probed };
 }
@@ -36,21 +36,21 @@
 }
 
 /** Lets probes that take no time end. */
-export function probesEnd(): Promise<void> {
+export function waitForProbes(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
 /** Lets `milliseconds` pass in small steps; probes that end meanwhile are dealt with. */
-export async function pass(clock: VirtualClock, milliseconds: number): Promise<void> {
+export async function advanceInSteps(clock: VirtualClock, milliseconds: number): Promise<void> {
   const STEP_MS = 50;
-  for (let passedMs = 0; passedMs < milliseconds; passedMs += STEP_MS) {
+  for (let elapsedMs = 0; elapsedMs < milliseconds; elapsedMs += STEP_MS) {
     clock.advance(STEP_MS);
-    await probesEnd();
+    await waitForProbes();
   }
 }
 
 /** Opens flows until each of the `ids` has one; ports and cookies by back end. */
-export function openAt(
+export function openFlowAtEach(
   harness: ForwarderHarness,
   fromPort = 41_000,
 ): Map<string, { port: number; cookie: number }> {
@@ -63,16 +63,16 @@
 }
 
 /** The caller of a flow sends a request and repeats it; others of the harness's flows show signs of life. */
-export async function repeatRequest(
+export async function retransmitRequest(
   harness: ForwarderHarness,
   flow: { port: number; cookie: number },
-  alive: readonly { port: number; cookie: number }[],
+  aliveFlows: readonly { port: number; cookie: number }[],
 ): Promise<void> {
   harness.goOn(flow.port, flow.cookie, REQUEST);
-  harness.clock.advance(REPEAT_MS);
+  harness.clock.advance(RETRANSMISSION_DELAY_MS);
   harness.goOn(flow.port, flow.cookie, REQUEST);
-  for (const [index, { port, cookie }] of alive.entries()) {
+  for (const [index, { port, cookie }] of aliveFlows.entries()) {
     harness.goOn(port, cookie, { acknowledgement: 1_000 + index + harness.clock.now() });
   }
-  await probesEnd();
+  await waitForProbes();
 }
--- a/src/cookie-edge/backend-health/dead-backends.test.ts
+++ b/src/cookie-edge/backend-health/dead-backends.test.ts
@@ -10,13 +10,13 @@
 import { PROBE_SPACING_MS, PROBE_TIMEOUT_MS } from './constants.js';
 import {
   hostOf,
-  openAt,
-  pass,
-  probesEnd,
-  repeatRequest,
+  openFlowAtEach,
+  advanceInSteps,
+  waitForProbes,
+  retransmitRequest,
   REQUEST,
   setUp,
-  type Unreachable,
+  type UnreachableHosts,
 } from './dead-backends-test-support.js';
 
 const DEAD_EVENT = 1259;
@@ -25,12 +25,12 @@
 for (const outcome of ['silent', 'refused'] as const) {
   test(`a back end whose connections are ${outcome} gets its flows reset, idle ones included, and no new ones`, async (t) => {
     const { harness, unreachable } = setUp(3);
-    const flows = openAt(harness);
-    const atA = harness.sent.filter(({ backend }) => backend === 'a').length;
+    const flows = openFlowAtEach(harness);
+    const packetsToA = harness.sent.filter(({ backend }) => backend === 'a').length;
     unreachable.set(hostOf('a'), outcome);
-    await repeatRequest(harness, flows.get('a')!, [flows.get('b')!]);
+    await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
     t.true(harness.events().includes(DEAD_EVENT));
-    t.is(harness.resets.length, 4, `all of 12 flows over 3 back ends (${atA} packets)`);
+    t.is(harness.resets.length, 4, `all of 12 flows over 3 back ends (${packetsToA} packets)`);
     t.is(harness.events().filter((number) => number === RESET_EVENT).length, 4);
     const later = Array.from({ length: 12 }, (_unused, index) => harness.open(42_000 + index)?.backend);
     t.false(later.includes('a'));
@@ -39,10 +39,10 @@
 
 test('an opening at a back end that is proved dead is not reset: a copy of its SYN may be open elsewhere', async (t) => {
   const { harness, unreachable } = setUp(2);
-  const flows = openAt(harness);
+  const flows = openFlowAtEach(harness);
   const opening = [44_000, 44_001, 44_002].find((port) => harness.open(port)?.backend === 'a');
   unreachable.set(hostOf('a'), 'refused');
-  await repeatRequest(harness, flows.get('a')!, [flows.get('b')!]);
+  await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
   t.true(harness.resets.length > 0);
   t.not(opening, undefined);
   t.false(harness.resets.some(({ sourcePort }) => sourcePort === opening));
@@ -51,20 +51,20 @@
 
 test('a reset names the caller of the flow and its last acknowledgement', async (t) => {
   const { harness, unreachable } = setUp(2);
-  const flows = openAt(harness);
+  const flows = openFlowAtEach(harness);
   const { port, cookie } = flows.get('a')!;
   harness.goOn(port, cookie, { acknowledgement: 77_777 });
   unreachable.set(hostOf('a'), 'refused');
-  await repeatRequest(harness, flows.get('a')!, [flows.get('b')!]);
+  await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
   const reset = harness.resets.find(({ sourcePort }) => sourcePort === port);
   t.like(reset, { sourceAddress: 0x64400007, destinationPort: 8_443, acknowledgement: 77_777 });
 });
 
 test('a busy back end, which acknowledges late but answers a connection, keeps its flows', async (t) => {
   const { harness, probed } = setUp(3);
-  const flows = openAt(harness);
+  const flows = openFlowAtEach(harness);
   for (let round = 0; round < 5; round += 1) {
-    await repeatRequest(harness, flows.get('a')!, [flows.get('b')!]);
+    await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
     harness.clock.advance(1_000);
   }
   t.true(probed.length > 0);
@@ -73,54 +73,54 @@
 
 test('a refused connection is a proof though no other back end shows signs of life just then', async (t) => {
   const { harness, unreachable } = setUp(2);
-  const flows = openAt(harness);
+  const flows = openFlowAtEach(harness);
   unreachable.set(hostOf('a'), 'refused');
   harness.clock.advance(1_000);
-  await repeatRequest(harness, flows.get('a')!, []);
+  await retransmitRequest(harness, flows.get('a')!, []);
   t.is(harness.resets.length, 6);
 });
 
 test('a balancer that reaches nobody resets nothing', async (t) => {
   const { harness, unreachable } = setUp(3);
-  const flows = openAt(harness);
+  const flows = openFlowAtEach(harness);
   for (const id of ['a', 'b', 'c']) unreachable.set(hostOf(id), 'silent');
   harness.clock.advance(1_000);
-  for (const flow of flows.values()) await repeatRequest(harness, flow, []);
+  for (const flow of flows.values()) await retransmitRequest(harness, flow, []);
   t.is(harness.resets.length, 0);
 });
 
 /** A harness in which a probe that stays unanswered takes its whole time-out. */
-function setUpTimed(count: number): {
+function setUpTimedProbes(count: number): {
   harness: ForwarderHarness;
-  flows: ReturnType<typeof openAt>;
-  unreachable: Unreachable;
+  flows: ReturnType<typeof openFlowAtEach>;
+  unreachable: UnreachableHosts;
 } {
   const clock = new VirtualClock();
-  const unreachable: Unreachable = new Map();
+  const unreachable: UnreachableHosts = new Map();
   const probe = async ({ host }: Endpoint, timeoutMs: number): Promise<ProbeOutcome> => {
     const outcome = unreachable.get(host) ?? 'answered';
     if (outcome === 'silent') await pause(clock, timeoutMs);
     return outcome;
   };
   const harness = new ForwarderHarness(clock, 1, [], { probe }).know(backends(count));
-  return { harness, flows: openAt(harness), unreachable };
+  return { harness, flows: openFlowAtEach(harness), unreachable };
 }
 
 /** Two back ends, of which `a` answers nothing any more. */
-function setUpSilent(): Omit<ReturnType<typeof setUpTimed>, 'unreachable'> {
-  const { harness, flows, unreachable } = setUpTimed(2);
+function setUpSilent(): Omit<ReturnType<typeof setUpTimedProbes>, 'unreachable'> {
+  const { harness, flows, unreachable } = setUpTimedProbes(2);
   unreachable.set(hostOf('a'), 'silent');
   return { harness, flows };
 }
 
 test('others are told when the first probe is unanswered so far, and not again with the proof a moment later', async (t) => {
   const { harness, flows } = setUpSilent();
-  await repeatRequest(harness, flows.get('a')!, [flows.get('b')!]);
-  await pass(harness.clock, PROBE_SPACING_MS - 50);
+  await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
+  await advanceInSteps(harness.clock, PROBE_SPACING_MS - 50);
   t.deepEqual(harness.gossipedEjections, []);
-  await pass(harness.clock, 50);
+  await advanceInSteps(harness.clock, 50);
   t.deepEqual(harness.gossipedEjections, ['a']);
-  await pass(harness.clock, PROBE_TIMEOUT_MS);
+  await advanceInSteps(harness.clock, PROBE_TIMEOUT_MS);
   t.deepEqual(harness.gossipedEjections, ['a']);
   t.is(harness.resets.length, 6);
 });
@@ -128,8 +128,8 @@
 test('nobody is told of a doubt while no other back end shows signs of life', async (t) => {
   const { harness, flows } = setUpSilent();
   harness.clock.advance(1_000);
-  await repeatRequest(harness, flows.get('a')!, []);
-  await pass(harness.clock, PROBE_SPACING_MS + 50);
+  await retransmitRequest(harness, flows.get('a')!, []);
+  await advanceInSteps(harness.clock, PROBE_SPACING_MS + 50);
   t.deepEqual(harness.gossipedEjections, []);
 });
 
@@ -137,16 +137,16 @@
   const { harness, flows } = setUpSilent();
   harness.forwarder.applyEjectionReport('a', harness.clock.now());
   harness.goOn(flows.get('b')!.port, flows.get('b')!.cookie, { acknowledgement: 9_000 });
-  await pass(harness.clock, PROBE_SPACING_MS + 100);
+  await advanceInSteps(harness.clock, PROBE_SPACING_MS + 100);
   t.deepEqual(harness.gossipedEjections, []);
 });
 
 test('the second probe does not wait for the time-out of the first', async (t) => {
   const { harness, flows } = setUpSilent();
-  await repeatRequest(harness, flows.get('a')!, [flows.get('b')!]);
-  await pass(harness.clock, PROBE_TIMEOUT_MS + PROBE_SPACING_MS - 50);
+  await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
+  await advanceInSteps(harness.clock, PROBE_TIMEOUT_MS + PROBE_SPACING_MS - 50);
   t.is(harness.resets.length, 0, 'one unanswered probe is no proof');
-  await pass(harness.clock, 50);
+  await advanceInSteps(harness.clock, 50);
   t.is(harness.resets.length, 6);
 });
 
@@ -160,9 +160,9 @@
     return isFirst ? 'answered' : 'silent';
   };
   const harness = new ForwarderHarness(clock, 1, [], { probe }).know(backends(2));
-  const flows = openAt(harness);
-  await repeatRequest(harness, flows.get('a')!, [flows.get('b')!]);
-  await pass(clock, 3 * PROBE_TIMEOUT_MS);
+  const flows = openFlowAtEach(harness);
+  await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
+  await advanceInSteps(clock, 3 * PROBE_TIMEOUT_MS);
   t.is(sent, 2);
   t.is(harness.resets.length, 0);
 });
@@ -175,8 +175,8 @@
       return Promise.resolve('silent');
     },
   });
-  const flows = openAt(harness);
-  await repeatRequest(harness, flows.get('a')!, [flows.get('b')!]);
+  const flows = openFlowAtEach(harness);
+  await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
   t.is(harness.resets.length, 0);
 });
 
@@ -187,71 +187,71 @@
       return Promise.resolve('silent');
     },
   });
-  const flows = openAt(harness);
-  await repeatRequest(harness, flows.get('a')!, [flows.get('b')!]);
+  const flows = openFlowAtEach(harness);
+  await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
   t.is(harness.resets.length, 0);
 });
 
 /** Lets time pass while callers of the other back ends go on, and new flows are opened; returns where these went. */
-async function openMeanwhile(
+async function openFlowsDuring(
   harness: ForwarderHarness,
-  alive: readonly { port: number; cookie: number }[],
+  aliveFlows: readonly { port: number; cookie: number }[],
   milliseconds: number,
   fromPort: number,
 ): Promise<Set<string | undefined>> {
   const STEP_MS = 50;
-  const chosen = new Set<string | undefined>();
+  const chosenBackends = new Set<string | undefined>();
   for (let step = 0; step * STEP_MS < milliseconds; step += 1) {
-    for (const { port, cookie } of alive) {
+    for (const { port, cookie } of aliveFlows) {
       harness.goOn(port, cookie, { acknowledgement: 100_000 + harness.clock.now() });
     }
-    chosen.add(harness.open(fromPort + step)?.backend);
-    await pass(harness.clock, STEP_MS);
+    chosenBackends.add(harness.open(fromPort + step)?.backend);
+    await advanceInSteps(harness.clock, STEP_MS);
   }
-  return chosen;
+  return chosenBackends;
 }
 
 for (const outcome of ['silent', 'refused'] as const) {
   test(`no caller's flow has to try a back end whose connections stay ${outcome}, and others are told again`, async (t) => {
-    const { harness, flows, unreachable } = setUpTimed(3);
-    const alive = [flows.get('b')!, flows.get('c')!];
+    const { harness, flows, unreachable } = setUpTimedProbes(3);
+    const aliveFlows = [flows.get('b')!, flows.get('c')!];
     unreachable.set(hostOf('a'), outcome);
-    await repeatRequest(harness, flows.get('a')!, alive);
-    await openMeanwhile(harness, alive, PROBE_SPACING_MS + PROBE_TIMEOUT_MS, 42_000);
-    t.false((await openMeanwhile(harness, alive, 7_000, 43_000)).has('a'));
+    await retransmitRequest(harness, flows.get('a')!, aliveFlows);
+    await openFlowsDuring(harness, aliveFlows, PROBE_SPACING_MS + PROBE_TIMEOUT_MS, 42_000);
+    t.false((await openFlowsDuring(harness, aliveFlows, 7_000, 43_000)).has('a'));
     t.true(harness.gossipedEjections.filter((id) => id === 'a').length >= 5);
   });
 }
 
 test('a back end that was held dead gets flows again as soon as a probe is answered', async (t) => {
   const { harness, unreachable } = setUp(3);
-  const flows = openAt(harness);
-  const alive = [flows.get('b')!, flows.get('c')!];
+  const flows = openFlowAtEach(harness);
+  const aliveFlows = [flows.get('b')!, flows.get('c')!];
   unreachable.set(hostOf('a'), 'refused');
-  await repeatRequest(harness, flows.get('a')!, alive);
+  await retransmitRequest(harness, flows.get('a')!, aliveFlows);
   unreachable.delete(hostOf('a'));
-  t.false((await openMeanwhile(harness, alive, 900, 43_000)).has('a'));
-  t.true((await openMeanwhile(harness, alive, 600, 44_000)).has('a'));
+  t.false((await openFlowsDuring(harness, aliveFlows, 900, 43_000)).has('a'));
+  t.true((await openFlowsDuring(harness, aliveFlows, 600, 44_000)).has('a'));
 });
 
 test('an answer of the process that took over an address does not bring the earlier one back', async (t) => {
   const { harness, unreachable } = setUp(3);
-  const flows = openAt(harness);
-  const alive = [flows.get('b')!, flows.get('c')!];
+  const flows = openFlowAtEach(harness);
+  const aliveFlows = [flows.get('b')!, flows.get('c')!];
   unreachable.set(hostOf('a'), 'refused');
-  await repeatRequest(harness, flows.get('a')!, alive);
+  await retransmitRequest(harness, flows.get('a')!, aliveFlows);
   const successor = backendAt('z', 20, { endpoint: { host: hostOf('a'), port: 8_080 }, service: 'beta' });
   const origin = { since: 10, confirmedAtMs: 0, mayHaveLapsed: false };
   harness.knowledge.apply('backends', updateAt(20, { backends: [successor] }), origin);
   unreachable.delete(hostOf('a'));
-  t.false((await openMeanwhile(harness, alive, 4_000, 43_000)).has('a'));
+  t.false((await openFlowsDuring(harness, aliveFlows, 4_000, 43_000)).has('a'));
 });
 
 test('a packet of a flow that another balancer placed at a dead back end is answered with a reset', async (t) => {
   const { harness, unreachable } = setUp(2);
-  const flows = openAt(harness);
+  const flows = openFlowAtEach(harness);
   unreachable.set(hostOf('a'), 'refused');
-  await repeatRequest(harness, flows.get('a')!, [flows.get('b')!]);
+  await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
   t.is(harness.goOn(49_999, flows.get('a')!.cookie, REQUEST)?.backend, undefined);
   harness.clock.advance(2_500);
   t.is(harness.goOn(49_999, flows.get('a')!.cookie, REQUEST)?.backend, 'a', 'the proof has expired');
@@ -261,13 +261,13 @@
   const { harness, unreachable, probed } = setUp(0);
   const zones = ['north', 'north', 'north', 'south', 'south', 'south'];
   harness.know(backends(6).map((backend, index) => ({ ...backend, zone: zones[index]! })));
-  const flows = openAt(harness);
+  const flows = openFlowAtEach(harness);
   for (const id of ['a', 'b', 'c']) unreachable.set(hostOf(id), 'silent');
-  await repeatRequest(harness, flows.get('a')!, [flows.get('d')!]);
+  await retransmitRequest(harness, flows.get('a')!, [flows.get('d')!]);
   t.false(probed.includes(hostOf('c')));
-  await repeatRequest(harness, flows.get('b')!, [flows.get('d')!]);
+  await retransmitRequest(harness, flows.get('b')!, [flows.get('d')!]);
   harness.goOn(flows.get('d')!.port, flows.get('d')!.cookie, { acknowledgement: 90_000 });
-  await probesEnd();
+  await waitForProbes();
   t.true(probed.includes(hostOf('c')));
   t.false(probed.includes(hostOf('e')));
 });
--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -1,7 +1,7 @@
 /**
- * Probes back ends in doubt, carries out the dead verdicts that `dead-verdict.ts` decides, and has the flows reset that
- * are open there. Owns the probes under way and the verdicts that are renewed. Relies on `LocalBackendStates` for signs
- * of life.
+ * Probes back ends that may be dead, applies the verdicts that `dead-verdict.ts` decides, and has the open flows at
+ * dead back ends reset. Owns the probes in progress and the renewal of verdicts. Relies on `LocalBackendStates` for
+ * signs of life.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import { pause } from '../../common/pause.js';
@@ -9,13 +9,13 @@
 import { COOKIE_FLOW_EVENTS } from '../forwarding/events.js';
 import type { KnownBackend } from '../routing/index.js';
 import { BackendProber, type BackendProberOptions, type ProbeFinding } from './backend-prober.js';
-import { DEAD_RECHECK_MS, DEAD_VERDICT_MS, MAX_PROBE_PAIRS } from './constants.js';
+import { DEAD_RECHECK_DELAY_MS, DEAD_VERDICT_TTL_MS, MAX_PROBE_PAIRS } from './constants.js';
 import {
   decideProbe,
-  judgeProbes,
-  judgeRecheck,
-  othersAnswerSince,
-  putsZoneInDoubt,
+  concludeProbes,
+  decideRecheck,
+  haveOthersAnsweredSince,
+  isSecondZoneDeath,
   type DeathFinding,
   type ZoneDeath,
 } from './dead-verdict.js';
@@ -23,25 +23,25 @@
 import type { LocalBackendState } from './local-backend-state.js';
 import type { LocalBackendStates } from './local-backend-states.js';
 
-/** What probing and verdicts act on. */
+/** Dependencies of `DeadBackends`. */
 interface DeadBackendsOptions extends BackendProberOptions {
   readonly isOn: MechanismCheck;
   readonly states: LocalBackendStates;
   readonly resetter: FlowResetter;
   readonly events: EventLog;
-  /** Called with each back end that is or may be dead, to gossip it: other daemons with flows there probe it too. */
+  /** Called with each back end that is or may be dead, to gossip it, so that daemons with flows there probe it too. */
   readonly onDoubt: (backendId: string, nowMs: number) => void;
 }
 
-/** The dead back ends of one daemon. Times are monotonic ms. */
+/** Detects dead back ends for one daemon. Times are monotonic ms. */
 export class DeadBackends {
-  /** Back ends that are being probed. */
+  /** Back ends with probes in progress. */
   private readonly probing = new Set<LocalBackendState>();
   /** When a back end last answered a probe. */
   private readonly answeredAtMs = new Map<LocalBackendState, number>();
-  /** The last back end of each zone that was found dead by probes, and when. */
-  private readonly deaths = new Map<string, ZoneDeath<LocalBackendState>>();
-  /** Back ends whose verdict is being renewed. */
+  /** The last death that probes found in each zone. */
+  private readonly lastDeathByZone = new Map<string, ZoneDeath<LocalBackendState>>();
+  /** Back ends for which `renewVerdict` runs. */
   private readonly renewing = new Set<LocalBackendState>();
   private readonly prober: BackendProber;
 
@@ -51,10 +51,10 @@
 
   /** Probes sent since start. */
   get probes(): number {
-    return this.prober.probes;
+    return this.prober.probesSent;
   }
 
-  /** Probes a back end that may be dead, where `decideProbe` says so. */
+  /** Probes a back end that may be dead, if `decideProbe` allows it. */
   probeIfInDoubt(state: LocalBackendState): void {
     if (!this.options.isOn('dead-back-ends')) return;
     const nowMs = this.options.clock.now();
@@ -63,84 +63,97 @@
       openFlows: state.openFlows,
       isDead: state.isDead(nowMs),
       isProbing: this.probing.has(state),
-      probing: this.probing.size,
-      answeredAtMs: this.answeredAtMs.get(state) ?? Number.NEGATIVE_INFINITY,
+      backendsProbed: this.probing.size,
+      lastAnswerAtMs: this.answeredAtMs.get(state) ?? Number.NEGATIVE_INFINITY,
     });
     if (decision !== 'probe') return;
     this.probing.add(state);
-    void this.check(state).finally(() => this.probing.delete(state));
+    void this.probeUntilDecided(state).finally(() => this.probing.delete(state));
   }
 
-  /** Forgets a back end. */
+  /** Discards what probes found about a back end. */
   forget(backend: KnownBackend): void {
     this.answeredAtMs.delete(this.options.states.of(backend));
   }
 
-  /** Probes until the back end answers, gives another sign of life, or is proved dead. */
-  private async check(state: LocalBackendState): Promise<void> {
+  /**
+   * Probes until the back end answers, gives another sign of life or is declared dead; gives up after
+   * `MAX_PROBE_PAIRS`.
+   */
+  private async probeUntilDecided(state: LocalBackendState): Promise<void> {
     const { clock } = this.options;
-    const sinceMs = clock.now();
+    const probesStartedMs = clock.now();
     for (let count = 0; count < MAX_PROBE_PAIRS; count += 1) {
       const finding = await this.probeTwice(state);
-      if (!this.options.states.keeps(state)) return;
-      const judgement = judgeProbes(finding, {
-        sinceMs,
+      if (!this.options.states.isCurrent(state)) return;
+      const conclusion = concludeProbes(finding, {
+        startedMs: probesStartedMs,
         lastSignOfLifeMs: state.lastSignOfLifeMs,
-        othersAliveMs: this.options.states.othersAliveMs(state),
+        othersLastSignOfLifeMs: this.options.states.othersLastSignOfLifeMs(state),
       });
-      if (judgement === 'answered') this.answeredAtMs.set(state, clock.now());
-      else if (judgement === 'refused' || judgement === 'silent') this.declareWithZone(state, judgement);
-      if (judgement !== 'unproved') return;
+      if (conclusion === 'answered') this.answeredAtMs.set(state, clock.now());
+      else if (conclusion === 'refused' || conclusion === 'silent') this.declareDead(state, conclusion);
+      if (conclusion !== 'unproved') return;
     }
   }
 
   private probeTwice(state: LocalBackendState): Promise<ProbeFinding> {
-    const sinceMs = this.options.clock.now();
-    return this.prober.probeTwice(state.backend.record.endpoint, () => this.gossipDoubt(state, sinceMs));
+    const probesStartedMs = this.options.clock.now();
+    return this.prober.probeTwice(state.backend.record.endpoint, () =>
+      this.gossipUnansweredProbe(state, probesStartedMs),
+    );
   }
 
   /**
    * Gossips a back end that has not answered its first probe, so that other daemons with flows there probe it without
-   * waiting for failures of their own. Does nothing while no other back end answers either, since this daemon may be
-   * the one that is cut off.
+   * waiting for failures of their own. Does nothing while no other back end answers either, because this daemon itself
+   * may be cut off, or while this process may have been paused.
    */
-  private gossipDoubt(state: LocalBackendState, sinceMs: number): void {
+  private gossipUnansweredProbe(state: LocalBackendState, probesStartedMs: number): void {
     const nowMs = this.options.clock.now();
-    const othersAliveMs = this.options.states.othersAliveMs(state);
-    if (!othersAnswerSince(sinceMs, othersAliveMs) || this.options.pauses.mayHaveWaited(nowMs)) return;
-    this.gossip(state, nowMs);
+    const othersLastSignOfLifeMs = this.options.states.othersLastSignOfLifeMs(state);
+    if (
+      !haveOthersAnsweredSince(probesStartedMs, othersLastSignOfLifeMs) ||
+      this.options.pauses.mayHaveWaited(nowMs)
+    )
+      return;
+    this.gossipEjection(state, nowMs);
   }
 
-  /** Gossips that a back end is or may be dead, unless any daemon's report says so already. */
-  private gossip(state: LocalBackendState, nowMs: number): void {
+  /** Gossips that a back end is or may be dead, unless this or another daemon has just reported it. */
+  private gossipEjection(state: LocalBackendState, nowMs: number): void {
     if (state.applyEjectionReport(nowMs)) this.options.onDoubt(state.backend.id, nowMs);
   }
 
   /**
-   * Renews and gossips a verdict as long as further probes prove it, so that no caller's flow is spent on a trial. Ends
-   * with an answered probe, or when the verdict lapses.
+   * Probes a dead back end again and again, and renews and gossips its verdict while the probes confirm it, so that no
+   * caller's flow serves as a trial. Stops when the back end answers a probe or when the verdict lapses.
    */
   private async renewVerdict(state: LocalBackendState): Promise<void> {
     const { clock } = this.options;
     for (;;) {
-      await pause(clock, DEAD_RECHECK_MS);
-      if (!this.mayRenew(state)) return;
-      const sinceMs = clock.now();
+      await pause(clock, DEAD_RECHECK_DELAY_MS);
+      if (!this.canRenew(state)) return;
+      const probesStartedMs = clock.now();
       const finding = await this.probeTwice(state);
-      if (!this.mayRenew(state)) return;
-      const decision = judgeRecheck(finding, sinceMs, this.options.states.othersAliveMs(state));
+      if (!this.canRenew(state)) return;
+      const decision = decideRecheck(
+        finding,
+        probesStartedMs,
+        this.options.states.othersLastSignOfLifeMs(state),
+      );
       if (decision === 'revive') return this.endVerdict(state);
       if (decision === 'lapse') return;
-      state.renewDeadVerdict(clock.now() + DEAD_VERDICT_MS);
-      this.gossip(state, clock.now());
+      state.renewDeadVerdict(clock.now() + DEAD_VERDICT_TTL_MS);
+      this.gossipEjection(state, clock.now());
     }
   }
 
   /**
-   * False for a departed back end, for one whose verdict has ended, and for one at whose address another one probably
-   * listens, whose answers to probes would revive it.
+   * False for a departed back end and for one whose verdict has ended. Also false if another back end probably listens
+   * at the same address, because its answers to probes would revive the dead one.
    */
-  private mayRenew(state: LocalBackendState): boolean {
+  private canRenew(state: LocalBackendState): boolean {
     const isUndisputed = state.standing === 'undisputed';
     return isUndisputed && !state.backend.departed && state.isDead(this.options.clock.now());
   }
@@ -154,21 +167,21 @@
     this.options.events.emit(COOKIE_FLOW_EVENTS.backendRevived, { backend: backend.id });
   }
 
-  /** Declares a back end dead by probes, and probes the rest of its zone where `putsZoneInDoubt` says so. */
-  private declareWithZone(state: LocalBackendState, proof: DeathFinding): void {
+  /** Declares a back end dead, and probes the rest of its zone if `isSecondZoneDeath` holds. */
+  private declareDead(state: LocalBackendState, proof: DeathFinding): void {
     const nowMs = this.options.clock.now();
-    state.recordDeadVerdict(proof, nowMs, nowMs + DEAD_VERDICT_MS);
+    state.recordDeadVerdict(proof, nowMs, nowMs + DEAD_VERDICT_TTL_MS);
     this.options.resetter.reset(state, proof);
-    this.gossip(state, nowMs);
+    this.gossipEjection(state, nowMs);
     if (!this.renewing.has(state)) {
       this.renewing.add(state);
       void this.renewVerdict(state).finally(() => this.renewing.delete(state));
     }
     const { zone } = state.backend.record;
-    const before = this.deaths.get(zone);
+    const previousDeath = this.lastDeathByZone.get(zone);
     const death = { state, atMs: nowMs };
-    this.deaths.set(zone, death);
-    if (!putsZoneInDoubt(before, death)) return;
+    this.lastDeathByZone.set(zone, death);
+    if (!isSecondZoneDeath(previousDeath, death)) return;
     for (const neighbour of this.options.states.all()) {
       if (neighbour.backend.record.zone === zone) this.probeIfInDoubt(neighbour);
     }
--- a/src/cookie-edge/backend-health/dead-verdict.ts
+++ b/src/cookie-edge/backend-health/dead-verdict.ts
@@ -1,158 +1,162 @@
 /**
- * Rule: when a back end is probed, when it is proved dead, and how long that verdict lasts. Without it each request on
- * an open flow at a dead back end would wait for its caller's deadline: on a day with failing back ends the verdicts
- * cut failed requests from 401 to 95 (one run each, then with two probes of 400 ms). Does no input or output. Times are
- * monotonic ms.
+ * Decides when a back end is probed, when it is declared dead, and when that verdict ends. Without verdicts each
+ * request on an open flow at a dead back end would wait for its caller's deadline: on a day with failing back ends,
+ * verdicts from two probes of 400 ms cut failed requests from 401 to 95. Does no input or output. Times are monotonic
+ * ms.
  *
- * Missing answers to callers' packets are no proof, because a busy back end acknowledges late. Proofs are a refused
- * probe, since a refusal came over a working network; and a pair of silent probes while other back ends give signs of
- * life. Another daemon's proof does not count, because its links may be cut. Whether a later start at its address ended
- * a back end is decided by `address-reuse.ts`.
+ * Missing answers to callers' packets prove nothing, because a busy back end acknowledges late. Two findings are
+ * proof. A refused probe: the refusal came over a working network. A pair of unanswered probes while other back ends
+ * give signs of life. Another daemon's proof does not count, because that daemon's links may be cut.
+ * `address-reuse.ts` decides whether a back end ended because a later process has its address.
  */
 import type { ProbeFinding, ProbeOutcome } from './backend-prober.js';
 import {
-  DEAD_IN_ZONE_MS,
+  ZONE_DEATH_WINDOW_MS,
   MAX_PROBES_AT_ONCE,
-  PROBE_AGAIN_MS,
-  PROBE_LATE_MS,
+  PROBE_COOLDOWN_MS,
+  PROBE_TIMEOUT_SLACK_MS,
   PROBE_TIMEOUT_MS,
 } from './constants.js';
 
-/** What probes find at a back end that is dead. */
+/** A probe finding that proves a back end dead. */
 export type DeathFinding = Exclude<ProbeOutcome, 'answered'>;
 
-/** Why a back end has a dead verdict. */
+/** Proof behind a dead verdict; `superseded`: another back end has its address. */
 export type DeathProof = DeathFinding | 'superseded';
 
-/** What is known of a back end in doubt. */
-export interface ProbeRequest {
+/** State of a back end that may be dead, as far as it decides on a probe. */
+export interface ProbeDecisionInput {
   readonly nowMs: number;
-  /** Flows of this daemon there. */
+  /** Open flows of this daemon at the back end. */
   readonly openFlows: number;
   readonly isDead: boolean;
   readonly isProbing: boolean;
-  /** Back ends that are being probed now. */
-  readonly probing: number;
-  /** When it last answered a probe; -Infinity if never. */
-  readonly answeredAtMs: number;
+  /** Number of back ends with probes in progress. */
+  readonly backendsProbed: number;
+  /** Time of its last answer to a probe; -Infinity if none. */
+  readonly lastAnswerAtMs: number;
 }
 
-/** Whether a back end in doubt is probed, or why not. */
+/** Whether to probe a back end that may be dead, or why not. */
 export type ProbeDecision =
   'probe' | 'no-flows' | 'already-dead' | 'already-probing' | 'too-many-probes' | 'just-answered';
 
 /**
- * Tests for flows first: without any there is nothing to reset. A back end that is not probed now is probed at its next
- * failure.
+ * Decides whether to probe a back end that may be dead. Tests for flows first: without any there is nothing to reset.
+ * If the answer is no, the next failure of the back end asks again.
  */
-export function decideProbe(request: ProbeRequest): ProbeDecision {
-  if (request.openFlows === 0) return 'no-flows';
-  if (request.isDead) return 'already-dead';
-  if (request.isProbing) return 'already-probing';
-  if (request.probing >= MAX_PROBES_AT_ONCE) return 'too-many-probes';
-  return request.nowMs - request.answeredAtMs < PROBE_AGAIN_MS ? 'just-answered' : 'probe';
+export function decideProbe(input: ProbeDecisionInput): ProbeDecision {
+  if (input.openFlows === 0) return 'no-flows';
+  if (input.isDead) return 'already-dead';
+  if (input.isProbing) return 'already-probing';
+  if (input.backendsProbed >= MAX_PROBES_AT_ONCE) return 'too-many-probes';
+  return input.nowMs - input.lastAnswerAtMs < PROBE_COOLDOWN_MS ? 'just-answered' : 'probe';
 }
 
 /**
- * Result of one probe. An answer always counts; anything else only if this process did not pause while an answer may
- * have come.
+ * Evaluates one probe. An answer always counts. A refusal or silence counts only if the probe ended in time and this
+ * process was not paused, since it may have missed an answer while it was.
  */
-export function findingOf(outcome: ProbeOutcome, tookMs: number, mayHavePaused: boolean): ProbeFinding {
+export function evaluateProbe(outcome: ProbeOutcome, tookMs: number, mayHavePaused: boolean): ProbeFinding {
   if (outcome === 'answered') return outcome;
-  return tookMs > PROBE_TIMEOUT_MS + PROBE_LATE_MS || mayHavePaused ? 'inconclusive' : outcome;
+  return tookMs > PROBE_TIMEOUT_MS + PROBE_TIMEOUT_SLACK_MS || mayHavePaused ? 'inconclusive' : outcome;
 }
 
 /**
- * Result of two overlapping probes: an answer outweighs a refusal, and both outweigh silence, which a lost packet may
- * explain.
+ * Combines the findings of two overlapping probes. An answer takes precedence over a refusal, and both over silence,
+ * because a lost packet may explain silence.
  */
-export function findingOfPair(first: ProbeFinding, second: ProbeFinding): ProbeFinding {
+export function combineFindings(first: ProbeFinding, second: ProbeFinding): ProbeFinding {
   if (first === 'answered' || second === 'answered') return 'answered';
   if (first === 'refused' || second === 'refused') return 'refused';
   return first === 'inconclusive' || second === 'inconclusive' ? 'inconclusive' : 'silent';
 }
 
-/** What was seen while probes were under way. */
+/** Observations during a series of probes. */
 interface ProbePeriod {
   /** When the first of the probes was sent. */
-  readonly sinceMs: number;
-  /** Last sign of life of the probed back end, and of any other one. */
+  readonly startedMs: number;
+  /** Last sign of life of the probed back end. */
   readonly lastSignOfLifeMs: number;
-  readonly othersAliveMs: number;
+  /** Last sign of life of any other back end. */
+  readonly othersLastSignOfLifeMs: number;
 }
 
-/** True when others were reached since `sinceMs`, so that silence is not this daemon's own. */
-export function othersAnswerSince(sinceMs: number, othersAliveMs: number): boolean {
-  return othersAliveMs >= sinceMs;
+/** True when another back end answered at `startMs` or later, so that this daemon's own links work. */
+export function haveOthersAnsweredSince(startMs: number, othersLastSignOfLifeMs: number): boolean {
+  return othersLastSignOfLifeMs >= startMs;
 }
 
-/** What a pair of probes leads to; `unproved`: another pair may prove more. */
-export type ProbeJudgement = 'alive' | 'answered' | DeathFinding | 'unproved';
+/** Conclusion from a pair of probes. `alive`: callers saw a sign of life; `unproved`: another pair may prove more. */
+export type ProbeConclusion = 'alive' | 'answered' | DeathFinding | 'unproved';
 
-/** A sign of life in callers' packets comes first: it is newer than the probes. */
-export function judgeProbes(finding: ProbeFinding, period: ProbePeriod): ProbeJudgement {
-  if (period.lastSignOfLifeMs >= period.sinceMs) return 'alive';
+/** Draws the conclusion from a pair of probes. Tests signs of life in callers' packets first: they are newer. */
+export function concludeProbes(finding: ProbeFinding, period: ProbePeriod): ProbeConclusion {
+  if (period.lastSignOfLifeMs >= period.startedMs) return 'alive';
   if (finding === 'answered' || finding === 'refused') return finding;
   if (finding === 'inconclusive') return 'unproved';
-  return othersAnswerSince(period.sinceMs, period.othersAliveMs) ? 'silent' : 'unproved';
+  return haveOthersAnsweredSince(period.startedMs, period.othersLastSignOfLifeMs) ? 'silent' : 'unproved';
 }
 
-/** What probes of a back end with a verdict lead to; `lapse`: the verdict ends by itself at its time. */
+/** What to do with a verdict after further probes; `lapse`: do not renew it, so that it expires. */
 export type RecheckDecision = 'revive' | 'lapse' | 'renew';
 
-/** The proof that was enough for the verdict is needed again to renew it. */
-export function judgeRecheck(finding: ProbeFinding, sinceMs: number, othersAliveMs: number): RecheckDecision {
+/** Decides on a verdict after further probes. A renewal needs the same proof as the verdict. */
+export function decideRecheck(
+  finding: ProbeFinding,
+  probesStartedMs: number,
+  othersLastSignOfLifeMs: number,
+): RecheckDecision {
   if (finding === 'answered') return 'revive';
   if (finding === 'refused') return 'renew';
-  return finding === 'silent' && othersAnswerSince(sinceMs, othersAliveMs) ? 'renew' : 'lapse';
+  return finding === 'silent' && haveOthersAnsweredSince(probesStartedMs, othersLastSignOfLifeMs)
+    ? 'renew'
+    : 'lapse';
 }
 
-/** A death that probes proved. */
+/** A back end that probes proved dead, and when. */
 export interface ZoneDeath<Backend> {
   readonly state: Backend;
   readonly atMs: number;
 }
 
-/**
- * True when a death is the second one of different back ends of a zone within `DEAD_IN_ZONE_MS`: the zone may be cut
- * off.
- */
-export function putsZoneInDoubt<Backend>(
-  before: ZoneDeath<Backend> | undefined,
+/** True when two different back ends of a zone died within `ZONE_DEATH_WINDOW_MS`: the whole zone may be cut off. */
+export function isSecondZoneDeath<Backend>(
+  prior: ZoneDeath<Backend> | undefined,
   death: ZoneDeath<Backend>,
 ): boolean {
-  return before !== undefined && before.state !== death.state && death.atMs - before.atMs < DEAD_IN_ZONE_MS;
+  return prior !== undefined && prior.state !== death.state && death.atMs - prior.atMs < ZONE_DEATH_WINDOW_MS;
 }
 
-/** Why and since when a back end is held dead. */
+/** Why and since when a back end is considered dead. */
 export interface VerdictReason {
   readonly proof: DeathProof;
-  /** When the verdict began; renewals do not change it. */
+  /** Start of the verdict; renewals do not change it. */
   readonly sinceMs: number;
 }
 
 /** The dead verdict of one back end. */
 export class DeadVerdict {
   private untilMs = Number.NEGATIVE_INFINITY;
-  private held: VerdictReason | undefined;
+  private currentReason: VerdictReason | undefined;
 
-  /** The reason of the verdict that is or was last in force. */
+  /** Reason of the current verdict, or of the last one if none is in force. */
   get reason(): VerdictReason | undefined {
-    return this.held;
+    return this.currentReason;
   }
 
-  /** Holds the back end dead until `untilMs`. */
-  hold(reason: VerdictReason, untilMs: number): void {
-    this.held = reason;
+  /** Starts a verdict that expires at `untilMs`. */
+  begin(reason: VerdictReason, untilMs: number): void {
+    this.currentReason = reason;
     this.untilMs = untilMs;
   }
 
-  /** Moves the end of the verdict to `untilMs`. */
+  /** Extends the verdict to `untilMs`. */
   renew(untilMs: number): void {
     this.untilMs = untilMs;
   }
 
-  /** Ends the verdict: any sign of life disproves it. */
+  /** Ends the verdict at once, because a sign of life or an answered probe disproved it. */
   end(): void {
     this.untilMs = Number.NEGATIVE_INFINITY;
   }
--- a/src/cookie-edge/backend-health/flow-resetter.ts
+++ b/src/cookie-edge/backend-health/flow-resetter.ts
@@ -1,6 +1,6 @@
 /**
- * Resets the open flows of a back end that is dead, instead of letting their callers wait for their timeouts, and logs
- * why. Owns nothing; relies on the flow cache to find the flows and on the edge to send the resets.
+ * Resets the open flows of a dead back end, so that their callers need not wait for their timeouts, and logs the
+ * reason. Owns no state; uses the flow cache to find the flows and the edge to send the resets.
  */
 import type { Clock } from '../../common/clock.js';
 import type { CookieEdgePort } from '../../fabric/cookie-edge.js';
@@ -12,7 +12,7 @@
 import type { DeathProof } from './dead-verdict.js';
 import type { LocalBackendState } from './local-backend-state.js';
 
-/** Collaborators. */
+/** Dependencies of `FlowResetter`. */
 interface FlowResetterOptions {
   readonly clock: Clock;
   readonly cache: FlowCache;
@@ -21,19 +21,19 @@
   readonly events: EventLog;
 }
 
-/** Resets flows at dead back ends. */
+/** Resets the open flows at dead back ends. */
 export class FlowResetter {
   constructor(private readonly options: FlowResetterOptions) {}
 
   /**
-   * Resets the flows at a back end that was just found dead.
+   * Resets the flows at a back end that was just declared dead.
    *
-   * @param evidence further fields of the log line
+   * @param evidence additional fields of the log line
    */
   reset(state: LocalBackendState, proof: DeathProof, evidence: EventFields = {}): void {
     const nowMs = this.options.clock.now();
-    // A copy of an opening's SYN may have met another balancer and be open elsewhere, where a reset would end the flow;
-    // the next copy that comes here is placed anew.
+    // Does not reset openings: another daemon may have received a retransmission of the SYN and opened the flow at
+    // another back end, and a reset would end that flow. The next retransmission that arrives here is placed anew.
     const flows = this.options.cache.flowsAt(state).filter(({ phase }) => phase !== 'opening');
     const { backend, lastSignOfLifeMs } = state;
     this.options.events.emit(COOKIE_FLOW_EVENTS.backendDead, {
--- a/src/cookie-edge/backend-health/index.ts
+++ b/src/cookie-edge/backend-health/index.ts
@@ -1,11 +1,11 @@
 /**
- * Health of back ends as this daemon sees it: which ones are ejected, suspect, slow to answer or dead. Owns what is
- * known of each back end and the probes. Relies on forwarding to report answers, failures and placements, on gossip for
- * other daemons' ejections, and on routing for the records.
+ * Health of back ends as this daemon observes it: which ones are ejected, suspect, slow to answer or dead. Owns the
+ * observations of each back end and the probes. Relies on forwarding to report answers, failures and placements, on
+ * gossip for other daemons' ejections, and on routing for the records.
  *
- * One module a rule: `passive-ejection.ts`, `ejection-report.ts`, `slow-handshake.ts`, `dead-verdict.ts` and
- * `address-reuse.ts` decide; `local-backend-state.ts` orders them for one back end; `local-backend-states.ts`,
- * `dead-backends.ts` and `superseded-backends.ts` carry the outcomes out and log them.
+ * Each rule has a module of its own: `passive-ejection.ts`, `ejection-report.ts`, `slow-handshake.ts`,
+ * `dead-verdict.ts` and `address-reuse.ts`. `local-backend-state.ts` combines their decisions for one back end.
+ * `local-backend-states.ts`, `dead-backends.ts` and `superseded-backends.ts` apply the decisions and log them.
  */
 export type { ConnectProbe, ProbeOutcome } from './backend-prober.js';
 export type { LocalBackendState, Liveness } from './local-backend-state.js';
--- a/src/cookie-edge/backend-health/local-backend-state.ts
+++ b/src/cookie-edge/backend-health/local-backend-state.ts
@@ -1,60 +1,60 @@
 /**
- * What this daemon itself observed of one back end: its own flows there, failures and the last sign of life, and from
- * these whether new flows should go there. A sign of life is a caller that continues an opening or acknowledges new
- * data. Owns the observations of one back end; relies on forwarding to report them. The rules stand in
- * `passive-ejection.ts`, `ejection-report.ts`, `dead-verdict.ts`, `address-reuse.ts` and `slow-handshake.ts`; this
- * class only orders them.
+ * Tracks what this daemon itself observes of one back end: its own flows there, failures and the last sign of life.
+ * Derives from these whether the back end should get new flows. A sign of life is a packet of a caller that continues
+ * an opening or acknowledges new data. Owns the observations of one back end; relies on forwarding to report them. The
+ * rules are in `passive-ejection.ts`, `ejection-report.ts`, `dead-verdict.ts`, `address-reuse.ts` and
+ * `slow-handshake.ts`; this class only sets their precedence.
  */
 import { hashString } from '../../common/hash.js';
 import type { KnownBackend } from '../routing/index.js';
-import type { AddressStanding } from './address-reuse.js';
+import type { AddressStatus } from './address-reuse.js';
 import { DeadVerdict, type DeathFinding, type VerdictReason } from './dead-verdict.js';
 import { EjectionReport } from './ejection-report.js';
 import { OwnFlows } from './own-flows.js';
 import { PassiveEjection } from './passive-ejection.js';
 import { hasSlowHandshake } from './slow-handshake.js';
 
-/** Whether a back end should get new flows, judged by packets alone. `trial`: ejected, and due for a trial opening. */
+/** Whether a back end should get new flows, by its health alone. `trial`: ejected, but due for a trial opening. */
 export type Liveness = 'alive' | 'suspect' | 'trial' | 'ejected';
 
 /** Passive health and load of one back end. Times are monotonic ms. */
 export class LocalBackendState {
-  /** Pending openings, and when the one was placed that began the present unbroken series of them. */
   pendingOpenings = 0;
+  /** Since when there has been at least one pending opening without a break. */
   pendingSinceMs = 0;
   /** -Infinity before the first sign of life. */
   lastSignOfLifeMs = Number.NEGATIVE_INFINITY;
-  /** Hash of the back end's id, for the order among equal loads. */
+  /** Hash of the back end's id; orders back ends with equal loads. */
   readonly idHash: number;
-  private readonly flows = new OwnFlows();
+  private readonly ownFlows = new OwnFlows();
   private readonly ejection = new PassiveEjection();
-  private readonly report = new EjectionReport();
-  private readonly verdict = new DeadVerdict();
-  private addressStanding: AddressStanding = 'undisputed';
-  /** When `addressStanding` last changed. */
-  private standingSinceMs = 0;
+  private readonly ejectionReport = new EjectionReport();
+  private readonly deadVerdict = new DeadVerdict();
+  private currentAddressStatus: AddressStatus = 'undisputed';
+  /** When `currentAddressStatus` last changed. */
+  private addressStatusSinceMs = 0;
 
   constructor(readonly backend: KnownBackend) {
     this.idHash = hashString(backend.id);
   }
 
-  /** Flows of this daemon that are open there, openings in progress included. */
+  /** Open flows of this daemon at this back end, including openings in progress. */
   get openFlows(): number {
-    return this.flows.open;
+    return this.ownFlows.open;
   }
 
   set openFlows(count: number) {
-    this.flows.open = count;
+    this.ownFlows.open = count;
   }
 
-  /** Counts a flow that its caller closed. */
+  /** Moves a flow that its caller closed from the open to the recently closed ones. */
   recordClosed(nowMs: number): void {
-    this.flows.recordClosed(nowMs);
+    this.ownFlows.recordClosed(nowMs);
   }
 
-  /** Flows that are or were recently open there, as a whole number. */
+  /** Number of open and recently closed flows, rounded. */
   flowsAt(nowMs: number): number {
-    return this.flows.countAt(nowMs);
+    return this.ownFlows.recentCountAt(nowMs);
   }
 
   /** Unanswered openings and retransmitted data since the last sign of life. */
@@ -62,88 +62,87 @@
     return this.ejection.failures;
   }
 
-  /** Records a sign of life; returns true when that ends failures, and so perhaps an ejection. */
+  /** Records a sign of life; returns true when it cleared failures, and with them any ejection. */
   recordSignOfLife(nowMs: number): boolean {
     this.lastSignOfLifeMs = nowMs;
-    this.verdict.end();
-    if (this.addressStanding === 'superseded') this.recordStanding('disputed', nowMs);
+    this.deadVerdict.end();
+    if (this.currentAddressStatus === 'superseded') this.recordAddressStatus('disputed', nowMs);
     return this.ejection.recordSignOfLife();
   }
 
-  /** Records a failure that began at `sinceMs`, unless a sign of life came after that. */
-  recordFailure(nowMs: number, sinceMs: number): void {
-    if (this.lastSignOfLifeMs < sinceMs) this.ejection.recordFailure(nowMs, sinceMs);
+  /** Records a failure that began at `failureStartMs`, unless a sign of life came at that time or later. */
+  recordFailure(nowMs: number, failureStartMs: number): void {
+    if (this.lastSignOfLifeMs < failureStartMs) this.ejection.recordFailure(nowMs, failureStartMs);
   }
 
   /**
-   * Ejects the back end where `PassiveEjection.judge` says so; returns true when that begins an ejection.
+   * Ejects the back end if `PassiveEjection.evaluate` decides so; returns true when an ejection starts.
    *
-   * @param othersAliveMs time of the last sign of life of any other back end; -Infinity without any
+   * @param othersLastSignOfLifeMs time of the last sign of life of any other back end; -Infinity without any
    */
-  tryEject(nowMs: number, othersAliveMs: number): boolean {
-    return this.ejection.judge(nowMs, othersAliveMs) === 'eject';
+  tryEject(nowMs: number, othersLastSignOfLifeMs: number): boolean {
+    return this.ejection.evaluate(nowMs, othersLastSignOfLifeMs) === 'eject';
   }
 
-  /** Records a dead verdict that ends at `untilMs`. */
+  /** Starts a dead verdict that expires at `untilMs`. */
   recordDeadVerdict(proof: DeathFinding, nowMs: number, untilMs: number): void {
-    this.verdict.hold({ proof, sinceMs: nowMs }, untilMs);
+    this.deadVerdict.begin({ proof, sinceMs: nowMs }, untilMs);
   }
 
-  /** Moves the end of the dead verdict to `untilMs`. */
+  /** Extends the dead verdict to `untilMs`. */
   renewDeadVerdict(untilMs: number): void {
-    this.verdict.renew(untilMs);
+    this.deadVerdict.renew(untilMs);
   }
 
-  /** Ends the dead verdict. */
+  /** Ends the dead verdict at once. */
   endDeadVerdict(): void {
-    this.verdict.end();
+    this.deadVerdict.end();
   }
 
-  /** What the other back ends at its address mean for it. */
-  get standing(): AddressStanding {
-    return this.addressStanding;
+  /** Whether another back end probably listens at its address. */
+  get standing(): AddressStatus {
+    return this.currentAddressStatus;
   }
 
-  /** Records a change of its standing. */
-  recordStanding(standing: AddressStanding, nowMs: number): void {
-    this.addressStanding = standing;
-    this.standingSinceMs = nowMs;
+  recordAddressStatus(status: AddressStatus, nowMs: number): void {
+    this.currentAddressStatus = status;
+    this.addressStatusSinceMs = nowMs;
   }
 
-  /** Why and since when it is held dead; what the last verdict said while none is in force. */
+  /** Why and since when it is considered dead; the reason of the last verdict if none is in force. */
   get deadReason(): VerdictReason | undefined {
-    if (this.addressStanding !== 'superseded') return this.verdict.reason;
-    return { proof: 'superseded', sinceMs: this.standingSinceMs };
+    if (this.currentAddressStatus !== 'superseded') return this.deadVerdict.reason;
+    return { proof: 'superseded', sinceMs: this.addressStatusSinceMs };
   }
 
-  /** True while a dead verdict is in force, or after it was superseded at its address. */
+  /** True while a dead verdict is in force or the back end is superseded at its address. */
   isDead(nowMs: number): boolean {
-    return this.addressStanding === 'superseded' || this.verdict.isInForce(nowMs);
+    return this.currentAddressStatus === 'superseded' || this.deadVerdict.isInForce(nowMs);
   }
 
-  /** Records an ejection by another daemon at `atMs`; returns false for a report that must not be gossiped further. */
+  /** Records an ejection by any daemon at `atMs`; returns true if the report is new and should be gossiped. */
   applyEjectionReport(atMs: number): boolean {
-    return this.report.apply(atMs, this.lastSignOfLifeMs) === 'new';
+    return this.ejectionReport.apply(atMs, this.lastSignOfLifeMs) === 'new';
   }
 
   /**
-   * Tests a dead verdict first because it is proved, then this daemon's own failures. Another daemon's report counts
-   * only where this daemon has seen no failure itself.
+   * Tests for a dead verdict first because it rests on a proof, then for failures that this daemon observed. Another
+   * daemon's report counts only if this daemon has observed no failure since the last sign of life.
    */
   liveness(nowMs: number): Liveness {
     if (this.isDead(nowMs)) return 'ejected';
     const phase = this.ejection.phaseAt(nowMs);
     if (phase === 'forgiven') return 'alive';
     if (phase !== 'no-failure') return phase;
-    return this.report.makesSuspect(nowMs, this.lastSignOfLifeMs) ? 'suspect' : 'alive';
+    return this.ejectionReport.makesSuspect(nowMs, this.lastSignOfLifeMs) ? 'suspect' : 'alive';
   }
 
-  /** True while a handshake there takes longer than `slowHandshakeMs`. */
+  /** True while openings have been pending here without a break for more than `slowHandshakeMs`. */
   hasSlowHandshake(nowMs: number, slowHandshakeMs: number): boolean {
     return hasSlowHandshake(this.pendingOpenings, this.pendingSinceMs, nowMs, slowHandshakeMs);
   }
 
-  /** Records that a trial opening is placed there. */
+  /** Records that a trial opening is placed at this back end. */
   recordTrial(nowMs: number): void {
     this.ejection.recordTrial(nowMs);
   }
--- a/src/cookie-edge/backend-health/local-backend-states.ts
+++ b/src/cookie-edge/backend-health/local-backend-states.ts
@@ -1,7 +1,7 @@
 /**
- * Carries out and logs passive ejections. Owns the `LocalBackendState` of each back end that was met, and the newest
- * signs of life of two different back ends, because a back end is judged by whether others answer. Relies on forwarding
- * to report signs of life and failures.
+ * Applies and logs passive ejections. Owns the `LocalBackendState` of each back end, and the newest signs of life of
+ * two different back ends: a back end is ejected only if another one answers. Relies on forwarding to report signs of
+ * life and failures.
  */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { EventLog } from '../../observability/event.js';
@@ -9,7 +9,7 @@
 import type { KnownBackend } from '../routing/index.js';
 import { LocalBackendState } from './local-backend-state.js';
 
-/** A sign of life and the back end that gave it. */
+/** Time of a sign of life, and the back end that gave it. */
 interface NewestSignOfLife {
   readonly state: LocalBackendState | undefined;
   readonly atMs: number;
@@ -17,14 +17,14 @@
 
 const NO_SIGN_OF_LIFE: NewestSignOfLife = { state: undefined, atMs: Number.NEGATIVE_INFINITY };
 
-/** The states of all back ends of one daemon. Times are monotonic ms. */
+/** The `LocalBackendState` of each back end of one daemon. Times are monotonic ms. */
 export class LocalBackendStates {
   private readonly states = new Map<KnownBackend, LocalBackendState>();
-  /** Back ends without a sign of life since a failure. */
+  /** Back ends with failures since their last sign of life. */
   private readonly failing = new Set<LocalBackendState>();
-  /** The newest sign of life, and the newest one of another back end than that. */
-  private newest = NO_SIGN_OF_LIFE;
-  private newestOfOthersMs = Number.NEGATIVE_INFINITY;
+  private newestSignOfLife = NO_SIGN_OF_LIFE;
+  /** Newest sign of life of a back end other than that of `newestSignOfLife`. */
+  private newestOfOtherBackendsMs = Number.NEGATIVE_INFINITY;
   private ejectionCount = 0;
 
   /** @param onEject called with each back end that is ejected */
@@ -39,6 +39,7 @@
     return this.ejectionCount;
   }
 
+  /** The state of a back end; created on the first call. */
   of(backend: KnownBackend): LocalBackendState {
     let state = this.states.get(backend);
     if (!state) {
@@ -48,18 +49,18 @@
     return state;
   }
 
-  /** Every back end that was met. */
+  /** The states of all back ends that were passed to `of` and not removed since. */
   all(): IterableIterator<LocalBackendState> {
     return this.states.values();
   }
 
-  /** Monotonic ms of the last sign of life of any other back end. */
-  othersAliveMs(state: LocalBackendState): number {
-    return this.newest.state === state ? this.newestOfOthersMs : this.newest.atMs;
+  /** Time of the last sign of life of any other back end; -Infinity if none. */
+  othersLastSignOfLifeMs(state: LocalBackendState): number {
+    return this.newestSignOfLife.state === state ? this.newestOfOtherBackendsMs : this.newestSignOfLife.atMs;
   }
 
-  /** False for the state of a forgotten back end, whose id may belong to another incarnation by now. */
-  keeps(state: LocalBackendState): boolean {
+  /** False for the state of a back end that was removed; its id may belong to another incarnation by now. */
+  isCurrent(state: LocalBackendState): boolean {
     return this.states.get(state.backend) === state;
   }
 
@@ -69,34 +70,34 @@
     this.states.delete(backend);
   }
 
-  /** Records a sign of life; logs when that ends failures. */
+  /** Records a sign of life; logs it if it clears failures. */
   recordSignOfLife(state: LocalBackendState, nowMs: number): void {
-    if (this.newest.state !== state) this.newestOfOthersMs = this.newest.atMs;
-    this.newest = { state, atMs: nowMs };
+    if (this.newestSignOfLife.state !== state) this.newestOfOtherBackendsMs = this.newestSignOfLife.atMs;
+    this.newestSignOfLife = { state, atMs: nowMs };
     if (!state.recordSignOfLife(nowMs)) return;
     this.failing.delete(state);
     this.events.emit(COOKIE_FLOW_EVENTS.backendRevived, { backend: state.backend.id });
   }
 
   /**
-   * Records a failure that began at `sinceMs`, and judges the back end. Does nothing while `passive-health` is switched
-   * off.
+   * Records a failure that began at `failureStartMs`, and ejects the back end if that is due. Does nothing while the
+   * mechanism `passive-health` is off.
    */
-  recordFailure(state: LocalBackendState, sinceMs: number, nowMs: number): void {
-    if (!this.isOn('passive-health') || !this.keeps(state)) return;
-    state.recordFailure(nowMs, sinceMs);
+  recordFailure(state: LocalBackendState, failureStartMs: number, nowMs: number): void {
+    if (!this.isOn('passive-health') || !this.isCurrent(state)) return;
+    state.recordFailure(nowMs, failureStartMs);
     this.failing.add(state);
-    this.judge(state, nowMs);
+    this.ejectIfDue(state, nowMs);
   }
 
-  /** Judges again all back ends with failures, because others may have given signs of life since. */
+  /** Evaluates all back ends with failures again, because others may have given signs of life since. */
   judgeFailing(nowMs: number): void {
-    for (const state of this.failing) this.judge(state, nowMs);
+    for (const state of this.failing) this.ejectIfDue(state, nowMs);
   }
 
-  /** Ejects, gossips and logs, in this order, where `PassiveEjection.judge` says so. */
-  private judge(state: LocalBackendState, nowMs: number): void {
-    if (!state.tryEject(nowMs, this.othersAliveMs(state))) return;
+  /** Ejects the back end, gossips and logs the ejection, in this order, if `PassiveEjection.evaluate` decides so. */
+  private ejectIfDue(state: LocalBackendState, nowMs: number): void {
+    if (!state.tryEject(nowMs, this.othersLastSignOfLifeMs(state))) return;
     this.ejectionCount += 1;
     this.onEject(state, nowMs);
     this.events.emit(COOKIE_FLOW_EVENTS.backendEjected, {
--- a/src/cookie-edge/backend-health/own-flows.ts
+++ b/src/cookie-edge/backend-health/own-flows.ts
@@ -1,21 +1,21 @@
-/** Counts this daemon's flows at one back end, the load that placement compares. Owns only the counts. */
+/** Counts this daemon's flows at one back end. Placement compares these counts as load. Owns only the counts. */
 import { DecayingRate } from '../../common/decaying-rate.js';
-import { CLOSED_FLOW_COUNTS_MS } from './constants.js';
+import { CLOSED_FLOW_DECAY_MS } from './constants.js';
 
 /** Flows of this daemon at one back end. Times are monotonic ms. */
 export class OwnFlows {
-  /** Open flows, openings in progress included. */
+  /** Open flows, including openings in progress. */
   open = 0;
-  private readonly closed = new DecayingRate(CLOSED_FLOW_COUNTS_MS);
+  private readonly recentlyClosed = new DecayingRate(CLOSED_FLOW_DECAY_MS);
 
-  /** Counts a flow that its caller closed. */
+  /** Moves a flow that its caller closed from the open to the recently closed ones. */
   recordClosed(nowMs: number): void {
     this.open -= 1;
-    this.closed.count(nowMs);
+    this.recentlyClosed.count(nowMs);
   }
 
-  /** Flows that are or were recently open. Rounded, so that daemons with similar knowledge see equal loads as equal. */
-  countAt(nowMs: number): number {
-    return this.open + Math.round(this.closed.recentAt(nowMs));
+  /** Open and recently closed flows. Rounded, so that daemons with similar counts see equal loads as equal. */
+  recentCountAt(nowMs: number): number {
+    return this.open + Math.round(this.recentlyClosed.recentAt(nowMs));
   }
 }
--- a/src/cookie-edge/backend-health/passive-ejection.test.ts
+++ b/src/cookie-edge/backend-health/passive-ejection.test.ts
@@ -1,17 +1,17 @@
 /** When a back end is ejected, suspect, and tried again. */
 import test from 'ava';
 import { EJECT_MAX_MS, EJECT_MIN_MS, SUSPECT_MS } from './constants.js';
-import { PassiveEjection, type EjectionJudgement, type EjectionPhase } from './passive-ejection.js';
+import { PassiveEjection, type EjectionDecision, type EjectionPhase } from './passive-ejection.js';
 
 const NEVER = Number.NEGATIVE_INFINITY;
 
 /** Failures as [noticed, began], then the judgement at `atMs`, ms. */
-interface JudgementCase {
+interface EvaluationCase {
   readonly name: string;
   readonly failures: readonly (readonly [number, number])[];
   readonly atMs: number;
-  readonly othersAliveMs: number;
-  readonly expected: EjectionJudgement;
+  readonly othersLastSignOfLifeMs: number;
+  readonly expected: EjectionDecision;
 }
 
 const TWO_FAILURES = [
@@ -19,58 +19,70 @@
   [300, 150],
 ] as const;
 
-const JUDGEMENTS: readonly JudgementCase[] = [
-  { name: 'no failure', failures: [], atMs: 300, othersAliveMs: 250, expected: 'too-few-failures' },
-  { name: 'one failure', failures: [[200, 50]], atMs: 300, othersAliveMs: 250, expected: 'too-few-failures' },
+const EVALUATIONS: readonly EvaluationCase[] = [
+  { name: 'no failure', failures: [], atMs: 300, othersLastSignOfLifeMs: 250, expected: 'too-few-failures' },
+  {
+    name: 'one failure',
+    failures: [[200, 50]],
+    atMs: 300,
+    othersLastSignOfLifeMs: 250,
+    expected: 'too-few-failures',
+  },
   {
     name: 'others never seen',
     failures: TWO_FAILURES,
     atMs: 300,
-    othersAliveMs: NEVER,
+    othersLastSignOfLifeMs: NEVER,
     expected: 'no-other-answers',
   },
   {
     name: 'others seen as it began',
     failures: TWO_FAILURES,
     atMs: 300,
-    othersAliveMs: 50,
+    othersLastSignOfLifeMs: 50,
     expected: 'no-other-answers',
   },
-  { name: 'others seen since', failures: TWO_FAILURES, atMs: 300, othersAliveMs: 51, expected: 'eject' },
+  {
+    name: 'others seen since',
+    failures: TWO_FAILURES,
+    atMs: 300,
+    othersLastSignOfLifeMs: 51,
+    expected: 'eject',
+  },
 ];
 
-for (const { name, failures, atMs, othersAliveMs, expected } of JUDGEMENTS) {
+for (const { name, failures, atMs, othersLastSignOfLifeMs, expected } of EVALUATIONS) {
   test(`judgement: ${name}`, (t) => {
     const ejection = new PassiveEjection();
-    for (const [nowMs, sinceMs] of failures) ejection.recordFailure(nowMs, sinceMs);
-    t.is(ejection.judge(atMs, othersAliveMs), expected);
+    for (const [nowMs, failureStartMs] of failures) ejection.recordFailure(nowMs, failureStartMs);
+    t.is(ejection.evaluate(atMs, othersLastSignOfLifeMs), expected);
   });
 }
 
-function ejectedAt(nowMs: number): PassiveEjection {
+function withEjectionAt(nowMs: number): PassiveEjection {
   const ejection = new PassiveEjection();
   ejection.recordFailure(nowMs, nowMs - 200);
   ejection.recordFailure(nowMs, nowMs - 150);
-  ejection.judge(nowMs, nowMs);
+  ejection.evaluate(nowMs, nowMs);
   return ejection;
 }
 
 test('judgement: a failure leads to one ejection only, and one during an ejection to none', (t) => {
-  const ejection = ejectedAt(1_000);
-  t.is(ejection.judge(1_100, 1_100), 'already-judged');
+  const ejection = withEjectionAt(1_000);
+  t.is(ejection.evaluate(1_100, 1_100), 'already-evaluated');
   ejection.recordFailure(1_200, 1_050);
-  t.is(ejection.judge(1_200, 1_200), 'already-ejected');
-  t.is(ejection.judge(1_000 + EJECT_MIN_MS, 1_200), 'already-judged');
+  t.is(ejection.evaluate(1_200, 1_200), 'already-ejected');
+  t.is(ejection.evaluate(1_000 + EJECT_MIN_MS, 1_200), 'already-evaluated');
   ejection.recordFailure(1_000 + EJECT_MIN_MS, 1_900);
-  t.is(ejection.judge(1_000 + EJECT_MIN_MS, 1_900), 'eject');
+  t.is(ejection.evaluate(1_000 + EJECT_MIN_MS, 1_900), 'eject');
 });
 
 test('the ejection time doubles up to the longest, and a sign of life resets it', (t) => {
-  const ejection = ejectedAt(0);
+  const ejection = withEjectionAt(0);
   let endMs = EJECT_MIN_MS;
   for (const expectedMs of [2 * EJECT_MIN_MS, 4 * EJECT_MIN_MS, EJECT_MAX_MS, EJECT_MAX_MS]) {
     ejection.recordFailure(endMs, endMs - 150);
-    t.is(ejection.judge(endMs, endMs), 'eject');
+    t.is(ejection.evaluate(endMs, endMs), 'eject');
     t.is(ejection.phaseAt(endMs + expectedMs - 1), 'ejected');
     t.is(ejection.phaseAt(endMs + expectedMs), 'trial');
     endMs += expectedMs;
@@ -80,17 +92,17 @@
   t.false(ejection.recordSignOfLife());
   ejection.recordFailure(endMs + 1, endMs);
   ejection.recordFailure(endMs + 2, endMs);
-  t.is(ejection.judge(endMs + 2, endMs + 1), 'eject');
+  t.is(ejection.evaluate(endMs + 2, endMs + 1), 'eject');
   t.is(ejection.phaseAt(endMs + 2 + EJECT_MIN_MS), 'trial');
 });
 
-function failedOnceAt(nowMs: number): PassiveEjection {
+function withFailureAt(nowMs: number): PassiveEjection {
   const ejection = new PassiveEjection();
   ejection.recordFailure(nowMs, nowMs - 150);
   return ejection;
 }
 
-function triedAt(ejection: PassiveEjection, nowMs: number): PassiveEjection {
+function withTrialAt(ejection: PassiveEjection, nowMs: number): PassiveEjection {
   ejection.recordTrial(nowMs);
   return ejection;
 }
@@ -99,17 +111,22 @@
 
 const PHASES: readonly (readonly [string, PassiveEjection, number, EjectionPhase])[] = [
   ['without failures', new PassiveEjection(), 0, 'no-failure'],
-  ['just after one failure', failedOnceAt(1_000), 1_000 + SUSPECT_MS - 1, 'suspect'],
-  ['long after one failure', failedOnceAt(1_000), 1_000 + SUSPECT_MS, 'forgiven'],
-  ['during an ejection', ejectedAt(1_000), TRIAL_MS - 1, 'ejected'],
-  ['after an ejection', ejectedAt(1_000), TRIAL_MS, 'trial'],
+  ['just after one failure', withFailureAt(1_000), 1_000 + SUSPECT_MS - 1, 'suspect'],
+  ['long after one failure', withFailureAt(1_000), 1_000 + SUSPECT_MS, 'forgiven'],
+  ['during an ejection', withEjectionAt(1_000), TRIAL_MS - 1, 'ejected'],
+  ['after an ejection', withEjectionAt(1_000), TRIAL_MS, 'trial'],
   [
     'while a trial opening is under way',
-    triedAt(ejectedAt(1_000), TRIAL_MS),
+    withTrialAt(withEjectionAt(1_000), TRIAL_MS),
     TRIAL_MS + EJECT_MIN_MS - 1,
     'ejected',
   ],
-  ['long after a trial opening', triedAt(ejectedAt(1_000), TRIAL_MS), TRIAL_MS + EJECT_MIN_MS, 'trial'],
+  [
+    'long after a trial opening',
+    withTrialAt(withEjectionAt(1_000), TRIAL_MS),
+    TRIAL_MS + EJECT_MIN_MS,
+    'trial',
+  ],
 ];
 
 for (const [name, ejection, nowMs, expected] of PHASES) {
--- a/src/cookie-edge/backend-health/pending-openings.ts
+++ b/src/cookie-edge/backend-health/pending-openings.ts
@@ -1,28 +1,28 @@
 /**
- * Tracks openings that their callers have not continued yet: finds the unanswered ones and measures handshake times.
- * Owns the pending counts of `LocalBackendState`. Relies on forwarding to report each placement and answer, and on
- * housekeeping to collect the unanswered ones once a tick.
+ * Tracks openings that their callers have not continued yet, to find the unanswered ones and to measure handshake
+ * times. Owns the pending counts of `LocalBackendState`. Relies on forwarding to report each placement and answer, and
+ * on housekeeping to collect the unanswered openings once a tick.
  */
 import type { Flow } from '../forwarding/index.js';
-import { OPENING_ANSWER_MS } from './constants.js';
+import { OPENING_ANSWER_TIMEOUT_MS } from './constants.js';
 import { HandshakeTimes } from './slow-handshake.js';
 
-/** Openings in the order in which they were placed. Times are monotonic ms. */
+/** Queue of openings in the order of their placement. Times are monotonic ms. */
 export class PendingOpenings {
   private queue: Flow[] = [];
-  private readonly times = new HandshakeTimes();
+  private readonly handshakeTimes = new HandshakeTimes();
 
   /** A handshake that waits longer than this, in ms, is slow. */
   get slowHandshakeMs(): number {
-    return this.times.slowHandshakeMs;
+    return this.handshakeTimes.slowHandshakeMs;
   }
 
   /** Records how long an answered opening took, in ms. */
   recordAnswer(tookMs: number): void {
-    this.times.record(tookMs);
+    this.handshakeTimes.record(tookMs);
   }
 
-  /** Records that a flow's SYN was just sent to its back end. */
+  /** Adds an opening whose SYN was just sent to its back end. */
   add(flow: Flow): void {
     flow.awaitsAnswer = true;
     if (flow.state.pendingOpenings === 0) flow.state.pendingSinceMs = flow.openedAtMs;
@@ -30,23 +30,26 @@
     this.queue.push(flow);
   }
 
-  /** Records that an opening was answered, or counts as failed. */
+  /** Records that an opening is no longer pending, because it was answered or counts as failed. */
   settle(flow: Flow): void {
     if (!flow.awaitsAnswer) return;
     flow.awaitsAnswer = false;
     flow.state.pendingOpenings -= 1;
   }
 
-  /** Removes the openings that were placed `OPENING_ANSWER_MS` ago or earlier, and returns those without an answer. */
+  /**
+   * Removes the openings that were placed `OPENING_ANSWER_TIMEOUT_MS` ago or earlier, and returns those without an
+   * answer.
+   */
   takeUnanswered(nowMs: number): Flow[] {
-    const beforeMs = nowMs - OPENING_ANSWER_MS;
-    const end = this.queue.findIndex(({ openedAtMs }) => openedAtMs > beforeMs);
-    const older = end < 0 ? this.queue : this.queue.slice(0, end);
-    this.queue = end < 0 ? [] : this.queue.slice(end);
-    return older.filter(({ awaitsAnswer }) => awaitsAnswer);
+    const cutoffMs = nowMs - OPENING_ANSWER_TIMEOUT_MS;
+    const firstNewerIndex = this.queue.findIndex(({ openedAtMs }) => openedAtMs > cutoffMs);
+    const expired = firstNewerIndex < 0 ? this.queue : this.queue.slice(0, firstNewerIndex);
+    this.queue = firstNewerIndex < 0 ? [] : this.queue.slice(firstNewerIndex);
+    return expired.filter(({ awaitsAnswer }) => awaitsAnswer);
   }
 
-  /** Settles all openings: after a pause of this process it is not known which were answered. */
+  /** Settles all openings. Needed after a pause of this process, which cannot know which were answered meanwhile. */
   clear(): void {
     this.queue.forEach((flow) => this.settle(flow));
     this.queue = [];
--- a/src/cookie-edge/backend-health/slow-handshake.test.ts
+++ b/src/cookie-edge/backend-health/slow-handshake.test.ts
@@ -4,10 +4,15 @@
 import { HandshakeTimes, hasSlowHandshake } from './slow-handshake.js';
 
 test('the limit follows the moving average', (t) => {
-  const times = new HandshakeTimes();
-  t.is(times.slowHandshakeMs, HANDSHAKE_AVERAGE_START_MS * SLOW_HANDSHAKE_FACTOR + SLOW_HANDSHAKE_MARGIN_MS);
-  for (let count = 0; count < 500; count += 1) times.record(3);
-  t.true(Math.abs(times.slowHandshakeMs - (3 * SLOW_HANDSHAKE_FACTOR + SLOW_HANDSHAKE_MARGIN_MS)) < 0.01);
+  const handshakeTimes = new HandshakeTimes();
+  t.is(
+    handshakeTimes.slowHandshakeMs,
+    HANDSHAKE_AVERAGE_START_MS * SLOW_HANDSHAKE_FACTOR + SLOW_HANDSHAKE_MARGIN_MS,
+  );
+  for (let count = 0; count < 500; count += 1) handshakeTimes.record(3);
+  t.true(
+    Math.abs(handshakeTimes.slowHandshakeMs - (3 * SLOW_HANDSHAKE_FACTOR + SLOW_HANDSHAKE_MARGIN_MS)) < 0.01,
+  );
 });
 
 /** Pending openings, when the first was placed, now, and the result for a limit of 45 ms. */
--- a/src/cookie-edge/backend-health/slow-handshake.ts
+++ b/src/cookie-edge/backend-health/slow-handshake.ts
@@ -1,7 +1,7 @@
 /**
- * Rule: when a pending handshake counts as slow. A back end that refuses openings answers its callers directly, which
- * this daemon does not see, and the caller's next attempt follows within milliseconds. Avoiding back ends with a slow
- * handshake keeps that attempt from meeting the same back end, long before the opening counts as unanswered. Does no
+ * Decides when a pending handshake counts as slow. A back end that refuses openings answers its callers directly,
+ * which this daemon does not see, and the caller's next attempt follows within milliseconds. Avoiding back ends with a
+ * slow handshake sends that attempt to another back end, long before the first opening counts as unanswered. Does no
  * input or output; owns the moving average. Times are ms.
  */
 import {
@@ -11,7 +11,7 @@
   SLOW_HANDSHAKE_MARGIN_MS,
 } from './constants.js';
 
-/** Moving average of the handshake times at all back ends together. */
+/** Moving average of the handshake times of all back ends. */
 export class HandshakeTimes {
   private averageMs = HANDSHAKE_AVERAGE_START_MS;
 
--- a/src/cookie-edge/backend-health/successive-starts.test.ts
+++ b/src/cookie-edge/backend-health/successive-starts.test.ts
@@ -2,13 +2,13 @@
 import test from 'ava';
 import { HOUSEKEEPING_TICK_MS } from '../forwarding/constants.js';
 import { backendAt, tableAt, updateAt } from '../routing/routing-test-support.js';
-import { CREATIONS_LEARNED_MS } from './constants.js';
-import { hostOf, openAt, setUp } from './dead-backends-test-support.js';
+import { CREATION_HISTORY_UPTIME_MS } from './constants.js';
+import { hostOf, openFlowAtEach, setUp } from './dead-backends-test-support.js';
 
 test('another start at the address of a back end keeps new flows from it, and ends its flows once its record is gone', (t) => {
   const { harness } = setUp(2);
-  const flows = openAt(harness);
-  harness.clock.advance(CREATIONS_LEARNED_MS);
+  const flows = openFlowAtEach(harness);
+  harness.clock.advance(CREATION_HISTORY_UPTIME_MS);
   const successor = backendAt('z', 20, { endpoint: { host: hostOf('a'), port: 8_080 }, service: 'beta' });
   const origin = { since: 10, confirmedAtMs: 0, mayHaveLapsed: false };
   harness.knowledge.apply('backends', updateAt(20, { backends: [successor] }), origin);
@@ -35,27 +35,27 @@
 
 test('after a restore of the source, a start at the address of one that is gone is the later one', (t) => {
   const { harness } = setUp(2);
-  const at = { endpoint: { host: hostOf('a'), port: 8_080 } };
+  const atAddressOfA = { endpoint: { host: hostOf('a'), port: 8_080 } };
   const origin = (since: number) => ({ since, confirmedAtMs: 0, mayHaveLapsed: false });
-  const inFirstEpoch = updateAt(30, { backends: [backendAt('z', 30, at)] });
+  const inFirstEpoch = updateAt(30, { backends: [backendAt('z', 30, atAddressOfA)] });
   harness.knowledge.apply('backends', inFirstEpoch, origin(10));
   const restored = updateAt(12, { epoch: 1, complete: true, backends: [] });
   harness.knowledge.apply('backends', restored, origin(-1));
-  const started = updateAt(14, { epoch: 1, backends: [backendAt('y', 14, at)] });
-  harness.knowledge.apply('backends', started, origin(12));
+  const startedAfterRestore = updateAt(14, { epoch: 1, backends: [backendAt('y', 14, atAddressOfA)] });
+  harness.knowledge.apply('backends', startedAfterRestore, origin(12));
   const placed = Array.from({ length: 6 }, (_unused, index) => harness.open(42_000 + index)?.backend);
   t.deepEqual(new Set(placed), new Set(['y']));
 });
 
 test('an entry of a service that no configuration names takes no address from a back end', (t) => {
   const { harness } = setUp(2);
-  openAt(harness);
-  const intruder = backendAt('x', 20, {
+  openFlowAtEach(harness);
+  const unnamedServiceBackend = backendAt('x', 20, {
     endpoint: { host: hostOf('a'), port: 8_080 },
     service: 'unheard-of',
   });
   const origin = { since: 10, confirmedAtMs: 0, mayHaveLapsed: false };
-  harness.knowledge.apply('backends', updateAt(20, { backends: [intruder] }), origin);
+  harness.knowledge.apply('backends', updateAt(20, { backends: [unnamedServiceBackend] }), origin);
   t.is(harness.resets.length, 0);
   const placed = Array.from({ length: 12 }, (_unused, index) => harness.open(42_000 + index)?.backend);
   t.true(placed.includes('a'));
@@ -64,7 +64,7 @@
   harness.knowledge.apply('routes', updateAt(21, { routes: [table] }), origin);
   const later = Array.from({ length: 12 }, (_unused, index) => harness.open(43_000 + index)?.backend);
   t.false(later.includes('a'), 'once it is named, it is the later start');
-  harness.clock.advance(CREATIONS_LEARNED_MS);
+  harness.clock.advance(CREATION_HISTORY_UPTIME_MS);
   harness.depart('a', 22);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
   t.true(harness.resets.length > 0, 'and ends the flows of the earlier one');
--- a/src/cookie-edge/backend-health/superseded-backends.ts
+++ b/src/cookie-edge/backend-health/superseded-backends.ts
@@ -1,31 +1,31 @@
 /**
- * Carries out what `address-reuse.ts` decides on back ends that share an address, and reviews it as knowledge changes.
- * Owns the index by address. Relies on `LocalBackendStates` to keep each back end's standing.
+ * Applies the decisions of `address-reuse.ts` to back ends that share an address, and reviews them whenever an input
+ * changes. Owns the index by address. Relies on `LocalBackendStates` to hold the address status of each back end.
  */
 import type { Clock } from '../../common/clock.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { EventFields, EventLog } from '../../observability/event.js';
 import { COOKIE_FLOW_EVENTS } from '../forwarding/events.js';
 import type { KnownBackend } from '../routing/index.js';
-import { decideStanding, type AddressOutcome } from './address-reuse.js';
-import { CREATIONS_LEARNED_MS } from './constants.js';
+import { decideAddressStatus, type AddressDecision } from './address-reuse.js';
+import { CREATION_HISTORY_UPTIME_MS } from './constants.js';
 import type { FlowResetter } from './flow-resetter.js';
 import type { LocalBackendState } from './local-backend-state.js';
 import type { LocalBackendStates } from './local-backend-states.js';
 import { SharedAddresses } from './shared-addresses.js';
 
-/** Collaborators. */
+/** Dependencies of `SupersededBackends`. */
 interface SupersededBackendsOptions {
   readonly clock: Clock;
   readonly isOn: MechanismCheck;
   readonly states: LocalBackendStates;
   readonly resetter: FlowResetter;
   readonly events: EventLog;
-  /** False while peers are known to remember more of back ends than this daemon has been told. */
+  /** False while peers are known to remember more about back ends than this daemon has received. */
   readonly hasLearntFromPeers: () => boolean;
 }
 
-/** The back ends of one daemon whose address another one has. Times are monotonic ms. */
+/** Detects back ends whose address another back end uses. Times are monotonic ms. */
 export class SupersededBackends {
   private readonly addresses = new SharedAddresses();
   private readonly startedAtMs: number;
@@ -39,42 +39,49 @@
     if (this.options.isOn('dead-back-ends')) this.review(this.addresses.add(backend));
   }
 
-  /** Forgets a back end, and reviews those that are left at its address. */
+  /** Removes a back end, and reviews the remaining ones at its address. */
   forget(backend: KnownBackend): void {
     this.review(this.addresses.remove(backend));
   }
 
-  /** Reviews every address with more than one back end: records, signs of life and the daemon's age have changed. */
+  /** Reviews every address with two or more back ends, because records, signs of life and the uptime have changed. */
   reviewAll(): void {
-    for (const sharing of this.addresses.all()) this.review(sharing);
+    for (const backendsAtAddress of this.addresses.sharedAddresses()) this.review(backendsAtAddress);
   }
 
-  private review(sharing: ReadonlySet<KnownBackend>): void {
+  private review(backendsAtAddress: ReadonlySet<KnownBackend>): void {
     const { states, clock, hasLearntFromPeers } = this.options;
     const uptimeMs = clock.now() - this.startedAtMs;
-    const knowsCreations = uptimeMs >= CREATIONS_LEARNED_MS && hasLearntFromPeers();
-    for (const backend of sharing) {
+    const hasCreationHistory = uptimeMs >= CREATION_HISTORY_UPTIME_MS && hasLearntFromPeers();
+    for (const backend of backendsAtAddress) {
       const state = states.of(backend);
       const { lastSignOfLifeMs } = state;
-      this.apply(state, decideStanding({ backend, sharing, lastSignOfLifeMs, knowsCreations }));
+      this.applyDecision(
+        state,
+        decideAddressStatus({ backend, backendsAtAddress, lastSignOfLifeMs, hasCreationHistory }),
+      );
     }
   }
 
-  private apply(state: LocalBackendState, { standing, successor }: AddressOutcome): void {
+  private applyDecision(state: LocalBackendState, { status, successor }: AddressDecision): void {
     const { clock, resetter, events } = this.options;
-    const { standing: before, backend } = state;
-    if (standing === before) return;
-    state.recordStanding(standing, clock.now());
-    if (standing === 'superseded') resetter.reset(state, standing, describeOrder(backend, successor));
-    else if (before === 'superseded') events.emit(COOKIE_FLOW_EVENTS.backendRevived, { backend: backend.id });
+    const { standing: previousStatus, backend } = state;
+    if (status === previousStatus) return;
+    state.recordAddressStatus(status, clock.now());
+    if (status === 'superseded') resetter.reset(state, status, describeSuccession(backend, successor));
+    else if (previousStatus === 'superseded')
+      events.emit(COOKIE_FLOW_EVENTS.backendRevived, { backend: backend.id });
   }
 }
 
-/** What superseded a back end, for a log line. */
-function describeOrder(ended: KnownBackend, successor: KnownBackend | undefined): EventFields {
+/** Log fields that say which back end superseded another one, and by which records. */
+function describeSuccession(
+  supersededBackend: KnownBackend,
+  successor: KnownBackend | undefined,
+): EventFields {
   return {
-    departed: ended.departed,
-    createdRevision: ended.record.createdRevision,
+    departed: supersededBackend.departed,
+    createdRevision: supersededBackend.record.createdRevision,
     successor: successor?.id,
     successorDeparted: successor?.departed,
     successorCreatedRevision: successor?.record.createdRevision,
