--- a/src/cookie-edge/backend-health/address-reuse-rule.test.ts
+++ b/src/cookie-edge/backend-health/address-reuse-rule.test.ts
@@ -1,4 +1,4 @@
-/** What other back ends at its address mean for a back end: the rule, case by case. */
+/** Cases of the rule that decides the status of a back end that shares its address with others. */
 import test from 'ava';
 import type { KnownBackend } from '../routing/index.js';
 import { backendAt } from '../routing/routing-test-support.js';
@@ -35,78 +35,83 @@
 }
 
 const CASES: readonly Case[] = [
-  { title: 'alone', backend: recorded('a', EARLY_REVISION), otherBackends: [], status: 'undisputed' },
   {
-    title: 'the later of two that are recorded',
+    title: 'no other back end at the address',
+    backend: recorded('a', EARLY_REVISION),
+    otherBackends: [],
+    status: 'undisputed',
+  },
+  {
+    title: 'recorded, with one created earlier that is recorded as well',
     backend: recorded('a', LATE_REVISION),
     otherBackends: [recorded('b', EARLY_REVISION)],
     status: 'undisputed',
   },
   {
-    title: 'the earlier of two that are recorded: the record of the other may be a late one',
+    title: 'recorded, with one created later, whose record may have been written late',
     backend: recorded('a', EARLY_REVISION),
     otherBackends: [recorded('b', LATE_REVISION)],
     status: 'disputed',
   },
   {
-    title: 'recorded beside one that left, although that one was created later',
+    title: 'recorded, with a departed one that was created later',
     backend: recorded('a', EARLY_REVISION),
     otherBackends: [departed('b', LATE_REVISION)],
     status: 'undisputed',
   },
   {
-    title: 'left, beside a later one',
+    title: 'departed, with a recorded one that was created later',
     backend: departed('a', EARLY_REVISION),
     otherBackends: [recorded('b', LATE_REVISION)],
     status: 'superseded',
   },
   {
-    title: 'left, beside a later one that left as well',
+    title: 'departed, with a departed one that was created later',
     backend: departed('a', EARLY_REVISION),
     otherBackends: [departed('b', LATE_REVISION)],
     status: 'superseded',
   },
   {
-    title: 'left, beside an earlier one that is recorded: its record was created anew',
+    title: 'departed, with a recorded one that was created earlier',
     backend: departed('a', LATE_REVISION),
     otherBackends: [recorded('b', EARLY_REVISION)],
     status: 'disputed',
   },
   {
-    title: 'lapsed, beside a later one',
+    title: 'lapsed, with a recorded one that was created later',
     backend: departed('a', EARLY_REVISION, true),
     otherBackends: [recorded('b', LATE_REVISION)],
     status: 'disputed',
   },
   {
-    title: 'left, with a sign of life since',
+    title: 'departed, with a sign of life since',
     backend: departed('a', EARLY_REVISION),
     otherBackends: [recorded('b', LATE_REVISION)],
     lastSignOfLifeMs: DEPARTED_AT_MS + 1,
     status: 'disputed',
   },
   {
-    title: 'left, with a sign of life before',
+    title: 'departed, with the last sign of life at its departure',
     backend: departed('a', EARLY_REVISION),
     otherBackends: [recorded('b', LATE_REVISION)],
     lastSignOfLifeMs: DEPARTED_AT_MS,
     status: 'superseded',
   },
   {
-    title: 'left, beside a later one, at a daemon that has not learnt how long they were known',
+    title: 'departed, with one created later, before this daemon received the first creations from peers',
     backend: departed('a', EARLY_REVISION),
     otherBackends: [recorded('b', LATE_REVISION)],
     hasCreationHistory: false,
     status: 'disputed',
   },
   {
-    title: 'created in the same revision as another: both may be of an earlier epoch',
+    title: 'departed, with one created in the same revision; both may be of an earlier epoch',
     backend: departed('a', EARLY_REVISION),
     otherBackends: [departed('b', EARLY_REVISION)],
     status: 'undisputed',
   },
   {
-    title: 'left, beside an earlier and a later one',
+    title: 'departed, with one created earlier and one created later',
     backend: departed('a', EARLY_REVISION),
     otherBackends: [recorded('b', EARLY_REVISION - 1), departed('c', LATE_REVISION)],
     status: 'superseded',
--- a/src/cookie-edge/backend-health/address-reuse.test.ts
+++ b/src/cookie-edge/backend-health/address-reuse.test.ts
@@ -1,4 +1,4 @@
-/** What becomes of open flows when more than one back end is known at an address. */
+/** Whether open flows continue or are reset when two back ends are known at one address. */
 import test from 'ava';
 import { hashString } from '../../common/hash.js';
 import { HOUSEKEEPING_TICK_MS } from '../forwarding/constants.js';
@@ -10,99 +10,99 @@
 
 const ADDRESS = { endpoint: { host: '10.128.0.1', port: 8_080 } };
 
-/** The revision of the list that a balancer starts with. */
+/** Revision of the list with which a daemon starts. */
 const LISTED_REVISION = 30;
 
-/** A balancer that has just started and read this list. */
-function harnessWithList(records: readonly RoutedBackend[]): ForwarderHarness {
+/** A daemon that has just started and read the list `records`. */
+function startWithList(records: readonly RoutedBackend[]): ForwarderHarness {
   return new ForwarderHarness().know(records, { services: SERVICES }, LISTED_REVISION);
 }
 
-/** Applies a change after those that are known up to `since`. */
-function applyChange(harness: ForwarderHarness, since: number, update: RoutingUpdate): void {
+/** Applies an update that follows revision `since`; -1 for a complete state. */
+function applyUpdate(harness: ForwarderHarness, since: number, update: RoutingUpdate): void {
   const origin = { since, confirmedAtMs: harness.clock.now(), mayHaveLapsed: false };
   harness.knowledge.apply('backends', update, origin);
 }
 
-/** Where a packet of a flow goes that another balancer placed at back end `id`; undefined for a reset. */
+/** Delivers a packet of a flow that another daemon placed at `id`; returns its back end, or undefined after a reset. */
 function forwardByCookie(harness: ForwarderHarness, port: number, id: string): string | undefined {
   return harness.goOn(port, hashString(id), REQUEST)?.backend;
 }
 
-test('a back end at a reused address keeps its flows although the crashed one was recorded anew later', (t) => {
+test('flows at a reused address are not reset when the record of the crashed predecessor was created anew later', (t) => {
   const crashed = backendAt('x', 20, ADDRESS);
   const successor = backendAt('y', 15, { ...ADDRESS, service: 'beta' });
   for (const list of [
     [crashed, successor],
     [successor, crashed],
   ]) {
-    const harness = harnessWithList(list);
+    const harness = startWithList(list);
     t.is(forwardByCookie(harness, 41_000, 'y'), 'y', 'while both are listed');
     harness.depart('x', LISTED_REVISION + 1);
     harness.clock.advance(HOUSEKEEPING_TICK_MS);
-    t.is(forwardByCookie(harness, 41_001, 'y'), 'y', 'after the late record has run out');
+    t.is(forwardByCookie(harness, 41_001, 'y'), 'y', 'after the late record has expired');
     t.is(harness.goOn(41_000, hashString('y'))?.backend, 'y');
     t.is(harness.resets.length, 0);
   }
 });
 
-test('a late record of a crashed back end and its removal in one change do not end its successor', (t) => {
+test('a late record of a crashed back end and its removal in one update do not reset flows of its successor', (t) => {
   const successor = backendAt('y', 15, { ...ADDRESS, service: 'beta' });
-  const harness = harnessWithList([successor]);
+  const harness = startWithList([successor]);
   const recorded = backendAt('x', LISTED_REVISION + 1, ADDRESS);
   const removals = [{ id: 'x', revision: LISTED_REVISION + 2 }];
-  applyChange(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 2, { backends: [recorded], removals }));
+  applyUpdate(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 2, { backends: [recorded], removals }));
   t.is(forwardByCookie(harness, 41_000, 'y'), 'y');
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
   t.is(forwardByCookie(harness, 41_001, 'y'), 'y');
   t.is(harness.resets.length, 0);
 });
 
-test('a back end whose record has lapsed keeps its flows although its predecessor was recorded anew', (t) => {
+test('flows of a lapsed back end are not reset when the record of its predecessor was created anew', (t) => {
   const predecessor = backendAt('p', 20, { ...ADDRESS, service: 'beta' });
-  const harness = harnessWithList([predecessor]);
+  const harness = startWithList([predecessor]);
   const departed = [{ record: backendAt('l', 15, ADDRESS), departedAtMs: 0, lapsed: true }];
-  applyChange(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 1, { departed }));
+  applyUpdate(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 1, { departed }));
   t.is(forwardByCookie(harness, 41_000, 'l'), 'l');
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
   t.is(forwardByCookie(harness, 41_001, 'l'), 'l');
   t.is(harness.resets.length, 0);
 });
 
-test('the flows of a crashed back end are reset once a peer tells that it was known before its successor', (t) => {
+test('flows of a crashed back end are reset once a peer has sent that it was created before its successor', (t) => {
   const crashed = backendAt('x', 20, ADDRESS);
   const successor = backendAt('y', 15, { ...ADDRESS, service: 'beta' });
-  const harness = harnessWithList([crashed, successor]);
+  const harness = startWithList([crashed, successor]);
   const departed = [{ record: backendAt('x', 5, { ...ADDRESS, revision: 20 }), departedAtMs: 0 }];
   const peerState = { complete: true, backends: [successor], departed };
-  applyChange(harness, -1, updateAt(LISTED_REVISION + 1, peerState));
-  t.is(forwardByCookie(harness, 41_000, 'x'), 'x', 'not before other peers may have told of it');
+  applyUpdate(harness, -1, updateAt(LISTED_REVISION + 1, peerState));
+  t.is(forwardByCookie(harness, 41_000, 'x'), 'x', 'not before other peers have had time to send theirs');
   harness.clock.advance(CREATION_HISTORY_UPTIME_MS + HOUSEKEEPING_TICK_MS);
   t.is(forwardByCookie(harness, 41_001, 'x'), undefined);
   t.is(forwardByCookie(harness, 41_002, 'y'), 'y');
 });
 
-test('a superseded back end that is recorded again keeps the flows that come after that', (t) => {
-  const harness = harnessWithList([backendAt('x', 5, ADDRESS)]);
+test('a superseded back end that is recorded again keeps flows forwarded by cookie, but gets no new ones', (t) => {
+  const harness = startWithList([backendAt('x', 5, ADDRESS)]);
   harness.clock.advance(CREATION_HISTORY_UPTIME_MS);
   const successor = backendAt('y', LISTED_REVISION + 1, { ...ADDRESS, service: 'beta' });
-  applyChange(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 1, { backends: [successor] }));
+  applyUpdate(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 1, { backends: [successor] }));
   harness.depart('x', LISTED_REVISION + 2);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
   t.is(forwardByCookie(harness, 41_000, 'x'), undefined);
   const recordedAgain = backendAt('x', LISTED_REVISION + 3, ADDRESS);
-  applyChange(harness, LISTED_REVISION + 2, updateAt(LISTED_REVISION + 3, { backends: [recordedAgain] }));
+  applyUpdate(harness, LISTED_REVISION + 2, updateAt(LISTED_REVISION + 3, { backends: [recordedAgain] }));
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
   t.is(forwardByCookie(harness, 41_001, 'x'), 'x');
-  t.is(harness.open(42_000)?.backend, undefined, 'but no new ones');
+  t.is(harness.open(42_000)?.backend, undefined, 'no new flow');
 });
 
-test('no flow is reset because of a later record before peers have told how long both have been known', (t) => {
+test('no flow is reset because of a later record before peers have sent when both back ends were first created', (t) => {
   const surroundings = { hasLearntFromPeers: () => false };
   const harness = new ForwarderHarness(undefined, 1, [], surroundings);
   harness.know([backendAt('x', 5, ADDRESS)], { services: SERVICES }, LISTED_REVISION);
   const successor = backendAt('y', LISTED_REVISION + 1, { ...ADDRESS, service: 'beta' });
-  applyChange(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 1, { backends: [successor] }));
+  applyUpdate(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 1, { backends: [successor] }));
   harness.depart('x', LISTED_REVISION + 2);
   harness.clock.advance(2 * CREATION_HISTORY_UPTIME_MS);
   t.is(forwardByCookie(harness, 41_000, 'x'), 'x');
--- a/src/cookie-edge/backend-health/address-reuse.ts
+++ b/src/cookie-edge/backend-health/address-reuse.ts
@@ -53,8 +53,9 @@
 }
 
 /**
- * True when the record was removed rather than lapsed, and no sign of life came after that. Call it only if a back end
- * that was created later is known at the address.
+ * True when the record of `backend` was removed rather than lapsed, and no sign of life came after its departure.
+ * Always false before this daemon knows the first creations. Call it only if a back end that was created later is
+ * known at the address.
  */
 function hasCertainlyEnded({ backend, lastSignOfLifeMs, hasCreationHistory }: AddressStatusInput): boolean {
   if (!hasCreationHistory || !backend.departed || backend.lapsed) return false;
--- a/src/cookie-edge/backend-health/constants.ts
+++ b/src/cookie-edge/backend-health/constants.ts
@@ -38,8 +38,8 @@
 export const CLOSED_FLOW_DECAY_MS = 2_000;
 
 /**
- * Timeout of a probe. Longer than the 500 ms that the platform allows packets to wait on a link that is not overloaded,
- * so that a busy link does not look like a dead back end. A probe that loses a packet also takes the whole timeout.
+ * Timeout of a probe. Longer than packets wait on a link that is not overloaded (500 ms by the platform's measure), so
+ * that a busy link does not look like a dead back end. A probe that loses a packet also takes the whole timeout.
  */
 export const PROBE_TIMEOUT_MS = 600;
 
@@ -70,9 +70,9 @@
 
 /**
  * Delay before a back end with a dead verdict is probed again. Without these probes each daemon would place callers'
- * flows at every dead back end when its verdict ends. When 35 back ends of a zone crashed within 34 s, seen by 74
- * daemons, the probes cut attempts that ended with a reset from 834 to 280, together with the rule that a refusal alone
- * is a proof.
+ * flows at every dead back end when its verdict ends. In a run of 34 s with 74 daemons, in which 35 back ends of a
+ * zone crashed, the probes and the rule that a refusal alone is a proof together cut the attempts that ended with a
+ * reset from 834 to 280.
  */
 export const DEAD_RECHECK_DELAY_MS = 1_000;
 
@@ -81,7 +81,7 @@
 
 /**
  * Uptime after which a daemon has received from its peers whether they know more back ends than the source lists, and
- * so when each back end was first created.
+ * therefore when each back end was first created.
  */
 export const CREATION_HISTORY_UPTIME_MS = 5_000;
 
@@ -91,7 +91,7 @@
  */
 export const SLOW_HANDSHAKE_MARGIN_MS = 5;
 
-/** Multiple of the moving average above which, plus `SLOW_HANDSHAKE_MARGIN_MS`, a handshake is slow. */
+/** Factor of the moving average in the limit above which a handshake is slow; see `SLOW_HANDSHAKE_MARGIN_MS`. */
 export const SLOW_HANDSHAKE_FACTOR = 2;
 
 /** Weight of the newest handshake in the moving average; the average covers about the last 1 / 0.05 = 20 handshakes. */
--- a/src/cookie-edge/backend-health/dead-backends-test-support.ts
+++ b/src/cookie-edge/backend-health/dead-backends-test-support.ts
@@ -1,20 +1,22 @@
-/** Forwarders whose probes of back ends fail as a test says. For tests only. */
+/** Forwarder harnesses with simulated probe outcomes. For tests only. */
 import { VirtualClock } from '../../common/clock.js';
 import type { Endpoint } from '../../common/types.js';
 import { backends, ForwarderHarness, type HarnessSurroundings } from '../forwarding/cookie-test-support.js';
 import type { ProbeOutcome } from './backend-prober.js';
 
-/** A caller repeats data after this long, in ms. */
+/** Time after which a caller retransmits data, in ms. */
 const RETRANSMISSION_DELAY_MS = 200;
 export const REQUEST = { payloadBytes: 100, sequence: 500 };
 
-/** Services that the configuration names: a successor at an address may be of another one. */
+/** Configured services. Two, because a successor at an address may belong to another service. */
 export const SERVICES = ['alpha', 'beta'].map((name) => ({ name, maxConnections: 2_000 }));
 
-/** Addresses of back ends that a probe does not reach, and how it fails there. */
+/** Probe outcome by host, for the hosts whose probes fail. */
 export type UnreachableHosts = Map<string, ProbeOutcome>;
 
-/** A harness in which probes take no time and fail as `unreachable` says; `probed` lists their addresses. */
+/**
+ * A harness whose probes take no time and end as `unreachable` says, else answered; `probed` lists the probed hosts.
+ */
 export function setUp(
   count: number,
   surroundings: HarnessSurroundings = {},
@@ -30,17 +32,17 @@
   return { harness, unreachable, probed };
 }
 
-/** Address of back end `a`, `b`, ... */
+/** Host of the back end with id `a`, `b`, ... */
 export function hostOf(id: string): string {
   return `10.128.0.${id.charCodeAt(0) - 96}`;
 }
 
-/** Lets probes that take no time end. */
+/** Waits until probes that take no time have ended and were evaluated. */
 export function waitForProbes(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** Lets `milliseconds` pass in small steps; probes that end meanwhile are dealt with. */
+/** Advances the clock in small steps, so that probes that end meanwhile are evaluated at their time. */
 export async function advanceInSteps(clock: VirtualClock, milliseconds: number): Promise<void> {
   const STEP_MS = 50;
   for (let elapsedMs = 0; elapsedMs < milliseconds; elapsedMs += STEP_MS) {
@@ -49,7 +51,7 @@
   }
 }
 
-/** Opens flows until each of the `ids` has one; ports and cookies by back end. */
+/** Opens 12 flows; returns the port and cookie of the last one at each back end. */
 export function openFlowAtEach(
   harness: ForwarderHarness,
   fromPort = 41_000,
@@ -62,7 +64,7 @@
   return flows;
 }
 
-/** The caller of a flow sends a request and repeats it; others of the harness's flows show signs of life. */
+/** Sends a request on `flow` and retransmits it; the callers of `aliveFlows` acknowledge new data, a sign of life. */
 export async function retransmitRequest(
   harness: ForwarderHarness,
   flow: { port: number; cookie: number },
--- a/src/cookie-edge/backend-health/dead-backends.test.ts
+++ b/src/cookie-edge/backend-health/dead-backends.test.ts
@@ -1,4 +1,4 @@
-/** When a back end gets a dead verdict, and what becomes of its flows. */
+/** When a back end gets a dead verdict, and what happens to its flows. */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
@@ -23,7 +23,7 @@
 const RESET_EVENT = 1260;
 
 for (const outcome of ['silent', 'refused'] as const) {
-  test(`a back end whose connections are ${outcome} gets its flows reset, idle ones included, and no new ones`, async (t) => {
+  test(`flows at a back end whose probes are ${outcome} are reset, including idle ones, and it gets no new ones`, async (t) => {
     const { harness, unreachable } = setUp(3);
     const flows = openFlowAtEach(harness);
     const packetsToA = harness.sent.filter(({ backend }) => backend === 'a').length;
@@ -37,7 +37,7 @@
   });
 }
 
-test('an opening at a back end that is proved dead is not reset: a copy of its SYN may be open elsewhere', async (t) => {
+test('an opening at a dead back end is not reset, because a retransmission of its SYN may be open elsewhere', async (t) => {
   const { harness, unreachable } = setUp(2);
   const flows = openFlowAtEach(harness);
   const opening = [44_000, 44_001, 44_002].find((port) => harness.open(port)?.backend === 'a');
@@ -46,10 +46,10 @@
   t.true(harness.resets.length > 0);
   t.not(opening, undefined);
   t.false(harness.resets.some(({ sourcePort }) => sourcePort === opening));
-  t.is(harness.open(opening!, 1)?.backend, 'b', 'its next copy is placed anew');
+  t.is(harness.open(opening!, 1)?.backend, 'b', 'its next retransmission is placed anew');
 });
 
-test('a reset names the caller of the flow and its last acknowledgement', async (t) => {
+test('a reset is addressed to the caller of the flow and carries its last acknowledgement', async (t) => {
   const { harness, unreachable } = setUp(2);
   const flows = openFlowAtEach(harness);
   const { port, cookie } = flows.get('a')!;
@@ -60,7 +60,7 @@
   t.like(reset, { sourceAddress: 0x64400007, destinationPort: 8_443, acknowledgement: 77_777 });
 });
 
-test('a busy back end, which acknowledges late but answers a connection, keeps its flows', async (t) => {
+test('flows at a busy back end that acknowledges late but answers probes are not reset', async (t) => {
   const { harness, probed } = setUp(3);
   const flows = openFlowAtEach(harness);
   for (let round = 0; round < 5; round += 1) {
@@ -71,7 +71,7 @@
   t.is(harness.resets.length, 0);
 });
 
-test('a refused connection is a proof though no other back end shows signs of life just then', async (t) => {
+test('a refused probe proves a back end dead even while no other back end gives signs of life', async (t) => {
   const { harness, unreachable } = setUp(2);
   const flows = openFlowAtEach(harness);
   unreachable.set(hostOf('a'), 'refused');
@@ -80,7 +80,7 @@
   t.is(harness.resets.length, 6);
 });
 
-test('a balancer that reaches nobody resets nothing', async (t) => {
+test('a daemon that is cut off from all back ends resets no flow', async (t) => {
   const { harness, unreachable } = setUp(3);
   const flows = openFlowAtEach(harness);
   for (const id of ['a', 'b', 'c']) unreachable.set(hostOf(id), 'silent');
@@ -89,7 +89,7 @@
   t.is(harness.resets.length, 0);
 });
 
-/** A harness in which a probe that stays unanswered takes its whole time-out. */
+/** A harness in which an unanswered probe takes its whole timeout. */
 function setUpTimedProbes(count: number): {
   harness: ForwarderHarness;
   flows: ReturnType<typeof openFlowAtEach>;
@@ -106,14 +106,14 @@
   return { harness, flows: openFlowAtEach(harness), unreachable };
 }
 
-/** Two back ends, of which `a` answers nothing any more. */
+/** A harness with two back ends, of which `a` no longer answers. */
 function setUpSilent(): Omit<ReturnType<typeof setUpTimedProbes>, 'unreachable'> {
   const { harness, flows, unreachable } = setUpTimedProbes(2);
   unreachable.set(hostOf('a'), 'silent');
   return { harness, flows };
 }
 
-test('others are told when the first probe is unanswered so far, and not again with the proof a moment later', async (t) => {
+test('a possible death is gossiped when the second probe is sent, and not again with the proof shortly after', async (t) => {
   const { harness, flows } = setUpSilent();
   await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
   await advanceInSteps(harness.clock, PROBE_SPACING_MS - 50);
@@ -125,7 +125,7 @@
   t.is(harness.resets.length, 6);
 });
 
-test('nobody is told of a doubt while no other back end shows signs of life', async (t) => {
+test('an unanswered probe is not gossiped while no other back end gives signs of life', async (t) => {
   const { harness, flows } = setUpSilent();
   harness.clock.advance(1_000);
   await retransmitRequest(harness, flows.get('a')!, []);
@@ -133,7 +133,7 @@
   t.deepEqual(harness.gossipedEjections, []);
 });
 
-test('a doubt that another balancer told of is not told again', async (t) => {
+test('an unanswered probe is not gossiped after another daemon gossiped an ejection of the same back end', async (t) => {
   const { harness, flows } = setUpSilent();
   harness.forwarder.applyEjectionReport('a', harness.clock.now());
   harness.goOn(flows.get('b')!.port, flows.get('b')!.cookie, { acknowledgement: 9_000 });
@@ -141,16 +141,16 @@
   t.deepEqual(harness.gossipedEjections, []);
 });
 
-test('the second probe does not wait for the time-out of the first', async (t) => {
+test('the second probe does not wait for the timeout of the first', async (t) => {
   const { harness, flows } = setUpSilent();
   await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
   await advanceInSteps(harness.clock, PROBE_TIMEOUT_MS + PROBE_SPACING_MS - 50);
-  t.is(harness.resets.length, 0, 'one unanswered probe is no proof');
+  t.is(harness.resets.length, 0, 'one unanswered probe proves nothing');
   await advanceInSteps(harness.clock, 50);
   t.is(harness.resets.length, 6);
 });
 
-test('an answer to the first probe that comes after the second was sent acquits', async (t) => {
+test('no flow is reset when the first probe is answered after the second one was sent', async (t) => {
   const clock = new VirtualClock();
   let sent = 0;
   const probe = async (_endpoint: Endpoint, timeoutMs: number): Promise<ProbeOutcome> => {
@@ -167,7 +167,7 @@
   t.is(harness.resets.length, 0);
 });
 
-test('a sign of life while probes are under way acquits', async (t) => {
+test('no flow is reset when a sign of life comes while probes are in progress', async (t) => {
   const { harness } = setUp(2, {
     probe: () => {
       const { port, cookie } = flows.get('a')!;
@@ -180,7 +180,7 @@
   t.is(harness.resets.length, 0);
 });
 
-test('probes that end late prove nothing: this process stood still', async (t) => {
+test('probes that end late prove nothing, because this process was paused', async (t) => {
   const { harness } = setUp(2, {
     probe: () => {
       harness.clock.advance(PROBE_TIMEOUT_MS + 10 * HOUSEKEEPING_TICK_MS);
@@ -192,7 +192,10 @@
   t.is(harness.resets.length, 0);
 });
 
-/** Lets time pass while callers of the other back ends go on, and new flows are opened; returns where these went. */
+/**
+ * Advances the clock while callers of `aliveFlows` acknowledge new data and one new flow is opened each step; returns
+ * the back ends of the new flows.
+ */
 async function openFlowsDuring(
   harness: ForwarderHarness,
   aliveFlows: readonly { port: number; cookie: number }[],
@@ -212,7 +215,7 @@
 }
 
 for (const outcome of ['silent', 'refused'] as const) {
-  test(`no caller's flow has to try a back end whose connections stay ${outcome}, and others are told again`, async (t) => {
+  test(`no flow serves as a trial at a back end whose probes stay ${outcome}, and its ejection is gossiped again`, async (t) => {
     const { harness, flows, unreachable } = setUpTimedProbes(3);
     const aliveFlows = [flows.get('b')!, flows.get('c')!];
     unreachable.set(hostOf('a'), outcome);
@@ -223,7 +226,7 @@
   });
 }
 
-test('a back end that was held dead gets flows again as soon as a probe is answered', async (t) => {
+test('a dead back end gets new flows again as soon as it answers a probe', async (t) => {
   const { harness, unreachable } = setUp(3);
   const flows = openFlowAtEach(harness);
   const aliveFlows = [flows.get('b')!, flows.get('c')!];
@@ -234,7 +237,7 @@
   t.true((await openFlowsDuring(harness, aliveFlows, 600, 44_000)).has('a'));
 });
 
-test('an answer of the process that took over an address does not bring the earlier one back', async (t) => {
+test('a dead back end is not revived by probe answers of the process that now has its address', async (t) => {
   const { harness, unreachable } = setUp(3);
   const flows = openFlowAtEach(harness);
   const aliveFlows = [flows.get('b')!, flows.get('c')!];
@@ -247,17 +250,17 @@
   t.false((await openFlowsDuring(harness, aliveFlows, 4_000, 43_000)).has('a'));
 });
 
-test('a packet of a flow that another balancer placed at a dead back end is answered with a reset', async (t) => {
+test('a packet of a flow that another daemon placed at a dead back end is answered with a reset', async (t) => {
   const { harness, unreachable } = setUp(2);
   const flows = openFlowAtEach(harness);
   unreachable.set(hostOf('a'), 'refused');
   await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
   t.is(harness.goOn(49_999, flows.get('a')!.cookie, REQUEST)?.backend, undefined);
   harness.clock.advance(2_500);
-  t.is(harness.goOn(49_999, flows.get('a')!.cookie, REQUEST)?.backend, 'a', 'the proof has expired');
+  t.is(harness.goOn(49_999, flows.get('a')!.cookie, REQUEST)?.backend, 'a', 'the verdict has expired');
 });
 
-test('two dead back ends of a zone put those beside them in doubt, and nobody in another zone', async (t) => {
+test('two deaths in a zone cause probes of its other back ends, and of none in another zone', async (t) => {
   const { harness, unreachable, probed } = setUp(0);
   const zones = ['north', 'north', 'north', 'south', 'south', 'south'];
   harness.know(backends(6).map((backend, index) => ({ ...backend, zone: zones[index]! })));
--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -38,7 +38,7 @@
   /** Back ends with probes in progress. */
   private readonly probing = new Set<LocalBackendState>();
   /** When a back end last answered a probe. */
-  private readonly answeredAtMs = new Map<LocalBackendState, number>();
+  private readonly lastAnswerAtMs = new Map<LocalBackendState, number>();
   /** The last death that probes found in each zone. */
   private readonly lastDeathByZone = new Map<string, ZoneDeath<LocalBackendState>>();
   /** Back ends for which `renewVerdict` runs. */
@@ -64,7 +64,7 @@
       isDead: state.isDead(nowMs),
       isProbing: this.probing.has(state),
       backendsProbed: this.probing.size,
-      lastAnswerAtMs: this.answeredAtMs.get(state) ?? Number.NEGATIVE_INFINITY,
+      lastAnswerAtMs: this.lastAnswerAtMs.get(state) ?? Number.NEGATIVE_INFINITY,
     });
     if (decision !== 'probe') return;
     this.probing.add(state);
@@ -73,7 +73,7 @@
 
   /** Discards what probes found about a back end. */
   forget(backend: KnownBackend): void {
-    this.answeredAtMs.delete(this.options.states.of(backend));
+    this.lastAnswerAtMs.delete(this.options.states.of(backend));
   }
 
   /**
@@ -91,7 +91,7 @@
         lastSignOfLifeMs: state.lastSignOfLifeMs,
         othersLastSignOfLifeMs: this.options.states.othersLastSignOfLifeMs(state),
       });
-      if (conclusion === 'answered') this.answeredAtMs.set(state, clock.now());
+      if (conclusion === 'answered') this.lastAnswerAtMs.set(state, clock.now());
       else if (conclusion === 'refused' || conclusion === 'silent') this.declareDead(state, conclusion);
       if (conclusion !== 'unproved') return;
     }
--- a/src/cookie-edge/backend-health/dead-verdict.test.ts
+++ b/src/cookie-edge/backend-health/dead-verdict.test.ts
@@ -1,4 +1,4 @@
-/** When a back end is probed, proved dead, and for how long. */
+/** When a back end is probed, when probes prove it dead, and how long a verdict lasts. */
 import test from 'ava';
 import type { ProbeFinding } from './backend-prober.js';
 import {
@@ -52,7 +52,7 @@
   });
 }
 
-test('what one probe tells', (t) => {
+test('silence and refusals count only in time and without a pause; answers always count', (t) => {
   const lateMs = PROBE_TIMEOUT_MS + PROBE_TIMEOUT_SLACK_MS + 1;
   t.is(evaluateProbe('silent', lateMs - 1, false), 'silent');
   t.is(evaluateProbe('silent', lateMs, false), 'inconclusive');
@@ -61,7 +61,7 @@
   t.is(evaluateProbe('answered', lateMs, true), 'answered');
 });
 
-/** From the strongest finding to the weakest. */
+/** Findings in order of precedence, highest first. */
 const FINDINGS_BY_STRENGTH: readonly ProbeFinding[] = ['answered', 'refused', 'inconclusive', 'silent'];
 
 for (const [rank, stronger] of FINDINGS_BY_STRENGTH.entries()) {
@@ -73,7 +73,7 @@
   }
 }
 
-/** Finding, last sign of life, last one of others; probes began at `SINCE_MS`. */
+/** Finding, last sign of life, last one of others, conclusion; probes started at `PROBES_STARTED_MS`. */
 const CONCLUSIONS: readonly (readonly [ProbeFinding, number, number, ProbeConclusion])[] = [
   ['refused', PROBES_STARTED_MS, NEVER, 'alive'],
   ['answered', PROBES_STARTED_MS, NEVER, 'alive'],
@@ -93,7 +93,7 @@
   });
 }
 
-/** Finding, last sign of life of others; probes began at `SINCE_MS`. */
+/** Finding, last sign of life of others, decision; probes started at `PROBES_STARTED_MS`. */
 const RECHECKS: readonly (readonly [ProbeFinding, number, RecheckDecision])[] = [
   ['answered', NEVER, 'revive'],
   ['refused', NEVER, 'renew'],
@@ -108,7 +108,7 @@
   });
 }
 
-test('the second death of another back end within the time puts a zone in doubt', (t) => {
+test('a death counts as the second of its zone only after another back end within the window', (t) => {
   const death = { state: 'b', atMs: NOW_MS };
   t.false(isSecondZoneDeath(undefined, death));
   t.false(isSecondZoneDeath({ state: 'b', atMs: NOW_MS - 1 }, death));
@@ -116,7 +116,7 @@
   t.false(isSecondZoneDeath({ state: 'a', atMs: NOW_MS - ZONE_DEATH_WINDOW_MS }, death));
 });
 
-test('a verdict is in force until its time or its end', (t) => {
+test('a verdict is in force until it expires or is ended', (t) => {
   const verdict = new DeadVerdict();
   t.false(verdict.isInForce(NOW_MS));
   verdict.begin({ proof: 'silent', sinceMs: NOW_MS }, NOW_MS + 1);
--- a/src/cookie-edge/backend-health/dead-verdict.ts
+++ b/src/cookie-edge/backend-health/dead-verdict.ts
@@ -24,7 +24,7 @@
 /** Proof behind a dead verdict; `superseded`: another back end has its address. */
 export type DeathProof = DeathFinding | 'superseded';
 
-/** State of a back end that may be dead, as far as it decides on a probe. */
+/** State of a back end that may be dead, and of the probes in progress. */
 export interface ProbeDecisionInput {
   readonly nowMs: number;
   /** Open flows of this daemon at the back end. */
@@ -43,7 +43,7 @@
 
 /**
  * Decides whether to probe a back end that may be dead. Tests for flows first: without any there is nothing to reset.
- * If the answer is no, the next failure of the back end asks again.
+ * A back end that is not probed now is considered again at its next failure.
  */
 export function decideProbe(input: ProbeDecisionInput): ProbeDecision {
   if (input.openFlows === 0) return 'no-flows';
@@ -87,10 +87,16 @@
   return othersLastSignOfLifeMs >= startMs;
 }
 
-/** Conclusion from a pair of probes. `alive`: callers saw a sign of life; `unproved`: another pair may prove more. */
+/**
+ * Conclusion from a pair of probes. `alive`: a caller's packet was a sign of life; `unproved`: another pair may prove
+ * more.
+ */
 export type ProbeConclusion = 'alive' | 'answered' | DeathFinding | 'unproved';
 
-/** Draws the conclusion from a pair of probes. Tests signs of life in callers' packets first: they are newer. */
+/**
+ * Draws the conclusion from a pair of probes. Signs of life in callers' packets take precedence, because they are newer
+ * than the probes.
+ */
 export function concludeProbes(finding: ProbeFinding, period: ProbePeriod): ProbeConclusion {
   if (period.lastSignOfLifeMs >= period.startedMs) return 'alive';
   if (finding === 'answered' || finding === 'refused') return finding;
--- a/src/cookie-edge/backend-health/local-backend-state.test.ts
+++ b/src/cookie-edge/backend-health/local-backend-state.test.ts
@@ -2,13 +2,13 @@
 import test from 'ava';
 import { stateOf } from '../placement/placement-test-support.js';
 
-test('repeated trials that fail keep a back end out longer each time', (t) => {
+test('failed trial openings double the ejection time, and a sign of life ends the ejection', (t) => {
   const state = stateOf('a');
   state.recordFailure(100, 0);
   t.false(state.tryEject(100, 50));
   t.is(state.liveness(120), 'suspect');
   state.recordFailure(200, 100);
-  t.false(state.tryEject(200, 0), 'nobody else gave a sign of life either');
+  t.false(state.tryEject(200, 0), 'no other back end gave a sign of life either');
   t.true(state.tryEject(200, 150));
   t.is(state.liveness(1_199), 'ejected');
   t.is(state.liveness(1_300), 'trial');
@@ -16,7 +16,7 @@
   t.is(state.liveness(1_301), 'ejected', 'one trial at a time');
   state.recordFailure(1_500, 1_300);
   t.true(state.tryEject(1_500, 1_400));
-  t.false(state.tryEject(3_600, 3_500), 'only a later failure leads to another ejection');
+  t.false(state.tryEject(3_600, 3_500), 'only a later failure causes another ejection');
   t.is(state.liveness(3_400), 'ejected');
   t.is(state.liveness(3_600), 'trial');
   t.true(state.recordSignOfLife(3_700));
--- a/src/cookie-edge/backend-health/local-backend-state.ts
+++ b/src/cookie-edge/backend-health/local-backend-state.ts
@@ -132,7 +132,7 @@
   liveness(nowMs: number): Liveness {
     if (this.isDead(nowMs)) return 'ejected';
     const phase = this.ejection.phaseAt(nowMs);
-    if (phase === 'forgiven') return 'alive';
+    if (phase === 'failures-expired') return 'alive';
     if (phase !== 'no-failure') return phase;
     return this.ejectionReport.makesSuspect(nowMs, this.lastSignOfLifeMs) ? 'suspect' : 'alive';
   }
--- a/src/cookie-edge/backend-health/passive-ejection.test.ts
+++ b/src/cookie-edge/backend-health/passive-ejection.test.ts
@@ -1,11 +1,11 @@
-/** When a back end is ejected, suspect, and tried again. */
+/** When a back end is ejected, when it is suspect, and when it gets a trial opening. */
 import test from 'ava';
 import { EJECT_MAX_MS, EJECT_MIN_MS, SUSPECT_MS } from './constants.js';
 import { PassiveEjection, type EjectionDecision, type EjectionPhase } from './passive-ejection.js';
 
 const NEVER = Number.NEGATIVE_INFINITY;
 
-/** Failures as [noticed, began], then the judgement at `atMs`, ms. */
+/** Failures as [noticed, began], then the evaluation at `atMs`. Times in ms. */
 interface EvaluationCase {
   readonly name: string;
   readonly failures: readonly (readonly [number, number])[];
@@ -29,21 +29,21 @@
     expected: 'too-few-failures',
   },
   {
-    name: 'others never seen',
+    name: 'other back ends never answered',
     failures: TWO_FAILURES,
     atMs: 300,
     othersLastSignOfLifeMs: NEVER,
     expected: 'no-other-answers',
   },
   {
-    name: 'others seen as it began',
+    name: 'other back ends answered last when the failure began',
     failures: TWO_FAILURES,
     atMs: 300,
     othersLastSignOfLifeMs: 50,
     expected: 'no-other-answers',
   },
   {
-    name: 'others seen since',
+    name: 'other back ends answered since',
     failures: TWO_FAILURES,
     atMs: 300,
     othersLastSignOfLifeMs: 51,
@@ -52,9 +52,9 @@
 ];
 
 for (const { name, failures, atMs, othersLastSignOfLifeMs, expected } of EVALUATIONS) {
-  test(`judgement: ${name}`, (t) => {
+  test(`evaluation: ${name}`, (t) => {
     const ejection = new PassiveEjection();
-    for (const [nowMs, failureStartMs] of failures) ejection.recordFailure(nowMs, failureStartMs);
+    for (const [noticedMs, failureStartMs] of failures) ejection.recordFailure(noticedMs, failureStartMs);
     t.is(ejection.evaluate(atMs, othersLastSignOfLifeMs), expected);
   });
 }
@@ -67,7 +67,7 @@
   return ejection;
 }
 
-test('judgement: a failure leads to one ejection only, and one during an ejection to none', (t) => {
+test('evaluation: a failure causes one ejection only, and a failure during an ejection causes none', (t) => {
   const ejection = withEjectionAt(1_000);
   t.is(ejection.evaluate(1_100, 1_100), 'already-evaluated');
   ejection.recordFailure(1_200, 1_050);
@@ -77,7 +77,7 @@
   t.is(ejection.evaluate(1_000 + EJECT_MIN_MS, 1_900), 'eject');
 });
 
-test('the ejection time doubles up to the longest, and a sign of life resets it', (t) => {
+test('the ejection time doubles up to its maximum, and a sign of life resets it', (t) => {
   const ejection = withEjectionAt(0);
   let endMs = EJECT_MIN_MS;
   for (const expectedMs of [2 * EJECT_MIN_MS, 4 * EJECT_MIN_MS, EJECT_MAX_MS, EJECT_MAX_MS]) {
@@ -112,17 +112,17 @@
 const PHASES: readonly (readonly [string, PassiveEjection, number, EjectionPhase])[] = [
   ['without failures', new PassiveEjection(), 0, 'no-failure'],
   ['just after one failure', withFailureAt(1_000), 1_000 + SUSPECT_MS - 1, 'suspect'],
-  ['long after one failure', withFailureAt(1_000), 1_000 + SUSPECT_MS, 'forgiven'],
+  ['long after one failure', withFailureAt(1_000), 1_000 + SUSPECT_MS, 'failures-expired'],
   ['during an ejection', withEjectionAt(1_000), TRIAL_MS - 1, 'ejected'],
   ['after an ejection', withEjectionAt(1_000), TRIAL_MS, 'trial'],
   [
-    'while a trial opening is under way',
+    'just before the next trial opening is due',
     withTrialAt(withEjectionAt(1_000), TRIAL_MS),
     TRIAL_MS + EJECT_MIN_MS - 1,
     'ejected',
   ],
   [
-    'long after a trial opening',
+    'when the next trial opening is due',
     withTrialAt(withEjectionAt(1_000), TRIAL_MS),
     TRIAL_MS + EJECT_MIN_MS,
     'trial',
--- a/src/cookie-edge/backend-health/passive-ejection.ts
+++ b/src/cookie-edge/backend-health/passive-ejection.ts
@@ -19,8 +19,8 @@
 export type EjectionDecision =
   'eject' | 'too-few-failures' | 'no-other-answers' | 'already-evaluated' | 'already-ejected';
 
-/** Phase of a back end by its failures. `forgiven`: its last failure is so old that it counts as alive. */
-export type EjectionPhase = 'no-failure' | 'forgiven' | 'suspect' | 'ejected' | 'trial';
+/** Phase of a back end by its failures. `failures-expired`: its last failure is so old that it counts as alive. */
+export type EjectionPhase = 'no-failure' | 'failures-expired' | 'suspect' | 'ejected' | 'trial';
 
 /** Failures of one back end since its last sign of life, and the resulting ejections. */
 export class PassiveEjection {
@@ -83,6 +83,6 @@
     if (this.failureCount === 0) return 'no-failure';
     if (nowMs < this.ejectedUntilMs) return 'ejected';
     if (this.ejectedUntilMs > 0) return nowMs - this.lastTrialMs < EJECT_MIN_MS ? 'ejected' : 'trial';
-    return nowMs - this.lastFailureMs < SUSPECT_MS ? 'suspect' : 'forgiven';
+    return nowMs - this.lastFailureMs < SUSPECT_MS ? 'suspect' : 'failures-expired';
   }
 }
--- a/src/cookie-edge/backend-health/shared-addresses.ts
+++ b/src/cookie-edge/backend-health/shared-addresses.ts
@@ -35,7 +35,7 @@
   }
 
   /** The back ends at each address that has two or more. */
-  sharedAddresses(): Iterable<ReadonlySet<KnownBackend>> {
+  groupsSharingAddress(): Iterable<ReadonlySet<KnownBackend>> {
     return this.sharedSets;
   }
 }
--- a/src/cookie-edge/backend-health/slow-back-ends.test.ts
+++ b/src/cookie-edge/backend-health/slow-back-ends.test.ts
@@ -1,15 +1,17 @@
-/** Loads at which back ends turn slow or mute, replayed with and without outlier detection. */
+/** Replayed loads with back ends that turn slow or stop answering, with and without outlier detection. */
 import test from 'ava';
 import { ReplayedLoad, type ReplayedDay } from '../placement/replayed-load.js';
 
 const BACKENDS = 84;
+/** Time at which back ends turn slow or a burst starts. */
 const ONSET_MS = 6_000;
 const REPLAY_MS = 14_000;
-/** From then on, verdicts have had time to be reached. */
+/** Time by which the daemons have had time to detect the outliers. */
 const DETECTED_MS = ONSET_MS + 2_000;
+/** A request that takes longer than this is late. */
 const TARGET_MS = 400;
 
-/** The work of a lift operator: 790 requests a second, most on flows that are kept; 27% of the slots are busy. */
+/** Load of a lift operator: 790 requests a second, most of them on persistent flows; 27% of the slots are busy. */
 const CALM_LOAD: ReplayedDay = {
   balancers: 28,
   backends: BACKENDS,
@@ -27,7 +29,10 @@
   return load;
 }
 
-/** Late requests on flows of their own while back ends are slow and that is known: those that a balancer can place. */
+/**
+ * Share of late requests among those that a daemon can place: requests on new flows, sent after the detection of slow
+ * back ends and 2 s before the end, so that all could be answered.
+ */
 function lateShareOfPlaceable(load: ReplayedLoad): number {
   const fresh = load.requests.filter(
     ({ isFresh, sentAtMs }) => isFresh && sentAtMs >= DETECTED_MS && sentAtMs < REPLAY_MS - 2_000,
@@ -38,7 +43,7 @@
 const burstAt = (nowMs: number): number => (nowMs >= ONSET_MS && nowMs < ONSET_MS + 3_000 ? 1.7 : 1);
 
 for (const balancers of [4, 28, 146]) {
-  test(`a fifth of the back ends five times slower in a burst, ${balancers} balancers`, (t) => {
+  test(`detection cuts late requests to a third: a fifth of the back ends 5 times slower in a burst, ${balancers} daemons`, (t) => {
     const overrides: Partial<ReplayedDay> = {
       balancers,
       burstAt,
@@ -56,7 +61,7 @@
   });
 }
 
-test('one back end in ten never answers', (t) => {
+test('detection cuts late requests to a third: one back end in ten never answers', (t) => {
   const overrides: Partial<ReplayedDay> = {
     slownessOf: (backend, nowMs) => (backend % 10 === 0 && nowMs >= ONSET_MS ? Infinity : 1),
   };
@@ -71,7 +76,7 @@
   );
 });
 
-test('nothing that balancers tell each other arrives for five seconds: no worse than without', (t) => {
+test('detection makes no more requests late while all gossip is lost for five seconds', (t) => {
   const overrides: Partial<ReplayedDay> = {
     slownessOf: (backend, nowMs) => (backend % 5 === 0 && nowMs >= ONSET_MS ? 5 : 1),
     gossipLostAt: (nowMs) => nowMs >= ONSET_MS - 500 && nowMs < ONSET_MS + 4_500,
@@ -87,24 +92,24 @@
   );
 });
 
-test('a burst alone, and a calm day, make no outliers', (t) => {
+test('neither a steady load nor a burst causes detections', (t) => {
   for (const load of [runLoad({}), runLoad({ burstAt })]) {
     const verdicts = load.balancers.map(({ forwarder }) => forwarder.outliers.detections);
     t.true(Math.max(...verdicts) <= 1, `${verdicts.join(' ')}`);
   }
 });
 
-test('while a service is crowded as a whole, avoiding the busiest back ends makes nobody later', (t) => {
+test('detection makes at most 2% more requests late while the whole service is overloaded', (t) => {
   const overrides: Partial<ReplayedDay> = { burstAt: (nowMs) => 1.8 * burstAt(nowMs) };
-  const without = runLoad({ ...overrides, switchedOff: ['outlier-detection'] });
+  const loadWithoutDetection = runLoad({ ...overrides, switchedOff: ['outlier-detection'] });
   const load = runLoad(overrides);
-  const lateWithoutDetection = without.lateShare(ONSET_MS, ONSET_MS + 3_000, TARGET_MS);
+  const lateWithoutDetection = loadWithoutDetection.lateShare(ONSET_MS, ONSET_MS + 3_000, TARGET_MS);
   const late = load.lateShare(ONSET_MS, ONSET_MS + 3_000, TARGET_MS);
   t.log({ lateWithout: lateWithoutDetection, late });
   t.true(late <= lateWithoutDetection * 1.02, `${late} late, ${lateWithoutDetection} without`);
 });
 
-test('back ends that are well again get as many flows as the others', (t) => {
+test('a back end that recovered gets at least a third of the average number of new flows', (t) => {
   const load = runLoad({
     slownessOf: (backend, nowMs) => (backend === 7 && nowMs >= 5_000 && nowMs < 6_500 ? 8 : 1),
   });
--- a/src/cookie-edge/backend-health/slow-handshake.test.ts
+++ b/src/cookie-edge/backend-health/slow-handshake.test.ts
@@ -1,4 +1,4 @@
-/** When a handshake is slow. */
+/** When a pending handshake counts as slow. */
 import test from 'ava';
 import { HANDSHAKE_AVERAGE_START_MS, SLOW_HANDSHAKE_FACTOR, SLOW_HANDSHAKE_MARGIN_MS } from './constants.js';
 import { HandshakeTimes, hasSlowHandshake } from './slow-handshake.js';
@@ -15,7 +15,7 @@
   );
 });
 
-/** Pending openings, when the first was placed, now, and the result for a limit of 45 ms. */
+/** Title, pending openings, since when, now, and whether that is slow at a limit of 45 ms. */
 const CASES: readonly (readonly [string, number, number, number, boolean])[] = [
   ['nothing pending', 0, 0, 1_000, false],
   ['at the limit', 1, 100, 145, false],
@@ -24,7 +24,7 @@
 ];
 
 for (const [name, pending, sinceMs, nowMs, expected] of CASES) {
-  test(`slow: ${name}`, (t) => {
+  test(`slow handshake: ${name}`, (t) => {
     t.is(hasSlowHandshake(pending, sinceMs, nowMs, 45), expected);
   });
 }
--- a/src/cookie-edge/backend-health/successive-starts.test.ts
+++ b/src/cookie-edge/backend-health/successive-starts.test.ts
@@ -1,11 +1,11 @@
-/** Of two starts at one address only the later one gets flows. */
+/** Of two processes that start at one address, only the later one gets new flows. */
 import test from 'ava';
 import { HOUSEKEEPING_TICK_MS } from '../forwarding/constants.js';
 import { backendAt, tableAt, updateAt } from '../routing/routing-test-support.js';
 import { CREATION_HISTORY_UPTIME_MS } from './constants.js';
 import { hostOf, openFlowAtEach, setUp } from './dead-backends-test-support.js';
 
-test('another start at the address of a back end keeps new flows from it, and ends its flows once its record is gone', (t) => {
+test('a later start at its address keeps new flows from a back end, and resets its flows once its record is gone', (t) => {
   const { harness } = setUp(2);
   const flows = openFlowAtEach(harness);
   harness.clock.advance(CREATION_HISTORY_UPTIME_MS);
@@ -15,15 +15,15 @@
   const { port, cookie } = flows.get('a')!;
   const placed = Array.from({ length: 12 }, (_unused, index) => harness.open(42_000 + index)?.backend);
   t.deepEqual(new Set(placed), new Set(['b']), 'no new flows while both are recorded');
-  t.is(harness.goOn(port, cookie)?.backend, 'a', 'open flows go on');
+  t.is(harness.goOn(port, cookie)?.backend, 'a', 'open flows continue');
   t.is(harness.resets.length, 0);
   harness.depart('a', 21);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
   t.is(harness.resets.length, 6);
-  t.is(harness.goOn(port, cookie)?.backend, undefined, 'a reset, and nothing sent to the address');
+  t.is(harness.goOn(port, cookie)?.backend, undefined, 'reset, and not forwarded to the address');
 });
 
-test('a start of which it is heard only after its successor gets nothing either', (t) => {
+test('an earlier start gets no new flows even if its record is received after that of its successor', (t) => {
   const { harness } = setUp(2);
   const earlier = backendAt('y', 0, { endpoint: { host: hostOf('a'), port: 8_080 }, createdRevision: 0 });
   const origin = { since: 10, confirmedAtMs: 0, mayHaveLapsed: false };
@@ -33,7 +33,7 @@
   );
 });
 
-test('after a restore of the source, a start at the address of one that is gone is the later one', (t) => {
+test('after a restore of the source, a new start takes precedence over one of the previous epoch at its address', (t) => {
   const { harness } = setUp(2);
   const atAddressOfA = { endpoint: { host: hostOf('a'), port: 8_080 } };
   const origin = (since: number) => ({ since, confirmedAtMs: 0, mayHaveLapsed: false });
@@ -47,7 +47,7 @@
   t.deepEqual(new Set(placed), new Set(['y']));
 });
 
-test('an entry of a service that no configuration names takes no address from a back end', (t) => {
+test('a record of a service that is not configured does not dispute the address of a back end', (t) => {
   const { harness } = setUp(2);
   openFlowAtEach(harness);
   const unnamedServiceBackend = backendAt('x', 20, {
@@ -63,9 +63,9 @@
   const table = tableAt(21, { services });
   harness.knowledge.apply('routes', updateAt(21, { routes: [table] }), origin);
   const later = Array.from({ length: 12 }, (_unused, index) => harness.open(43_000 + index)?.backend);
-  t.false(later.includes('a'), 'once it is named, it is the later start');
+  t.false(later.includes('a'), 'once its service is configured, it is the later start');
   harness.clock.advance(CREATION_HISTORY_UPTIME_MS);
   harness.depart('a', 22);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
-  t.true(harness.resets.length > 0, 'and ends the flows of the earlier one');
+  t.true(harness.resets.length > 0, 'and the flows of the earlier one are reset');
 });
--- a/src/cookie-edge/backend-health/superseded-backends.ts
+++ b/src/cookie-edge/backend-health/superseded-backends.ts
@@ -46,7 +46,7 @@
 
   /** Reviews every address with two or more back ends, because records, signs of life and the uptime have changed. */
   reviewAll(): void {
-    for (const backendsAtAddress of this.addresses.sharedAddresses()) this.review(backendsAtAddress);
+    for (const backendsAtAddress of this.addresses.groupsSharingAddress()) this.review(backendsAtAddress);
   }
 
   private review(backendsAtAddress: ReadonlySet<KnownBackend>): void {
