--- a/src/cookie-edge/backend-health/local-backend-state.ts
+++ b/src/cookie-edge/backend-health/local-backend-state.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks what this daemon itself observes of one back end: its own flows there, failures and the last sign of life.
- * Derives from these whether the back end should get new flows. A sign of life is a packet of a caller that continues
- * an opening or acknowledges new data. Owns the observations of one back end; relies on forwarding to report them. The
+ * Derives from these whether the back end should get new flows. A sign of life is a caller's packet that continues an
+ * opening or acknowledges new data. Owns the observations of one back end; relies on forwarding to report them. The
  * rules are in `passive-ejection.ts`, `ejection-report.ts`, `dead-verdict.ts`, `address-reuse.ts` and
  * `slow-handshake.ts`; this class only sets their precedence.
  */
