--- a/src/cookie-edge/backend-health/address-reuse-rule.test.ts
+++ b/src/cookie-edge/backend-health/address-reuse-rule.test.ts
@@ -1,13 +1,13 @@
-/** What other back ends at its address mean for a back end: the rule, case by case. */
+/** Cases of the rule that decides the status of a back end that shares its address with others. */
 import test from 'ava';
 import type { KnownBackend } from '../routing/index.js';
 import { backendAt } from '../routing/routing-test-support.js';
-import { decideStanding, type AddressStanding } from './address-reuse.js';
+import { decideAddressStatus, type AddressStatus } from './address-reuse.js';
 
 const NEVER = Number.NEGATIVE_INFINITY;
 const DEPARTED_AT_MS = 20_000;
-const EARLY = 10;
-const LATE = 20;
+const EARLY_REVISION = 10;
+const LATE_REVISION = 20;
 
 function recorded(id: string, createdRevision: number): KnownBackend {
   return {
@@ -28,99 +28,104 @@
 interface Case {
   readonly title: string;
   readonly backend: KnownBackend;
-  readonly others: readonly KnownBackend[];
+  readonly otherBackends: readonly KnownBackend[];
   readonly lastSignOfLifeMs?: number;
-  readonly knowsCreations?: boolean;
-  readonly standing: AddressStanding;
+  readonly hasCreationHistory?: boolean;
+  readonly status: AddressStatus;
 }
 
 const CASES: readonly Case[] = [
-  { title: 'alone', backend: recorded('a', EARLY), others: [], standing: 'undisputed' },
   {
-    title: 'the later of two that are recorded',
-    backend: recorded('a', LATE),
-    others: [recorded('b', EARLY)],
-    standing: 'undisputed',
+    title: 'no other back end at the address',
+    backend: recorded('a', EARLY_REVISION),
+    otherBackends: [],
+    status: 'undisputed',
   },
   {
-    title: 'the earlier of two that are recorded: the record of the other may be a late one',
-    backend: recorded('a', EARLY),
-    others: [recorded('b', LATE)],
-    standing: 'disputed',
+    title: 'recorded, with one created earlier that is recorded as well',
+    backend: recorded('a', LATE_REVISION),
+    otherBackends: [recorded('b', EARLY_REVISION)],
+    status: 'undisputed',
   },
   {
-    title: 'recorded beside one that left, although that one was created later',
-    backend: recorded('a', EARLY),
-    others: [departed('b', LATE)],
-    standing: 'undisputed',
+    title: 'recorded, with one created later, whose record may have been written late',
+    backend: recorded('a', EARLY_REVISION),
+    otherBackends: [recorded('b', LATE_REVISION)],
+    status: 'disputed',
   },
   {
-    title: 'left, beside a later one',
-    backend: departed('a', EARLY),
-    others: [recorded('b', LATE)],
-    standing: 'superseded',
+    title: 'recorded, with a departed one that was created later',
+    backend: recorded('a', EARLY_REVISION),
+    otherBackends: [departed('b', LATE_REVISION)],
+    status: 'undisputed',
   },
   {
-    title: 'left, beside a later one that left as well',
-    backend: departed('a', EARLY),
-    others: [departed('b', LATE)],
-    standing: 'superseded',
+    title: 'departed, with a recorded one that was created later',
+    backend: departed('a', EARLY_REVISION),
+    otherBackends: [recorded('b', LATE_REVISION)],
+    status: 'superseded',
   },
   {
-    title: 'left, beside an earlier one that is recorded: its record was created anew',
-    backend: departed('a', LATE),
-    others: [recorded('b', EARLY)],
-    standing: 'disputed',
+    title: 'departed, with a departed one that was created later',
+    backend: departed('a', EARLY_REVISION),
+    otherBackends: [departed('b', LATE_REVISION)],
+    status: 'superseded',
   },
   {
-    title: 'lapsed, beside a later one',
-    backend: departed('a', EARLY, true),
-    others: [recorded('b', LATE)],
-    standing: 'disputed',
+    title: 'departed, with a recorded one that was created earlier',
+    backend: departed('a', LATE_REVISION),
+    otherBackends: [recorded('b', EARLY_REVISION)],
+    status: 'disputed',
   },
   {
-    title: 'left, with a sign of life since',
-    backend: departed('a', EARLY),
-    others: [recorded('b', LATE)],
+    title: 'lapsed, with a recorded one that was created later',
+    backend: departed('a', EARLY_REVISION, true),
+    otherBackends: [recorded('b', LATE_REVISION)],
+    status: 'disputed',
+  },
+  {
+    title: 'departed, with a sign of life since',
+    backend: departed('a', EARLY_REVISION),
+    otherBackends: [recorded('b', LATE_REVISION)],
     lastSignOfLifeMs: DEPARTED_AT_MS + 1,
-    standing: 'disputed',
+    status: 'disputed',
   },
   {
-    title: 'left, with a sign of life before',
-    backend: departed('a', EARLY),
-    others: [recorded('b', LATE)],
+    title: 'departed, with the last sign of life at its departure',
+    backend: departed('a', EARLY_REVISION),
+    otherBackends: [recorded('b', LATE_REVISION)],
     lastSignOfLifeMs: DEPARTED_AT_MS,
-    standing: 'superseded',
+    status: 'superseded',
   },
   {
-    title: 'left, beside a later one, at a daemon that has not learnt how long they were known',
-    backend: departed('a', EARLY),
-    others: [recorded('b', LATE)],
-    knowsCreations: false,
-    standing: 'disputed',
+    title: 'departed, with one created later, before this daemon received the first creations from peers',
+    backend: departed('a', EARLY_REVISION),
+    otherBackends: [recorded('b', LATE_REVISION)],
+    hasCreationHistory: false,
+    status: 'disputed',
   },
   {
-    title: 'created in the same revision as another: both may be of an earlier epoch',
-    backend: departed('a', EARLY),
-    others: [departed('b', EARLY)],
-    standing: 'undisputed',
+    title: 'departed, with one created in the same revision; both may be of an earlier epoch',
+    backend: departed('a', EARLY_REVISION),
+    otherBackends: [departed('b', EARLY_REVISION)],
+    status: 'undisputed',
   },
   {
-    title: 'left, beside an earlier and a later one',
-    backend: departed('a', EARLY),
-    others: [recorded('b', EARLY - 1), departed('c', LATE)],
-    standing: 'superseded',
+    title: 'departed, with one created earlier and one created later',
+    backend: departed('a', EARLY_REVISION),
+    otherBackends: [recorded('b', EARLY_REVISION - 1), departed('c', LATE_REVISION)],
+    status: 'superseded',
   },
 ];
 
-for (const { title, backend, others, standing, ...more } of CASES) {
-  test(`${title}: ${standing}`, (t) => {
-    for (const sharing of [
-      [backend, ...others],
-      [...others, backend],
+for (const { title, backend, otherBackends, status, ...overrides } of CASES) {
+  test(`${title}: ${status}`, (t) => {
+    for (const backendsAtAddress of [
+      [backend, ...otherBackends],
+      [...otherBackends, backend],
     ]) {
-      const request = { lastSignOfLifeMs: NEVER, knowsCreations: true, ...more };
-      t.is(decideStanding({ backend, sharing, ...request }).standing, standing);
+      const input = { lastSignOfLifeMs: NEVER, hasCreationHistory: true, ...overrides };
+      t.is(decideAddressStatus({ backend, backendsAtAddress, ...input }).status, status);
     }
   });
 }
