--- a/src/cookie-edge/forwarding/constants.ts
+++ b/src/cookie-edge/forwarding/constants.ts
@@ -10,10 +10,10 @@
 export const MAX_HELD_OPENINGS = 1_024;
 
 /** A held opening is given up this long before its caller sends the next copy, in ms: packets are on their way. */
-export const HELD_MARGIN_MS = 50;
+export const HOLD_SAFETY_MARGIN_MS = 50;
 
 /** Held openings are decided again this long after a change, in ms, so that one turn serves several changes. */
-export const HELD_RELEASE_MS = 20;
+export const HELD_REEVALUATION_DELAY_MS = 20;
 
 /**
  * A request on a flow opened this long ago, in ms, no longer counts as in progress: several times what answers take, so
@@ -25,14 +25,14 @@
  * Data repeated sooner than this, in ms, is a duplicate made by the network. Source: callers retransmit after 200 ms at
  * the earliest; 50 ms less as a margin.
  */
-export const REPETITION_MIN_MS = 150;
+export const MIN_RETRANSMISSION_INTERVAL_MS = 150;
 
 /**
  * A flow that is closed or still opening is remembered this long after its last packet, in ms, so that its last packets
  * and the retransmissions of its SYN are attributed. Outlasts a caller's attempt to open a flow, which ends after
  * 1,400 ms.
  */
-export const CLOSING_MS = 3_000;
+export const TRANSIENT_FLOW_TIMEOUT_MS = 3_000;
 
 /**
  * Time in ms between two sweeps of the flow cache. A flow that expires up to 1 s late does no harm, and each sweep
--- a/src/cookie-edge/forwarding/cookie-forwarder.test.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.test.ts
@@ -86,13 +86,13 @@
 
 test('a long backlog is old to its end, and what comes after it is not', (t) => {
   const harness = new ForwarderHarness().know(backends(3));
-  harness.standStill(4_000);
+  harness.pauseProcess(4_000);
   for (let read = 1; read <= 3 * READS_A_TURN; read += 1) {
     t.is(harness.open(read), undefined, `datagram ${read}`);
-    if (read % READS_A_TURN === 0) harness.endTurn();
+    if (read % READS_A_TURN === 0) harness.endEventLoopTurn();
   }
   t.is(harness.open(4_000), undefined, 'the last turn has not ended');
-  harness.endTurn();
+  harness.endEventLoopTurn();
   t.truthy(harness.open(4_001));
 });
 
@@ -117,13 +117,13 @@
   t.deepEqual(harness.forwarder.statistics.refusals, { 'no-route': 1 });
 });
 
-const UNFIT: readonly (readonly [string, Parameters<typeof backendAt>[2], boolean])[] = [
+const INELIGIBLE: readonly (readonly [string, Parameters<typeof backendAt>[2], boolean])[] = [
   ['draining', { draining: true }, false],
   ['departed', {}, true],
   ['of another service', { service: 'beta' }, false],
 ];
 
-for (const [name, change, departs] of UNFIT) {
+for (const [name, change, departs] of INELIGIBLE) {
   test(`a back end that is ${name} gets no new flow, and open flows go on`, (t) => {
     const harness = new ForwarderHarness().know([backendAt('a', 1), backendAt('b', 2)]);
     let port = 1;
--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -30,14 +30,14 @@
   readonly cookies: CookieRegistry;
   readonly cache: FlowCache;
   readonly states: LocalBackendStates;
-  readonly dead: DeadBackends;
-  readonly superseded: SupersededBackends;
+  readonly deadBackends: DeadBackends;
+  readonly supersededBackends: SupersededBackends;
   readonly coldAdmission: ColdAdmission;
-  readonly answers: AnswerTracker;
+  readonly answerTracker: AnswerTracker;
   readonly outliers: OutlierDetector;
-  readonly openings: OpeningHandler;
-  readonly held: HeldOpenings;
-  readonly midFlow: MidFlowHandler;
+  readonly openingHandler: OpeningHandler;
+  readonly heldOpenings: HeldOpenings;
+  readonly midFlowHandler: MidFlowHandler;
   readonly housekeeping: Housekeeping;
 }
 
@@ -49,18 +49,18 @@
   readonly answers: AnswerTracker;
 
   /** Back ends whose service no table has named so far. */
-  private readonly unnamed = new Set<KnownBackend>();
+  private readonly unroutedBackends = new Set<KnownBackend>();
 
   constructor(private readonly options: CookieForwarderOptions) {
-    const { statistics, outliers, answers, knowledge } = options;
+    const { statistics, outliers, answerTracker: answers, knowledge } = options;
     this.statistics = statistics;
     this.outliers = outliers;
     this.answers = answers;
     for (const backend of knowledge.backends.all()) this.registerBackend(backend);
     knowledge.backends.onAdd((backend) => this.registerBackend(backend));
-    knowledge.backends.onForget((backend) => this.forgetBackend(backend));
+    knowledge.backends.onForget((backend) => this.removeBackend(backend));
     knowledge.subscribe(({ topic }) => {
-      if (topic === 'routes') this.registerNamed();
+      if (topic === 'routes') this.registerNewlyRouted();
     });
   }
 
@@ -71,12 +71,12 @@
 
   /** Probes of back ends that may be dead since start. */
   get probes(): number {
-    return this.options.dead.probes;
+    return this.options.deadBackends.probes;
   }
 
   /** Openings held now. */
   get heldOpenings(): number {
-    return this.options.held.size;
+    return this.options.heldOpenings.size;
   }
 
   /** Flows remembered now. */
@@ -86,13 +86,13 @@
 
   /** Applies an ejection by another balancer at `atMs`; returns false for one that was known or is outdated. */
   applyEjectionReport(backendId: string, atMs: number): boolean {
-    const { isOn, knowledge, states, dead } = this.options;
+    const { isOn, knowledge, states, deadBackends } = this.options;
     if (!isOn('shared-ejections')) return false;
     const backend = knowledge.backends.get(backendId);
     if (!backend) return false;
     const state = states.of(backend);
     const isNew = state.applyEjectionReport(atMs);
-    if (isNew) dead.probeIfInDoubt(state);
+    if (isNew) deadBackends.probeIfInDoubt(state);
     return isNew;
   }
 
@@ -106,7 +106,7 @@
   /** Runs the housekeeping until `signal` aborts. */
   start(signal: AbortSignal): void {
     this.options.housekeeping.start(signal);
-    signal.addEventListener('abort', () => this.options.held.stop());
+    signal.addEventListener('abort', () => this.options.heldOpenings.stop());
   }
 
   onDrop(reason: EdgeDropReason): void {
@@ -115,13 +115,13 @@
   }
 
   onPacket(packet: CookiePacket, waitedMs = 0): void {
-    const { clock, pauses, cache, openings, midFlow } = this.options;
+    const { clock, pauses, cache, openingHandler, midFlowHandler } = this.options;
     const nowMs = clock.now();
     pauses.recordRead('edge');
     this.statistics.packets += 1;
     const flow = cache.find(packet);
-    if (packet.syn && !packet.ack) openings.onSyn(packet, flow, { nowMs, waitedMs });
-    else midFlow.onMidFlow(packet, flow, nowMs);
+    if (packet.syn && !packet.ack) openingHandler.onSyn(packet, flow, { nowMs, waitedMs });
+    else midFlowHandler.onMidFlowPacket(packet, flow, nowMs);
   }
 
   /**
@@ -129,28 +129,28 @@
    * whose flows would be reset.
    */
   private registerBackend(backend: KnownBackend): void {
-    const { cookies, superseded, knowledge } = this.options;
+    const { cookies, supersededBackends, knowledge } = this.options;
     cookies.add(backend);
-    if (knowledge.routes()?.namesService(backend.record.service)) superseded.registerBackend(backend);
-    else this.unnamed.add(backend);
+    if (knowledge.routes()?.namesService(backend.record.service)) supersededBackends.registerBackend(backend);
+    else this.unroutedBackends.add(backend);
   }
 
   /** Registers the back ends whose service is named by now. */
-  private registerNamed(): void {
-    const { superseded, knowledge } = this.options;
-    for (const backend of this.unnamed) {
+  private registerNewlyRouted(): void {
+    const { supersededBackends, knowledge } = this.options;
+    for (const backend of this.unroutedBackends) {
       if (!knowledge.routes()?.namesService(backend.record.service)) continue;
-      this.unnamed.delete(backend);
-      superseded.registerBackend(backend);
+      this.unroutedBackends.delete(backend);
+      supersededBackends.registerBackend(backend);
     }
   }
 
-  private forgetBackend(backend: KnownBackend): void {
-    const { dead, superseded, cookies, states, coldAdmission, cache } = this.options;
-    cache.forgetBackend(states.of(backend));
-    this.unnamed.delete(backend);
-    dead.forget(backend);
-    superseded.forget(backend);
+  private removeBackend(backend: KnownBackend): void {
+    const { deadBackends, supersededBackends, cookies, states, coldAdmission, cache } = this.options;
+    cache.removeFlowsAt(states.of(backend));
+    this.unroutedBackends.delete(backend);
+    deadBackends.forget(backend);
+    supersededBackends.forget(backend);
     cookies.remove(backend);
     states.forget(backend);
     coldAdmission.forget(backend);
--- a/src/cookie-edge/forwarding/cookie-registry.test.ts
+++ b/src/cookie-edge/forwarding/cookie-registry.test.ts
@@ -7,7 +7,7 @@
 import { CookieRegistry } from './cookie-registry.js';
 
 /** Known back ends with these ids, recorded in this order. */
-function known(...ids: string[]): KnownBackend[] {
+function registerBackends(...ids: string[]): KnownBackend[] {
   const clock = new VirtualClock();
   const registry = new BackendRegistry({ clock, events: SILENT_EVENT_LOG, retentionMs: 1_000 });
   ids.forEach((id, index) => registry.put(backendAt(id, index + 1), -1));
@@ -31,7 +31,7 @@
 
 test('cookies of two back ends that collide are kept apart, in whatever order they become known', (t) => {
   const [first, second] = collidingIds();
-  const [earlier, later] = known(first, second) as [KnownBackend, KnownBackend];
+  const [earlier, later] = registerBackends(first, second) as [KnownBackend, KnownBackend];
   const orders = [
     [earlier, later],
     [later, earlier],
@@ -50,7 +50,7 @@
 });
 
 test('a forgotten back end is not found by its cookie any more', (t) => {
-  const [backend] = known('a') as [KnownBackend];
+  const [backend] = registerBackends('a') as [KnownBackend];
   const registry = new CookieRegistry();
   registry.add(backend);
   const cookie = registry.cookieOf(backend);
--- a/src/cookie-edge/forwarding/cookie-registry.ts
+++ b/src/cookie-edge/forwarding/cookie-registry.ts
@@ -7,17 +7,17 @@
 import type { KnownBackend } from '../routing/index.js';
 
 /** Prefix of the id for the second hash. As a suffix it would give ids with equal hashes equal second hashes. */
-const SECOND_PREFIX = '2:';
+const SECOND_HASH_PREFIX = '2:';
 
 /** A cookie is never 0, which means "none yet". */
-function cookieFrom(text: string): number {
+function hashToCookie(text: string): number {
   return hashString(text) || 1;
 }
 
 /** The cookies of all known back ends. */
 export class CookieRegistry {
-  private readonly primary = new Map<number, KnownBackend>();
-  private readonly secondary = new Map<number, KnownBackend>();
+  private readonly byPrimaryCookie = new Map<number, KnownBackend>();
+  private readonly bySecondaryCookie = new Map<number, KnownBackend>();
   private collisionCount = 0;
 
   /** Collisions met since start. */
@@ -28,41 +28,41 @@
   /** Registers a back end's cookies. */
   add(backend: KnownBackend): void {
     const [first, second] = cookiesOf(backend.id);
-    const holder = this.primary.get(first);
-    if (!holder) this.primary.set(first, backend);
+    const holder = this.byPrimaryCookie.get(first);
+    if (!holder) this.byPrimaryCookie.set(first, backend);
     else {
       this.collisionCount += 1;
-      this.primary.set(first, earlier(holder, backend));
+      this.byPrimaryCookie.set(first, earlierRecorded(holder, backend));
     }
-    if (!this.secondary.has(second)) this.secondary.set(second, backend);
+    if (!this.bySecondaryCookie.has(second)) this.bySecondaryCookie.set(second, backend);
   }
 
   /** Forgets a back end's cookies. */
   remove(backend: KnownBackend): void {
     const [first, second] = cookiesOf(backend.id);
-    if (this.primary.get(first) === backend) this.primary.delete(first);
-    if (this.secondary.get(second) === backend) this.secondary.delete(second);
+    if (this.byPrimaryCookie.get(first) === backend) this.byPrimaryCookie.delete(first);
+    if (this.bySecondaryCookie.get(second) === backend) this.bySecondaryCookie.delete(second);
   }
 
   /** The cookie for flows of a back end; 0 when both of its hashes belong to other back ends. */
   cookieOf(backend: KnownBackend): number {
     const [first, second] = cookiesOf(backend.id);
-    if (this.primary.get(first) === backend) return first;
-    return !this.primary.has(second) && this.secondary.get(second) === backend ? second : 0;
+    if (this.byPrimaryCookie.get(first) === backend) return first;
+    return !this.byPrimaryCookie.has(second) && this.bySecondaryCookie.get(second) === backend ? second : 0;
   }
 
   /** The back end that a cookie names; undefined when it is not known. */
   backendOf(cookie: number): KnownBackend | undefined {
-    return this.primary.get(cookie) ?? this.secondary.get(cookie);
+    return this.byPrimaryCookie.get(cookie) ?? this.bySecondaryCookie.get(cookie);
   }
 }
 
 function cookiesOf(id: string): readonly [number, number] {
-  return [cookieFrom(id), cookieFrom(SECOND_PREFIX + id)];
+  return [hashToCookie(id), hashToCookie(SECOND_HASH_PREFIX + id)];
 }
 
 /** The back end that was recorded first keeps the cookie; equal revisions are ordered by id. */
-function earlier(left: KnownBackend, right: KnownBackend): KnownBackend {
+function earlierRecorded(left: KnownBackend, right: KnownBackend): KnownBackend {
   const difference = left.record.createdRevision - right.record.createdRevision;
   if (difference !== 0) return difference < 0 ? left : right;
   return left.id < right.id ? left : right;
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -76,7 +76,7 @@
   recordsMayLapse = false;
   readonly forwarder: CookieForwarder;
   /** The packet that is being handled. */
-  private handled: CookiePacket = EMPTY_PACKET;
+  private currentPacket: CookiePacket = EMPTY_PACKET;
   private abort = new AbortController();
   private readonly turns: (() => void)[] = [];
 
@@ -121,7 +121,7 @@
   }
 
   /** Pauses the process for `milliseconds`; its timers continue with a late tick. */
-  standStill(milliseconds: number): void {
+  pauseProcess(milliseconds: number): void {
     this.stop();
     this.clock.advance(milliseconds);
     this.abort = new AbortController();
@@ -130,7 +130,7 @@
   }
 
   /** Ends a turn of the event loop. */
-  endTurn(): void {
+  endEventLoopTurn(): void {
     for (const callback of this.turns.splice(0)) callback();
   }
 
@@ -163,7 +163,7 @@
       sendReset: () => this.send({ backend: undefined, cookie: 0 }),
       sendResetTo: (target) => this.resets.push(target),
       keepPacket: () => {
-        const kept = { ...this.handled };
+        const kept = { ...this.currentPacket };
         return (waitedMs) => this.handle(kept, waitedMs);
       },
     };
@@ -176,22 +176,22 @@
   }
 
   private send(sent: SentPacket): void {
-    this.sentListeners.get(this.handled.sourcePort)?.(sent.backend, sent.cookie);
+    this.sentListeners.get(this.currentPacket.sourcePort)?.(sent.backend, sent.cookie);
     this.sent.push(sent);
-    this.sentPorts.push(this.handled.sourcePort);
+    this.sentPorts.push(this.currentPacket.sourcePort);
   }
 
   /** Delivers a packet; returns what was sent for it, or undefined. */
   deliver(packet: Partial<CookiePacket>): SentPacket | undefined {
-    const before = this.sent.length;
+    const firstNew = this.sent.length;
     this.handle(packet);
-    return this.sent[before];
+    return this.sent[firstNew];
   }
 
   /** Has a packet handled that was kept for `waitedMs` since it arrived. */
   handle(packet: Partial<CookiePacket>, waitedMs = 0): void {
-    this.handled = { ...EMPTY_PACKET, ...packet };
-    this.forwarder.onPacket(this.handled, waitedMs);
+    this.currentPacket = { ...EMPTY_PACKET, ...packet };
+    this.forwarder.onPacket(this.currentPacket, waitedMs);
   }
 
   /** Delivers the SYN of a caller's flow. */
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -37,7 +37,7 @@
 import { FlowCache } from './flow-cache.js';
 import { FlowExpiry } from './flow-expiry.js';
 import { FlowFailures } from './flow-failures.js';
-import { FlowFollower } from './flow-follower.js';
+import { FlowTracker } from './flow-follower.js';
 import { FlowsInProgress } from './flows-in-progress.js';
 import { HeldOpenings } from './held-openings.js';
 import { Housekeeping } from './housekeeping.js';
@@ -105,39 +105,39 @@
   readonly cookies: CookieRegistry;
   readonly cache: FlowCache;
   readonly states: LocalBackendStates;
-  readonly dead: DeadBackends;
-  readonly superseded: SupersededBackends;
-  readonly pending: PendingOpenings;
-  readonly answers: AnswerTracker;
+  readonly deadBackends: DeadBackends;
+  readonly supersededBackends: SupersededBackends;
+  readonly pendingOpenings: PendingOpenings;
+  readonly answerTracker: AnswerTracker;
   readonly outliers: OutlierDetector;
   readonly failures: FlowFailures;
   readonly sender: PacketSender;
   readonly coldAdmission: ColdAdmission;
   readonly settlement: Settlement;
-  readonly held: HeldOpenings;
-  readonly inProgress: FlowsInProgress;
+  readonly heldOpenings: HeldOpenings;
+  readonly flowsInProgress: FlowsInProgress;
 }
 
 /** Creates a forwarder; it handles packets at once, and its timer begins with `start`. */
 export function createCookieForwarder(environment: CookieForwarderEnvironment): CookieForwarder {
   const { clock, events, knowledge, pauses } = environment;
   const shared = createSharedParts(environment);
-  const { cache, states, superseded, pending, answers, outliers, failures } = shared;
+  const { cache, states, supersededBackends, pendingOpenings, answerTracker, outliers, failures } = shared;
   return new CookieForwarder({
     ...shared,
     clock,
     pauses,
     knowledge,
-    openings: createOpeningHandler(environment, shared),
-    midFlow: createMidFlowHandler(environment, shared),
+    openingHandler: createOpeningHandler(environment, shared),
+    midFlowHandler: createMidFlowHandler(environment, shared),
     housekeeping: new Housekeeping({
       clock,
       events,
       pauses,
-      pending,
-      answers,
+      pendingOpenings,
+      answerTracker,
       states,
-      superseded,
+      supersededBackends,
       outliers,
       failures,
       expiry: new FlowExpiry({ knowledge, cache, maxFlowAgeMs: environment.maxFlowAgeMs }),
@@ -148,8 +148,8 @@
 function createSharedParts(environment: CookieForwarderEnvironment): SharedParts {
   const { clock, events, edge, pauses, probe } = environment;
   const isOn = environment.isOn ?? ALL_MECHANISMS_ON;
-  const settlement = settlementOf(environment, isOn);
-  const gossipEjection = ejectionGossipOf(environment, isOn);
+  const settlement = effectiveSettlement(environment, isOn);
+  const gossipEjection = effectiveEjectionGossip(environment, isOn);
   const statistics = new CookieStatistics();
   const cookies = new CookieRegistry();
   const cache = new FlowCache(environment.maxFlows);
@@ -160,8 +160,8 @@
   );
   const { hasLearntFromPeers = () => true } = environment;
   const resetter = new FlowResetter({ clock, cache, edge, statistics, events });
-  const verdicts = { clock, isOn, states, resetter, events };
-  const dead = new DeadBackends({ ...verdicts, pauses, probe, onDoubt: gossipEjection });
+  const verdictOptions = { clock, isOn, states, resetter, events };
+  const deadBackends = new DeadBackends({ ...verdictOptions, pauses, probe, onDoubt: gossipEjection });
   const outliers = createOutlierDetector(environment);
   return {
     isOn,
@@ -169,27 +169,27 @@
     cookies,
     cache,
     states,
-    dead,
-    superseded: new SupersededBackends({ ...verdicts, hasLearntFromPeers }),
+    deadBackends,
+    supersededBackends: new SupersededBackends({ ...verdictOptions, hasLearntFromPeers }),
     outliers,
-    pending: new PendingOpenings(),
-    answers: createAnswerTracker(environment, outliers),
-    failures: new FlowFailures({ states, dead, isOn }),
+    pendingOpenings: new PendingOpenings(),
+    answerTracker: createAnswerTracker(environment, outliers),
+    failures: new FlowFailures({ states, deadBackends, isOn }),
     sender: new PacketSender({ edge, cookies, statistics }),
     coldAdmission: new ColdAdmission(environment.cold),
     settlement,
-    inProgress: new FlowsInProgress(),
-    held: new HeldOpenings({ clock, events, edge, statistics, settlement }),
+    flowsInProgress: new FlowsInProgress(),
+    heldOpenings: new HeldOpenings({ clock, events, edge, statistics, settlement }),
   };
 }
 
 /** The list is always believed while `unsettled-openings` is switched off. */
-function settlementOf({ settlement }: CookieForwarderEnvironment, isOn: MechanismCheck): Settlement {
+function effectiveSettlement({ settlement }: CookieForwarderEnvironment, isOn: MechanismCheck): Settlement {
   return settlement && isOn('unsettled-openings') ? settlement : ALWAYS_SETTLED;
 }
 
 /** The function that gossips an ejection, a death or a doubt; does nothing while `shared-ejections` is switched off. */
-function ejectionGossipOf(
+function effectiveEjectionGossip(
   { onEject }: CookieForwarderEnvironment,
   isOn: MechanismCheck,
 ): (backendId: string, nowMs: number) => void {
@@ -224,7 +224,7 @@
 
 function createOpeningHandler(environment: CookieForwarderEnvironment, shared: SharedParts): OpeningHandler {
   const { random, events, knowledge, pauses, zone, zoneMargin, zoneLoadFactor, loads } = environment;
-  const { isOn, states, outliers, pending, coldAdmission, settlement } = shared;
+  const { isOn, states, outliers, pendingOpenings, coldAdmission, settlement } = shared;
   const eligibility = new BackendEligibility({
     knowledge,
     coldAdmission,
@@ -240,15 +240,15 @@
     placement: new OpeningPlacement({ zone, zoneMargin, zoneLoadFactor, isOn, loads }),
     isOutlier: ({ backend, idHash }, flowHash, nowMs) =>
       outliers.isAvoided(backend.id, idHash, flowHash, nowMs),
-    slowHandshakeMs: () => pending.slowHandshakeMs,
+    slowHandshakeMs: () => pendingOpenings.slowHandshakeMs,
   });
   return new OpeningHandler({
     newFlows,
     cache: shared.cache,
-    held: shared.held,
-    inProgress: shared.inProgress,
-    crowd: createCrowdAdmission(environment, shared),
-    pending,
+    heldOpenings: shared.heldOpenings,
+    flowsInProgress: shared.flowsInProgress,
+    crowdAdmission: createCrowdAdmission(environment, shared),
+    pendingOpenings,
     failures: shared.failures,
     sender: shared.sender,
     statistics: shared.statistics,
@@ -260,10 +260,11 @@
 /** Undefined where nothing yields. */
 function createCrowdAdmission(
   { knowledge, fleetSize }: CookieForwarderEnvironment,
-  { isOn, inProgress }: SharedParts,
+  { isOn, flowsInProgress }: SharedParts,
 ): CrowdAdmission | undefined {
   if (!fleetSize || !isOn('yielding-openings')) return undefined;
-  const inProgressAt = (service: string, nowMs: number): number => inProgress.countAt(service, nowMs);
+  const inProgressAt = (service: string, nowMs: number): number =>
+    flowsInProgress.countForService(service, nowMs);
   return new CrowdAdmission({ knowledge, fleetSize, inProgressAt });
 }
 
@@ -271,15 +272,24 @@
   { events, knowledge }: CookieForwarderEnvironment,
   shared: SharedParts,
 ): MidFlowHandler {
-  const { isOn, statistics, cookies, cache, states, pending, answers, failures, sender } = shared;
-  const follower = new FlowFollower({ cache, states, pending, answers, failures, statistics, isOn });
+  const { isOn, statistics, cookies, cache, states, pendingOpenings, answerTracker, failures, sender } =
+    shared;
+  const flowTracker = new FlowTracker({
+    cache,
+    states,
+    pendingOpenings,
+    answerTracker,
+    failures,
+    statistics,
+    isOn,
+  });
   return new MidFlowHandler({
     events,
     knowledge,
     cookies,
     states,
     cache,
-    follower,
+    flowTracker,
     sender,
     statistics,
   });
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -24,9 +24,9 @@
   /** Monotonic ms of the caller's last packet. */
   lastPacketMs: number;
   /** Highest data sequence number seen; -1 before the first data. */
-  dataSequence: number;
+  highestDataSequence: number;
   /** Monotonic ms at which data with that sequence number came first. */
-  dataAtMs: number;
+  dataFirstSeenAtMs: number;
   /** The caller's last acknowledgement number; 0 while it is opening. */
   acknowledgement: number;
   /** True when the opening, or the newest data, has counted as a failure of the back end already. */
@@ -40,14 +40,14 @@
 /** Holds up to `maxFlows` flows by service address and caller. */
 export class FlowCache {
   private readonly services = new Map<number, Map<number, Flow>>();
-  private count = 0;
-  private sweep: Iterator<Flow> | undefined;
+  private flowCount = 0;
+  private sweepPosition: Iterator<Flow> | undefined;
 
   constructor(private readonly maxFlows: () => number) {}
 
   /** Flows remembered now, closed ones included. */
   get size(): number {
-    return this.count;
+    return this.flowCount;
   }
 
   /** The flow with a packet's addresses. */
@@ -58,7 +58,7 @@
 
   /** Adds the flow of `packet`; undefined when the cache is full. */
   add(packet: CookiePacket, state: LocalBackendState, phase: FlowPhase, nowMs: number): Flow | undefined {
-    if (this.count >= this.maxFlows()) return undefined;
+    if (this.flowCount >= this.maxFlows()) return undefined;
     const serviceKey = addressKey(packet.destinationAddress, packet.destinationPort);
     const callerKey = addressKey(packet.sourceAddress, packet.sourcePort);
     const flow: Flow = {
@@ -69,21 +69,21 @@
       phase,
       openedAtMs: nowMs,
       lastPacketMs: nowMs,
-      dataSequence: -1,
-      dataAtMs: 0,
+      highestDataSequence: -1,
+      dataFirstSeenAtMs: 0,
       acknowledgement: packet.acknowledgement,
       isFailureCounted: false,
       awaitsAnswer: false,
       request: undefined,
     };
-    this.flowsOf(serviceKey).set(callerKey, flow);
-    this.count += 1;
+    this.flowsOfService(serviceKey).set(callerKey, flow);
+    this.flowCount += 1;
     state.openFlows += 1;
     return flow;
   }
 
   /** Moves a flow to another back end, whose open flows it counts among from now on. */
-  move(flow: Flow, state: LocalBackendState): void {
+  moveToBackend(flow: Flow, state: LocalBackendState): void {
     if (flow.state === state) return;
     if (flow.phase !== 'closing') {
       flow.state.openFlows -= 1;
@@ -93,7 +93,7 @@
   }
 
   /** Records that the caller closed the flow: it no longer counts as open, but is found until it expires. */
-  close(flow: Flow, nowMs: number): void {
+  markClosed(flow: Flow, nowMs: number): void {
     if (flow.phase === 'closing') return;
     flow.phase = 'closing';
     flow.state.recordClosed(nowMs);
@@ -102,15 +102,15 @@
   /** The open flows at a back end. */
   flowsAt(state: LocalBackendState): Flow[] {
     if (state.openFlows === 0) return [];
-    return [...this.all()].filter((flow) => flow.state === state && flow.phase !== 'closing');
+    return [...this.allFlows()].filter((flow) => flow.state === state && flow.phase !== 'closing');
   }
 
   /**
    * Forgets every flow at a back end that is forgotten itself. Nothing is reset: the flow's next packet goes where its
    * cookie says, to the process that has the id now, which resets the flow unless it holds it.
    */
-  forgetBackend(state: LocalBackendState): void {
-    for (const flow of this.all()) if (flow.state === state) this.remove(flow);
+  removeFlowsAt(state: LocalBackendState): void {
+    for (const flow of this.allFlows()) if (flow.state === state) this.remove(flow);
   }
 
   /** Forgets a flow. */
@@ -119,28 +119,28 @@
     flow.phase = 'closing';
     const flows = this.services.get(flow.serviceKey);
     if (!flows?.delete(flow.callerKey)) return;
-    this.count -= 1;
+    this.flowCount -= 1;
     if (flows.size === 0) this.services.delete(flow.serviceKey);
   }
 
   /** Tests up to `limit` flows, continuing where the last call ended, and removes those that `isExpired`. */
-  expire(limit: number, isExpired: (flow: Flow) => boolean): void {
-    this.sweep ??= this.all();
+  removeExpired(limit: number, isExpired: (flow: Flow) => boolean): void {
+    this.sweepPosition ??= this.allFlows();
     for (let tested = 0; tested < limit; tested += 1) {
-      const next = this.sweep.next();
+      const next = this.sweepPosition.next();
       if (next.done) {
-        this.sweep = undefined;
+        this.sweepPosition = undefined;
         return;
       }
       if (isExpired(next.value)) this.remove(next.value);
     }
   }
 
-  private *all(): Generator<Flow> {
+  private *allFlows(): Generator<Flow> {
     for (const flows of this.services.values()) yield* flows.values();
   }
 
-  private flowsOf(serviceKey: number): Map<number, Flow> {
+  private flowsOfService(serviceKey: number): Map<number, Flow> {
     let flows = this.services.get(serviceKey);
     if (!flows) {
       flows = new Map();
--- a/src/cookie-edge/forwarding/flow-expiry-rule.test.ts
+++ b/src/cookie-edge/forwarding/flow-expiry-rule.test.ts
@@ -1,19 +1,19 @@
 /** When a remembered flow is forgotten. */
 import test from 'ava';
-import { CLOSING_MS } from './constants.js';
+import { TRANSIENT_FLOW_TIMEOUT_MS } from './constants.js';
 import type { FlowPhase } from './flow-cache.js';
 import { idleTimeoutMs, isExpired } from './flow-expiry-rule.js';
 
 const IDLE_MS = 60_000;
 
 const CASES: readonly (readonly [phase: FlowPhase, silentMs: number, isExpired: boolean])[] = [
-  ['opening', CLOSING_MS - 1, false],
-  ['opening', CLOSING_MS, true],
-  ['open', CLOSING_MS, false],
+  ['opening', TRANSIENT_FLOW_TIMEOUT_MS - 1, false],
+  ['opening', TRANSIENT_FLOW_TIMEOUT_MS, true],
+  ['open', TRANSIENT_FLOW_TIMEOUT_MS, false],
   ['open', IDLE_MS - 1, false],
   ['open', IDLE_MS, true],
-  ['closing', CLOSING_MS - 1, false],
-  ['closing', CLOSING_MS, true],
+  ['closing', TRANSIENT_FLOW_TIMEOUT_MS - 1, false],
+  ['closing', TRANSIENT_FLOW_TIMEOUT_MS, true],
 ];
 
 for (const [phase, silentMs, expected] of CASES) {
--- a/src/cookie-edge/forwarding/flow-expiry-rule.ts
+++ b/src/cookie-edge/forwarding/flow-expiry-rule.ts
@@ -9,7 +9,7 @@
  * route table the longest life of a flow is the idle timeout; it also bounds a longer one in the table. A flow that was
  * forgotten too early is still forwarded by its cookie.
  */
-import { CLOSING_MS } from './constants.js';
+import { TRANSIENT_FLOW_TIMEOUT_MS } from './constants.js';
 import type { FlowPhase } from './flow-cache.js';
 
 /**
@@ -22,5 +22,5 @@
 
 /** True for a flow whose caller was silent long enough. */
 export function isExpired(phase: FlowPhase, silentMs: number, idleMs: number): boolean {
-  return silentMs >= (phase === 'open' ? idleMs : CLOSING_MS);
+  return silentMs >= (phase === 'open' ? idleMs : TRANSIENT_FLOW_TIMEOUT_MS);
 }
--- a/src/cookie-edge/forwarding/flow-expiry.ts
+++ b/src/cookie-edge/forwarding/flow-expiry.ts
@@ -22,12 +22,14 @@
   constructor(private readonly options: FlowExpiryOptions) {}
 
   /** Sweeps, unless the last sweep was less than `EXPIRY_INTERVAL_MS` ago. */
-  check(nowMs: number): void {
+  sweepIfDue(nowMs: number): void {
     if (nowMs < this.nextSweepMs) return;
     const { knowledge, cache, maxFlowAgeMs } = this.options;
     this.nextSweepMs = nowMs + EXPIRY_INTERVAL_MS;
     knowledge.prune();
     const idleMs = idleTimeoutMs(knowledge.routes()?.table.idleTimeoutMs, maxFlowAgeMs);
-    cache.expire(cache.size, ({ phase, lastPacketMs }) => isExpired(phase, nowMs - lastPacketMs, idleMs));
+    cache.removeExpired(cache.size, ({ phase, lastPacketMs }) =>
+      isExpired(phase, nowMs - lastPacketMs, idleMs),
+    );
   }
 }
--- a/src/cookie-edge/forwarding/flow-failures.ts
+++ b/src/cookie-edge/forwarding/flow-failures.ts
@@ -9,7 +9,7 @@
 /** What reporting needs. */
 interface FlowFailuresOptions {
   readonly states: LocalBackendStates;
-  readonly dead: DeadBackends;
+  readonly deadBackends: DeadBackends;
   readonly isOn: MechanismCheck;
 }
 
@@ -22,11 +22,11 @@
    * a caller that repeats often must not eject a back end alone.
    */
   report(flow: Flow, sinceMs: number, nowMs: number): void {
-    const { states, dead, isOn } = this.options;
+    const { states, deadBackends, isOn } = this.options;
     if (flow.isFailureCounted) return;
     flow.isFailureCounted = true;
     if (!isOn('passive-health')) return;
     states.recordFailure(flow.state, sinceMs, nowMs);
-    dead.probeIfInDoubt(flow.state);
+    deadBackends.probeIfInDoubt(flow.state);
   }
 }
--- a/src/cookie-edge/forwarding/flow-follower.ts
+++ b/src/cookie-edge/forwarding/flow-follower.ts
@@ -8,67 +8,70 @@
 import type { LocalBackendStates, PendingOpenings } from '../backend-health/index.js';
 import type { AnswerTracker } from '../outliers/index.js';
 import type { KnownBackend } from '../routing/index.js';
-import { REPETITION_MIN_MS } from './constants.js';
+import { MIN_RETRANSMISSION_INTERVAL_MS } from './constants.js';
 import type { CookieStatistics } from './cookie-statistics.js';
 import type { Flow, FlowCache } from './flow-cache.js';
 import type { FlowFailures } from './flow-failures.js';
 
 /** What following flows needs. */
-interface FlowFollowerOptions {
+interface FlowTrackerOptions {
   readonly cache: FlowCache;
   readonly states: LocalBackendStates;
-  readonly pending: PendingOpenings;
-  readonly answers: AnswerTracker;
+  readonly pendingOpenings: PendingOpenings;
+  readonly answerTracker: AnswerTracker;
   readonly failures: FlowFailures;
   readonly statistics: CookieStatistics;
   readonly isOn: MechanismCheck;
 }
 
 /** Compares each packet with the earlier ones of its flow. Times are monotonic ms. */
-export class FlowFollower {
-  constructor(private readonly options: FlowFollowerOptions) {}
+export class FlowTracker {
+  constructor(private readonly options: FlowTrackerOptions) {}
 
   /**
    * Follows a packet that is no SYN and goes to `backend`, which may differ from the remembered one: the cookie
    * decides.
    */
-  follow(packet: CookiePacket, flow: Flow, backend: KnownBackend, nowMs: number): void {
-    const { cache, pending, states } = this.options;
-    pending.settle(flow);
-    if (flow.state.backend !== backend) cache.move(flow, states.of(backend));
+  trackPacket(packet: CookiePacket, flow: Flow, backend: KnownBackend, nowMs: number): void {
+    const { cache, pendingOpenings, states } = this.options;
+    pendingOpenings.settle(flow);
+    if (flow.state.backend !== backend) cache.moveToBackend(flow, states.of(backend));
     flow.lastPacketMs = nowMs;
-    if (flow.phase === 'opening') this.endHandshake(packet, flow, nowMs);
+    if (flow.phase === 'opening') this.completeHandshake(packet, flow, nowMs);
     else if (packet.ack && isAfter(packet.acknowledgement, flow.acknowledgement)) {
       this.recordAcknowledgement(packet, flow, nowMs);
     }
-    if (packet.payloadBytes > 0) this.followData(packet, flow, nowMs);
-    if (packet.fin || packet.rst) this.close(flow, nowMs);
+    if (packet.payloadBytes > 0) this.trackData(packet, flow, nowMs);
+    if (packet.fin || packet.rst) this.recordClose(flow, nowMs);
   }
 
-  private endHandshake(packet: CookiePacket, flow: Flow, nowMs: number): void {
-    const { statistics, pending, states } = this.options;
+  private completeHandshake(packet: CookiePacket, flow: Flow, nowMs: number): void {
+    const { statistics, pendingOpenings, states } = this.options;
     flow.phase = 'open';
     flow.acknowledgement = packet.acknowledgement;
     statistics.handshake.observe(nowMs - flow.openedAtMs);
-    pending.recordAnswer(nowMs - flow.openedAtMs);
+    pendingOpenings.recordAnswer(nowMs - flow.openedAtMs);
     states.recordSignOfLife(flow.state, nowMs);
   }
 
   private recordAcknowledgement(packet: CookiePacket, flow: Flow, nowMs: number): void {
-    const bytes = (packet.acknowledgement - flow.acknowledgement) >>> 0;
+    const acknowledgedBytes = (packet.acknowledgement - flow.acknowledgement) >>> 0;
     flow.acknowledgement = packet.acknowledgement;
     this.options.states.recordSignOfLife(flow.state, nowMs);
-    this.endRequest(flow, bytes, nowMs);
+    this.completeRequest(flow, acknowledgedBytes, nowMs);
   }
 
-  private followData(packet: CookiePacket, flow: Flow, nowMs: number): void {
-    if (flow.dataSequence < 0 || isAfter(packet.sequence, flow.dataSequence)) {
-      flow.dataSequence = packet.sequence;
-      flow.dataAtMs = nowMs;
+  private trackData(packet: CookiePacket, flow: Flow, nowMs: number): void {
+    if (flow.highestDataSequence < 0 || isAfter(packet.sequence, flow.highestDataSequence)) {
+      flow.highestDataSequence = packet.sequence;
+      flow.dataFirstSeenAtMs = nowMs;
       flow.isFailureCounted = false;
       this.beginRequest(flow, nowMs);
-    } else if (packet.sequence === flow.dataSequence && nowMs - flow.dataAtMs >= REPETITION_MIN_MS) {
-      this.options.failures.report(flow, flow.dataAtMs, nowMs);
+    } else if (
+      packet.sequence === flow.highestDataSequence &&
+      nowMs - flow.dataFirstSeenAtMs >= MIN_RETRANSMISSION_INTERVAL_MS
+    ) {
+      this.options.failures.report(flow, flow.dataFirstSeenAtMs, nowMs);
     }
   }
 
@@ -76,7 +79,7 @@
    * New data while no request is outstanding begins one; further packets of the same request follow before its answer.
    */
   private beginRequest(flow: Flow, nowMs: number): void {
-    const { isOn, answers } = this.options;
+    const { isOn, answerTracker } = this.options;
     if (flow.request || !isOn('outlier-detection')) return;
     const { id, record } = flow.state.backend;
     flow.request = {
@@ -85,19 +88,19 @@
       routeKey: flow.serviceKey,
       sentAtMs: nowMs,
     };
-    answers.begin(flow.request);
+    answerTracker.begin(flow.request);
   }
 
-  private endRequest(flow: Flow, bytes: number, nowMs: number): void {
+  private completeRequest(flow: Flow, acknowledgedBytes: number, nowMs: number): void {
     if (!flow.request) return;
-    this.options.answers.recordAnswer(flow.request, bytes, nowMs);
+    this.options.answerTracker.recordAnswer(flow.request, acknowledgedBytes, nowMs);
     flow.request = undefined;
   }
 
-  private close(flow: Flow, nowMs: number): void {
-    if (flow.request) this.options.answers.abandon(flow.request);
+  private recordClose(flow: Flow, nowMs: number): void {
+    if (flow.request) this.options.answerTracker.abandon(flow.request);
     flow.request = undefined;
-    this.options.cache.close(flow, nowMs);
+    this.options.cache.markClosed(flow, nowMs);
   }
 }
 
--- a/src/cookie-edge/forwarding/flows-in-progress.ts
+++ b/src/cookie-edge/forwarding/flows-in-progress.ts
@@ -16,7 +16,7 @@
   }
 
   /** Flows at a service that are in progress at `nowMs`, monotonic ms. */
-  countAt(service: string, nowMs: number): number {
+  countForService(service: string, nowMs: number): number {
     let count = 0;
     for (const flow of this.flows) {
       if (!isInProgress(flow, nowMs)) this.flows.delete(flow);
@@ -27,7 +27,10 @@
 }
 
 /** A flow whose request takes unusually long is left out: it would keep others waiting for nothing. */
-function isInProgress({ phase, openedAtMs, dataSequence, request }: Flow, nowMs: number): boolean {
+function isInProgress(
+  { phase, openedAtMs, highestDataSequence: dataSequence, request }: Flow,
+  nowMs: number,
+): boolean {
   if (nowMs - openedAtMs >= STALE_REQUEST_MS || phase === 'closing') return false;
   return phase === 'opening' || dataSequence < 0 || request !== undefined;
 }
--- a/src/cookie-edge/forwarding/held-openings.ts
+++ b/src/cookie-edge/forwarding/held-openings.ts
@@ -12,11 +12,11 @@
 import type { CookieEdgePort, CookiePacket } from '../../fabric/cookie-edge.js';
 import type { EventLog } from '../../observability/event.js';
 import type { BackendSettlement, Route } from '../routing/index.js';
-import { HELD_MARGIN_MS, HELD_RELEASE_MS, MAX_HELD_OPENINGS } from './constants.js';
+import { HOLD_SAFETY_MARGIN_MS, HELD_REEVALUATION_DELAY_MS, MAX_HELD_OPENINGS } from './constants.js';
 import type { CookieStatistics } from './cookie-statistics.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 import { formatFlowId } from './flow-id.js';
-import { isLastCopy, sentAfterMs, untilNextTransmissionMs } from './syn-schedule.js';
+import { isLastTransmission, sinceFirstSynMs, untilNextTransmissionMs } from './syn-schedule.js';
 
 /** Collaborators. */
 interface HeldOpeningsOptions {
@@ -47,20 +47,20 @@
   /** When its caller sent its first SYN. */
   readonly firstSentAtMs: number;
   /** It is given up then. */
-  readonly untilMs: number;
+  readonly expiresAtMs: number;
   /** Its caller sends no further copy. */
-  readonly isLastCopy: boolean;
+  readonly isLastTransmission: boolean;
   /** Delivers the packet to the edge's handler again. */
-  readonly deliver: (waitedMs: number) => void;
+  readonly redeliver: (waitedMs: number) => void;
 }
 
 /** How long a copy is held at most, in ms. */
-export function longestHoldMs(retransmissions: number): number {
-  return untilNextTransmissionMs(retransmissions) - HELD_MARGIN_MS;
+export function maxHoldMs(retransmissionCount: number): number {
+  return untilNextTransmissionMs(retransmissionCount) - HOLD_SAFETY_MARGIN_MS;
 }
 
 /** The order in which openings are decided again: by urgency, then by the time that the caller has waited. */
-function compareHeld(left: HeldOpening, right: HeldOpening): number {
+function compareByUrgency(left: HeldOpening, right: HeldOpening): number {
   const leftPriority = left.route.priority ?? Number.MAX_SAFE_INTEGER;
   const rightPriority = right.route.priority ?? Number.MAX_SAFE_INTEGER;
   return leftPriority - rightPriority || left.firstSentAtMs - right.firstSentAtMs;
@@ -68,101 +68,107 @@
 
 /** Openings of one daemon that wait. */
 export class HeldOpenings {
-  private readonly byFlow = new Map<string, HeldOpening>();
+  private readonly openingsByFlowId = new Map<string, HeldOpening>();
   private timer: TimerHandle | undefined;
   /** Something changed since the openings without a back end were last decided. */
-  private hasNews = false;
+  private hasBackendListChanged = false;
 
   constructor(private readonly options: HeldOpeningsOptions) {
     options.settlement.subscribe(() => {
-      this.hasNews = true;
-      this.checkSoon();
+      this.hasBackendListChanged = true;
+      this.scheduleReevaluation();
     });
   }
 
   /** Openings that wait now. */
   get size(): number {
-    return this.byFlow.size;
+    return this.openingsByFlowId.size;
   }
 
   /** Holds the packet that is being handled; it replaces an earlier copy of its flow. */
   hold(packet: CookiePacket, cause: HoldCause, { nowMs, waitedMs }: Arrival): void {
     const { statistics, edge } = this.options;
-    const flow = formatFlowId(packet);
-    if (this.byFlow.size >= MAX_HELD_OPENINGS && !this.byFlow.has(flow))
+    const flowId = formatFlowId(packet);
+    if (this.openingsByFlowId.size >= MAX_HELD_OPENINGS && !this.openingsByFlowId.has(flowId))
       return statistics.countDrop('held-full');
-    const { retransmissionCount: copy } = packet;
+    const { retransmissionCount } = packet;
     const arrivedAtMs = nowMs - waitedMs;
-    this.byFlow.set(flow, {
+    this.openingsByFlowId.set(flowId, {
       ...cause,
       arrivedAtMs,
-      firstSentAtMs: arrivedAtMs - sentAfterMs(copy),
-      untilMs: arrivedAtMs + longestHoldMs(copy),
-      isLastCopy: isLastCopy(copy),
-      deliver: edge.keepPacket(),
+      firstSentAtMs: arrivedAtMs - sinceFirstSynMs(retransmissionCount),
+      expiresAtMs: arrivedAtMs + maxHoldMs(retransmissionCount),
+      isLastTransmission: isLastTransmission(retransmissionCount),
+      redeliver: edge.keepPacket(),
     });
     if (waitedMs === 0) statistics.countHeld(cause.reason);
-    this.checkSoon();
+    this.scheduleReevaluation();
   }
 
   /** Forgets a flow that was decided otherwise. */
-  forget(packet: CookiePacket): void {
-    if (this.byFlow.size > 0) this.byFlow.delete(formatFlowId(packet));
+  remove(packet: CookiePacket): void {
+    if (this.openingsByFlowId.size > 0) this.openingsByFlowId.delete(formatFlowId(packet));
   }
 
   /** Gives up everything that waits. */
   stop(): void {
     this.timer?.cancel();
-    this.byFlow.clear();
+    this.openingsByFlowId.clear();
   }
 
-  private checkSoon(): void {
-    if (this.byFlow.size === 0) return;
-    this.timer ??= this.options.clock.schedule(HELD_RELEASE_MS, () => {
+  private scheduleReevaluation(): void {
+    if (this.openingsByFlowId.size === 0) return;
+    this.timer ??= this.options.clock.schedule(HELD_REEVALUATION_DELAY_MS, () => {
       this.timer = undefined;
-      this.check();
+      this.reevaluate();
     });
   }
 
-  private check(): void {
+  private reevaluate(): void {
     const nowMs = this.options.clock.now();
-    const waitingBefore = this.byFlow.size;
-    this.endHolds(nowMs);
-    this.decideAgain();
-    this.logDecided(waitingBefore - this.byFlow.size);
-    this.checkSoon();
+    const heldBefore = this.openingsByFlowId.size;
+    this.removeExpired(nowMs);
+    this.redeliverHeld();
+    this.logReleased(heldBefore - this.openingsByFlowId.size);
+    this.scheduleReevaluation();
   }
 
   /** Drops what its caller sends again at any moment. One that only yields has its last chance then. */
-  private endHolds(nowMs: number): void {
-    for (const [flow, opening] of [...this.byFlow]) {
-      if (nowMs < opening.untilMs) continue;
-      this.byFlow.delete(flow);
-      if (opening.reason === 'yields' && opening.isLastCopy) opening.deliver(nowMs - opening.arrivedAtMs);
+  private removeExpired(nowMs: number): void {
+    for (const [flowId, opening] of [...this.openingsByFlowId]) {
+      if (nowMs < opening.expiresAtMs) continue;
+      this.openingsByFlowId.delete(flowId);
+      if (opening.reason === 'yields' && opening.isLastTransmission)
+        opening.redeliver(nowMs - opening.arrivedAtMs);
       else this.options.statistics.heldTooLong += 1;
     }
   }
 
   /**
    * Has decided again what may have another outcome by now; what has not is held on. Deciding takes time on a slow
-   * machine, so that each is looked at by the clock: one whose time ran out is left to `endHolds`.
+   * machine, so that each is looked at by the clock: one whose time ran out is left to `removeExpired`.
    */
-  private decideAgain(): void {
-    const { hasNews } = this;
-    this.hasNews = false;
-    const waiting = [...this.byFlow].filter(([, { reason }]) => hasNews || reason === 'yields');
-    const routesWithoutRoom = new Set<Route>();
-    for (const [flow, opening] of waiting.sort(([, left], [, right]) => compareHeld(left, right))) {
+  private redeliverHeld(): void {
+    const { hasBackendListChanged } = this;
+    this.hasBackendListChanged = false;
+    const waiting = [...this.openingsByFlowId].filter(
+      ([, { reason }]) => hasBackendListChanged || reason === 'yields',
+    );
+    const yieldingRoutes = new Set<Route>();
+    for (const [flowId, opening] of waiting.sort(([, left], [, right]) => compareByUrgency(left, right))) {
       const nowMs = this.options.clock.now();
-      if (routesWithoutRoom.has(opening.route) || nowMs >= opening.untilMs) continue;
-      this.byFlow.delete(flow);
-      opening.deliver(nowMs - opening.arrivedAtMs);
-      if (this.byFlow.get(flow)?.reason === 'yields') routesWithoutRoom.add(opening.route);
+      if (yieldingRoutes.has(opening.route) || nowMs >= opening.expiresAtMs) continue;
+      this.openingsByFlowId.delete(flowId);
+      opening.redeliver(nowMs - opening.arrivedAtMs);
+      if (this.openingsByFlowId.get(flowId)?.reason === 'yields') yieldingRoutes.add(opening.route);
     }
   }
 
-  private logDecided(decided: number): void {
+  private logReleased(decided: number): void {
     if (decided === 0) return;
-    this.options.events.emit(COOKIE_FLOW_EVENTS.openingsReleased, { decided, stillHeld: this.byFlow.size });
+    this.options.events.emit(COOKIE_FLOW_EVENTS.openingsReleased, {
+      decided,
+      stillHeld: this.openingsByFlowId.size,
+    });
   }
 }
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -17,10 +17,10 @@
   readonly clock: Clock;
   readonly events: EventLog;
   readonly pauses: PauseDetector;
-  readonly pending: PendingOpenings;
-  readonly answers: AnswerTracker;
+  readonly pendingOpenings: PendingOpenings;
+  readonly answerTracker: AnswerTracker;
   readonly states: LocalBackendStates;
-  readonly superseded: SupersededBackends;
+  readonly supersededBackends: SupersededBackends;
   readonly outliers: OutlierDetector;
   readonly failures: FlowFailures;
   readonly expiry: FlowExpiry;
@@ -33,42 +33,42 @@
   /** Runs until `signal` aborts. */
   start(signal: AbortSignal): void {
     let timer: TimerHandle;
-    const arm = (): void => {
+    const scheduleTick = (): void => {
       timer = this.options.clock.schedule(HOUSEKEEPING_TICK_MS, () => {
         this.tick();
-        arm();
+        scheduleTick();
       });
     };
-    arm();
+    scheduleTick();
     signal.addEventListener('abort', () => timer.cancel());
   }
 
   private tick(): void {
-    const { clock, states, superseded, answers, outliers, expiry } = this.options;
+    const { clock, states, supersededBackends, answerTracker, outliers, expiry } = this.options;
     const nowMs = clock.now();
     this.checkPause(nowMs);
-    this.failUnanswered(nowMs);
+    this.reportUnanswered(nowMs);
     states.judgeFailing(nowMs);
-    superseded.reviewAll();
-    answers.check(nowMs);
+    supersededBackends.reviewAll();
+    answerTracker.check(nowMs);
     outliers.check(nowMs);
-    expiry.check(nowMs);
+    expiry.sweepIfDue(nowMs);
   }
 
   /** Discards pending openings and requests after a pause: with packets unread, answered ones look unanswered. */
   private checkPause(nowMs: number): void {
-    const { pauses, events, pending, answers } = this.options;
+    const { pauses, events, pendingOpenings, answerTracker } = this.options;
     const pausedMs = pauses.recordTick(nowMs);
     if (pausedMs === 0) return;
     events.emit(COOKIE_FLOW_EVENTS.paused, { pausedMs: Math.round(pausedMs) });
-    pending.clear();
-    answers.clear();
+    pendingOpenings.clear();
+    answerTracker.clear();
   }
 
-  private failUnanswered(nowMs: number): void {
-    const { pending, failures } = this.options;
-    for (const flow of pending.takeUnanswered(nowMs)) {
-      pending.settle(flow);
+  private reportUnanswered(nowMs: number): void {
+    const { pendingOpenings, failures } = this.options;
+    for (const flow of pendingOpenings.takeUnanswered(nowMs)) {
+      pendingOpenings.settle(flow);
       failures.report(flow, flow.openedAtMs, nowMs);
     }
   }
--- a/src/cookie-edge/forwarding/incarnation.test.ts
+++ b/src/cookie-edge/forwarding/incarnation.test.ts
@@ -5,75 +5,83 @@
 import { HOUSEKEEPING_TICK_MS } from './constants.js';
 import { backends, failOpenings, ForwarderHarness } from './cookie-test-support.js';
 
-const FIRST_LIFE = 1_700_000_000_000;
-const SECOND_LIFE = FIRST_LIFE + 60_000;
+const FIRST_INCARNATION = 1_700_000_000_000;
+const SECOND_INCARNATION = FIRST_INCARNATION + 60_000;
 const RESTARTED_EVENT = 2017;
 
-function lives(count: number, incarnation = FIRST_LIFE): RoutedBackend[] {
+function recordsWithIncarnation(count: number, incarnation = FIRST_INCARNATION): RoutedBackend[] {
   return backends(count).map((backend) => ({ ...backend, incarnation }));
 }
 
 /** Tells the harness of another record of `a`. */
-function rewrite(harness: ForwarderHarness, revision: number, change: Partial<RoutedBackend>): void {
-  const [first] = lives(1);
+function updateRecordOfA(harness: ForwarderHarness, revision: number, change: Partial<RoutedBackend>): void {
+  const [first] = recordsWithIncarnation(1);
   const record = { ...first!, revision, ...change };
   const origin = { since: revision - 1, confirmedAtMs: harness.clock.now(), mayHaveLapsed: false };
   harness.knowledge.apply('backends', updateAt(revision, { backends: [record] }), origin);
 }
 
 /** Lets openings become overdue while `b` answers one. */
-function othersAnswer(harness: ForwarderHarness): void {
+function failOpeningsWhileBAnswers(harness: ForwarderHarness): void {
   harness.clock.advance(300);
   for (let port = 43_000; harness.establish(port).backend !== 'b'; port += 1);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
 }
 
 test('flows of the old life go on to the process, which resets them itself; none is reset here', (t) => {
-  const harness = new ForwarderHarness().know(lives(1));
+  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
   const { cookie } = harness.establish(41_000);
-  rewrite(harness, 11, { incarnation: SECOND_LIFE });
+  updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
   t.is(harness.goOn(41_000, cookie)?.backend, 'a');
   t.is(harness.resets.length, 0);
   t.is(harness.events().filter((number) => number === RESTARTED_EVENT).length, 1);
 });
 
 test('flows of the old life do not count as load of the new one', (t) => {
-  const harness = new ForwarderHarness().know(lives(2));
+  const harness = new ForwarderHarness().know(recordsWithIncarnation(2));
   for (let port = 41_000; port < 41_008; port += 1) harness.establish(port);
-  rewrite(harness, 11, { incarnation: SECOND_LIFE });
+  updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
   const placed = [42_000, 42_001, 42_002].map((port) => harness.open(port)?.backend);
   t.deepEqual(placed, ['a', 'a', 'a']);
 });
 
 test('an ejection of the old life does not keep new flows from the new one', (t) => {
-  const harness = new ForwarderHarness().know(lives(2));
+  const harness = new ForwarderHarness().know(recordsWithIncarnation(2));
   failOpenings(harness, 'a', 2, 41_000);
-  othersAnswer(harness);
+  failOpeningsWhileBAnswers(harness);
   t.is(harness.forwarder.ejections, 1);
-  rewrite(harness, 11, { incarnation: SECOND_LIFE });
+  updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
   const placed = [42_000, 42_001, 42_002, 42_003].map((port) => harness.open(port)?.backend);
   t.true(placed.includes('a'));
 });
 
 test('openings at the old life that fail later do not count against the new one', (t) => {
-  const harness = new ForwarderHarness().know(lives(2));
+  const harness = new ForwarderHarness().know(recordsWithIncarnation(2));
   failOpenings(harness, 'a', 2, 41_000);
-  rewrite(harness, 11, { incarnation: SECOND_LIFE });
-  othersAnswer(harness);
+  updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
+  failOpeningsWhileBAnswers(harness);
   t.is(harness.forwarder.ejections, 0);
 });
 
 test('a new life at another address gets its flows there, though that was used by one that left', (t) => {
-  const harness = new ForwarderHarness().know([...lives(1), backendAt('later', 9, { incarnation: 5 })]);
+  const harness = new ForwarderHarness().know([
+    ...recordsWithIncarnation(1),
+    backendAt('later', 9, { incarnation: 5 }),
+  ]);
   const endpoint = harness.knowledge.backends.get('later')!.record.endpoint;
   harness.depart('later', 11);
-  rewrite(harness, 12, { incarnation: SECOND_LIFE, endpoint });
+  updateRecordOfA(harness, 12, { incarnation: SECOND_INCARNATION, endpoint });
   t.deepEqual(harness.open(42_000)?.endpoint, endpoint);
 });
 
 test('a new life of another service, zone or capacity is known as what it says', (t) => {
-  const harness = new ForwarderHarness().know(lives(1));
-  rewrite(harness, 11, { incarnation: SECOND_LIFE, service: 'beta', zone: 'south', capacity: 9 });
+  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+  updateRecordOfA(harness, 11, {
+    incarnation: SECOND_INCARNATION,
+    service: 'beta',
+    zone: 'south',
+    capacity: 9,
+  });
   const { backends: registry } = harness.knowledge;
   t.is(registry.ofService('alpha').size, 0);
   t.like(registry.get('a')?.record, { service: 'beta', zone: 'south', capacity: 9 });
@@ -81,49 +89,49 @@
 });
 
 test('a life that left or drained does not keep the next one from serving', (t) => {
-  const harness = new ForwarderHarness().know(lives(1));
-  rewrite(harness, 11, { draining: true });
+  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+  updateRecordOfA(harness, 11, { draining: true });
   t.is(harness.open(42_000)?.backend, undefined);
   harness.depart('a', 12);
-  rewrite(harness, 13, { incarnation: SECOND_LIFE });
+  updateRecordOfA(harness, 13, { incarnation: SECOND_INCARNATION });
   t.is(harness.open(42_001)?.backend, 'a');
 });
 
 test('a removal of the old life that arrives late does not end the new one', (t) => {
-  const harness = new ForwarderHarness().know(lives(1));
-  rewrite(harness, 13, { incarnation: SECOND_LIFE });
+  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+  updateRecordOfA(harness, 13, { incarnation: SECOND_INCARNATION });
   harness.depart('a', 12);
   t.is(harness.open(42_001)?.backend, 'a');
 });
 
 test('the same life, or a record that names none, forgets nothing', (t) => {
-  for (const incarnation of [FIRST_LIFE, undefined]) {
-    const harness = new ForwarderHarness().know(lives(1));
+  for (const incarnation of [FIRST_INCARNATION, undefined]) {
+    const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
     const known = harness.knowledge.backends.get('a');
-    rewrite(harness, 11, { incarnation, draining: true });
+    updateRecordOfA(harness, 11, { incarnation, draining: true });
     t.is(harness.knowledge.backends.get('a'), known);
   }
 });
 
 test('two restarts in a row, the second with a clock set back, are two lives', (t) => {
-  const harness = new ForwarderHarness().know(lives(1));
-  rewrite(harness, 11, { incarnation: SECOND_LIFE });
-  rewrite(harness, 12, { incarnation: FIRST_LIFE - 5_000 });
-  t.is(harness.knowledge.backends.get('a')?.record.incarnation, FIRST_LIFE - 5_000);
+  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+  updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
+  updateRecordOfA(harness, 12, { incarnation: FIRST_INCARNATION - 5_000 });
+  t.is(harness.knowledge.backends.get('a')?.record.incarnation, FIRST_INCARNATION - 5_000);
   t.is(harness.events().filter((number) => number === RESTARTED_EVENT).length, 2);
 });
 
 test('a record of an older life that arrives late changes nothing', (t) => {
-  const harness = new ForwarderHarness().know(lives(1));
-  rewrite(harness, 13, { incarnation: SECOND_LIFE });
-  rewrite(harness, 11, { incarnation: FIRST_LIFE, draining: true });
-  t.is(harness.knowledge.backends.get('a')?.record.incarnation, SECOND_LIFE);
+  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+  updateRecordOfA(harness, 13, { incarnation: SECOND_INCARNATION });
+  updateRecordOfA(harness, 11, { incarnation: FIRST_INCARNATION, draining: true });
+  t.is(harness.knowledge.backends.get('a')?.record.incarnation, SECOND_INCARNATION);
   t.is(harness.open(42_001)?.backend, 'a');
 });
 
 test('a new life is cold from its own start', (t) => {
-  const harness = new ForwarderHarness().know(lives(1));
+  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
   harness.clock.advance(10_000);
-  rewrite(harness, 11, { incarnation: SECOND_LIFE, coldMs: 2_000 });
+  updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION, coldMs: 2_000 });
   t.is(harness.knowledge.backends.get('a')?.coldUntilMs, 12_000);
 });
--- a/src/cookie-edge/forwarding/list-that-fills.test.ts
+++ b/src/cookie-edge/forwarding/list-that-fills.test.ts
@@ -11,22 +11,22 @@
 import { ForwarderHarness } from './cookie-test-support.js';
 
 const STEP_MS = 5;
-const COPIES_MS = [0, 200, 600];
-const ATTEMPT_MS = 1_400;
-const ATTEMPTS = 3;
+const SYN_SENT_AT_MS = [0, 200, 600];
+const ATTEMPT_TIMEOUT_MS = 1_400;
+const MAX_ATTEMPTS = 3;
 const DEADLINE_MS = 2_500;
-const FILL_MS = 2_000;
-const BACKENDS = 40;
-const CALLERS = 300;
+const LIST_FILL_DURATION_MS = 2_000;
+const BACKEND_COUNT = 40;
+const CALLER_COUNT = 300;
 /** Callers open over this time, from the daemon's start. */
-const OPENING_MS = 1_500;
+const CALLER_START_SPREAD_MS = 1_500;
 
 /** A caller and how its request went. */
 interface Caller {
   readonly startMs: number;
   attempt: number;
   attemptStartMs: number;
-  copiesSent: number;
+  synsSent: number;
   port: number;
   openedAtMs?: number;
   backend?: string;
@@ -38,85 +38,88 @@
   readonly resets: number;
   readonly waitsMs: readonly number[];
   /** Flows of the busiest back end. */
-  readonly most: number;
+  readonly flowsOfBusiestBackend: number;
 }
 
-class FillingList {
+class FillingListSimulation {
   readonly clock = new VirtualClock();
   private readonly harness: ForwarderHarness;
   private readonly callers: readonly Caller[];
   private nextPort = 10_000;
   private resets = 0;
-  private listed = 0;
+  private listedCount = 0;
 
   constructor(
     switchedOff: readonly Mechanism[],
-    private readonly order: readonly RoutedBackend[] = allBackends(),
+    private readonly backendsInListOrder: readonly RoutedBackend[] = allBackends(),
   ) {
     this.harness = new ForwarderHarness(this.clock, 1, switchedOff, { settles: true });
-    this.callers = Array.from({ length: CALLERS }, (_unused, index) => this.caller(index));
+    this.callers = Array.from({ length: CALLER_COUNT }, (_unused, index) => this.createCaller(index));
   }
 
   /** Has the daemon read a roster with all back ends. */
   withRoster(): this {
-    for (const record of this.order) this.harness.knowledge.backends.putRemembered(record, false);
+    for (const record of this.backendsInListOrder)
+      this.harness.knowledge.backends.putRemembered(record, false);
     this.harness.settlement.recordRoster(new Set(['alpha']));
     return this;
   }
 
   run(): Outcome {
     this.harness.know([]);
-    for (let nowMs = 0; nowMs <= OPENING_MS + DEADLINE_MS; nowMs += STEP_MS) {
-      this.list(nowMs);
-      for (const caller of this.callers) this.step(caller, nowMs);
+    for (let nowMs = 0; nowMs <= CALLER_START_SPREAD_MS + DEADLINE_MS; nowMs += STEP_MS) {
+      this.listDueBackends(nowMs);
+      for (const caller of this.callers) this.stepCaller(caller, nowMs);
       this.clock.advance(STEP_MS);
-      this.takeSent(nowMs + STEP_MS);
+      this.deliverAnswers(nowMs + STEP_MS);
     }
     this.harness.stop();
-    return this.outcome();
+    return this.summarize();
   }
 
-  private caller(index: number): Caller {
-    const startMs = Math.floor((index * OPENING_MS) / CALLERS / STEP_MS) * STEP_MS;
-    return { startMs, attempt: 1, attemptStartMs: startMs, copiesSent: 0, port: this.takePort() };
+  private createCaller(index: number): Caller {
+    const startMs = Math.floor((index * CALLER_START_SPREAD_MS) / CALLER_COUNT / STEP_MS) * STEP_MS;
+    return { startMs, attempt: 1, attemptStartMs: startMs, synsSent: 0, port: this.allocatePort() };
   }
 
-  private takePort(): number {
+  private allocatePort(): number {
     this.nextPort += 1;
     return this.nextPort;
   }
 
   /** Lists the back ends evenly over the time in which live ones are recorded again. */
-  private list(nowMs: number): void {
-    const due = Math.floor((BACKENDS * nowMs) / FILL_MS);
-    for (; this.listed < Math.min(due, BACKENDS); this.listed += 1) {
-      const revision = 100 + this.listed;
-      const backends = [{ ...this.order[this.listed]!, revision, createdRevision: revision }];
+  private listDueBackends(nowMs: number): void {
+    const dueCount = Math.floor((BACKEND_COUNT * nowMs) / LIST_FILL_DURATION_MS);
+    for (; this.listedCount < Math.min(dueCount, BACKEND_COUNT); this.listedCount += 1) {
+      const revision = 100 + this.listedCount;
+      const backends = [
+        { ...this.backendsInListOrder[this.listedCount]!, revision, createdRevision: revision },
+      ];
       const origin = { since: revision - 1, confirmedAtMs: nowMs, mayHaveLapsed: false };
       this.harness.knowledge.apply('backends', updateAt(revision, { backends }), origin);
     }
   }
 
-  private step(caller: Caller, nowMs: number): void {
-    const isOver = caller.openedAtMs !== undefined || caller.attempt > ATTEMPTS;
+  private stepCaller(caller: Caller, nowMs: number): void {
+    const isOver = caller.openedAtMs !== undefined || caller.attempt > MAX_ATTEMPTS;
     if (isOver || nowMs < caller.startMs || nowMs >= caller.startMs + DEADLINE_MS) return;
-    const sinceMs = nowMs - caller.attemptStartMs;
-    if (sinceMs >= ATTEMPT_MS) return this.tryAgain(caller, nowMs);
-    if (sinceMs < (COPIES_MS[caller.copiesSent] ?? Infinity)) return;
-    this.harness.open(caller.port, caller.copiesSent);
-    caller.copiesSent += 1;
-    this.takeSent(nowMs);
+    const attemptAgeMs = nowMs - caller.attemptStartMs;
+    if (attemptAgeMs >= ATTEMPT_TIMEOUT_MS) return this.startNextAttempt(caller, nowMs);
+    if (attemptAgeMs < (SYN_SENT_AT_MS[caller.synsSent] ?? Infinity)) return;
+    this.harness.open(caller.port, caller.synsSent);
+    caller.synsSent += 1;
+    this.deliverAnswers(nowMs);
   }
 
-  private tryAgain(caller: Caller, nowMs: number): void {
+  private startNextAttempt(caller: Caller, nowMs: number): void {
     caller.attempt += 1;
     caller.attemptStartMs = nowMs;
-    caller.copiesSent = 0;
-    caller.port = this.takePort();
+    caller.synsSent = 0;
+    caller.port = this.allocatePort();
   }
 
   /** Has callers take what was sent: a reset ends an attempt, a placed opening is continued. */
-  private takeSent(nowMs: number): void {
+  private deliverAnswers(nowMs: number): void {
     const { sent, sentPorts } = this.harness;
     const ports = sentPorts.splice(0);
     for (const [index, { backend, cookie }] of sent.splice(0).entries()) {
@@ -124,7 +127,7 @@
       if (!caller || caller.openedAtMs !== undefined) continue;
       if (backend === undefined) {
         this.resets += 1;
-        this.tryAgain(caller, nowMs);
+        this.startNextAttempt(caller, nowMs);
         continue;
       }
       caller.openedAtMs = nowMs;
@@ -135,7 +138,7 @@
     }
   }
 
-  private outcome(): Outcome {
+  private summarize(): Outcome {
     const opened = this.callers.filter(({ openedAtMs }) => openedAtMs !== undefined);
     const counts = new Map<string, number>();
     for (const { backend = '' } of opened) counts.set(backend, (counts.get(backend) ?? 0) + 1);
@@ -143,32 +146,40 @@
       failed: this.callers.length - opened.length,
       resets: this.resets,
       waitsMs: opened.map(({ startMs, openedAtMs = 0 }) => openedAtMs - startMs),
-      most: Math.max(...counts.values()),
+      flowsOfBusiestBackend: Math.max(...counts.values()),
     };
   }
 }
 
 function allBackends(): RoutedBackend[] {
-  return Array.from({ length: BACKENDS }, (_unused, index) => backendAt(`b-${index}`, index + 1));
+  return Array.from({ length: BACKEND_COUNT }, (_unused, index) => backendAt(`b-${index}`, index + 1));
 }
 
 test('while the list fills no caller is reset or fails', (t) => {
-  const { failed, resets } = new FillingList([]).run();
+  const { failed, resets } = new FillingListSimulation([]).run();
   t.is(resets, 0);
   t.is(failed, 0);
 });
 
 test('without holding, callers are reset and fail', (t) => {
-  const { failed, resets } = new FillingList(['unsettled-openings']).run();
+  const { failed, resets } = new FillingListSimulation(['unsettled-openings']).run();
   t.true(resets > 0);
   t.true(failed > 0);
 });
 
 test('with a roster nobody waits, and no back end gets more than twice its share', (t) => {
-  const { failed, resets, waitsMs, most } = new FillingList([]).withRoster().run();
+  const {
+    failed,
+    resets,
+    waitsMs,
+    flowsOfBusiestBackend: most,
+  } = new FillingListSimulation([]).withRoster().run();
   t.is(resets + failed, 0);
   t.is(Math.max(...waitsMs), 0);
-  t.true(most <= (2 * CALLERS) / BACKENDS, `${most} flows at one of ${BACKENDS} for ${CALLERS} callers`);
+  t.true(
+    most <= (2 * CALLER_COUNT) / BACKEND_COUNT,
+    `${most} flows at one of ${BACKEND_COUNT} for ${CALLER_COUNT} callers`,
+  );
 });
 
 test('a service that the roster knows to be empty is refused at once, one that it lacks a list for is not', (t) => {
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -1,6 +1,6 @@
 /**
  * Handles packets that are no SYN: carries out what `mid-flow-rule.ts` decides, counts it and logs it. Owns no state;
- * relies on the cookie registry and the flow cache to name a packet's back end, and on `FlowFollower` to learn from the
+ * relies on the cookie registry and the flow cache to name a packet's back end, and on `FlowTracker` to learn from the
  * packet.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
@@ -11,7 +11,7 @@
 import type { CookieStatistics } from './cookie-statistics.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 import type { Flow, FlowCache } from './flow-cache.js';
-import type { FlowFollower } from './flow-follower.js';
+import type { FlowTracker } from './flow-follower.js';
 import { formatFlowId } from './flow-id.js';
 import { backendOfPacket, decideMidFlow } from './mid-flow-rule.js';
 import type { PacketSender } from './packet-sender.js';
@@ -23,7 +23,7 @@
   readonly cookies: CookieRegistry;
   readonly states: LocalBackendStates;
   readonly cache: FlowCache;
-  readonly follower: FlowFollower;
+  readonly flowTracker: FlowTracker;
   readonly sender: PacketSender;
   readonly statistics: CookieStatistics;
 }
@@ -33,21 +33,21 @@
   constructor(private readonly options: MidFlowHandlerOptions) {}
 
   /** Handles a packet that is no SYN; `flow` is what is remembered of its addresses. */
-  onMidFlow(packet: CookiePacket, flow: Flow | undefined, nowMs: number): void {
-    const { cookies, states, follower, sender } = this.options;
-    const named = packet.cookie === 0 ? undefined : cookies.backendOf(packet.cookie);
-    const backend = backendOfPacket(named, flow?.state.backend);
+  onMidFlowPacket(packet: CookiePacket, flow: Flow | undefined, nowMs: number): void {
+    const { cookies, states, flowTracker, sender } = this.options;
+    const backendFromCookie = packet.cookie === 0 ? undefined : cookies.backendOf(packet.cookie);
+    const backend = backendOfPacket(backendFromCookie, flow?.state.backend);
     const isDead = backend !== undefined && states.of(backend).isDead(nowMs);
     const outcome = decideMidFlow(backend, isDead);
-    if (!backend || outcome === 'drop') return this.dropUnknown(packet);
-    if (outcome === 'reset') return this.resetAtDead(packet, flow, backend, nowMs);
-    const known = flow ?? this.takeOver(packet, backend, nowMs);
-    if (known) follower.follow(packet, known, backend, nowMs);
-    sender.forward(backend);
+    if (!backend || outcome === 'drop') return this.dropUnknownCookie(packet);
+    if (outcome === 'reset') return this.resetFlowAtDeadBackend(packet, flow, backend, nowMs);
+    const trackedFlow = flow ?? this.adoptFlow(packet, backend, nowMs);
+    if (trackedFlow) flowTracker.trackPacket(packet, trackedFlow, backend, nowMs);
+    sender.forwardTo(backend);
   }
 
   /** Remembers a flow that another balancer placed, or this one before its start; undefined when the cache is full. */
-  private takeOver(packet: CookiePacket, backend: KnownBackend, nowMs: number): Flow | undefined {
+  private adoptFlow(packet: CookiePacket, backend: KnownBackend, nowMs: number): Flow | undefined {
     const { statistics, events, cache, states } = this.options;
     statistics.takenOver += 1;
     events.emit(COOKIE_FLOW_EVENTS.takenOver, {
@@ -60,7 +60,7 @@
   }
 
   /** Resets a flow at a dead back end immediately instead of letting its caller wait for its timeout. */
-  private resetAtDead(
+  private resetFlowAtDeadBackend(
     packet: CookiePacket,
     flow: Flow | undefined,
     backend: KnownBackend,
@@ -76,10 +76,10 @@
       proof: reason?.proof,
       verdictAgeMs: reason && Math.round(nowMs - reason.sinceMs),
     });
-    if (!packet.rst) sender.reset();
+    if (!packet.rst) sender.sendReset();
   }
 
-  private dropUnknown(packet: CookiePacket): void {
+  private dropUnknownCookie(packet: CookiePacket): void {
     const { statistics, events, knowledge } = this.options;
     statistics.countDrop('unknown-cookie');
     events.emit(COOKIE_FLOW_EVENTS.unknownCookie, {
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -10,13 +10,13 @@
 import type { CookieStatistics } from './cookie-statistics.js';
 import type { Flow, FlowCache } from './flow-cache.js';
 import type { FlowFailures } from './flow-failures.js';
-import { longestHoldMs, type Arrival, type HeldOpenings } from './held-openings.js';
+import { maxHoldMs, type Arrival, type HeldOpenings } from './held-openings.js';
 import type { FlowsInProgress } from './flows-in-progress.js';
 import type { OpeningLog } from './opening-log.js';
 import type { PacketSender } from './packet-sender.js';
 import { decideRetransmission, mayLeaveFirstBackend } from './retransmission-rule.js';
 import { classifySyn } from './syn-rule.js';
-import { isLastCopy, sentAfterMs } from './syn-schedule.js';
+import { isLastTransmission, sinceFirstSynMs } from './syn-schedule.js';
 
 /** What handling SYNs needs. */
 interface OpeningHandlerOptions {
@@ -24,11 +24,11 @@
   /** True when a packet that is read at this time may have waited through a pause of the process. */
   readonly mayHaveWaited: (nowMs: number) => boolean;
   readonly cache: FlowCache;
-  readonly held: HeldOpenings;
-  readonly inProgress: FlowsInProgress;
+  readonly heldOpenings: HeldOpenings;
+  readonly flowsInProgress: FlowsInProgress;
   /** Undefined: nothing yields. */
-  readonly crowd?: CrowdAdmission;
-  readonly pending: PendingOpenings;
+  readonly crowdAdmission?: CrowdAdmission;
+  readonly pendingOpenings: PendingOpenings;
   readonly failures: FlowFailures;
   readonly sender: PacketSender;
   readonly statistics: CookieStatistics;
@@ -52,9 +52,9 @@
     if (flow) this.options.cache.remove(flow);
     const route = this.options.newFlows.routeOf(packet);
     if (route && this.mustYield(route, packet, arrival)) {
-      return this.options.held.hold(packet, { route, reason: 'yields' }, arrival);
+      return this.options.heldOpenings.hold(packet, { route, reason: 'yields' }, arrival);
     }
-    this.carryOut(this.options.newFlows.decide(packet, nowMs), packet, arrival);
+    this.applyOutcome(this.options.newFlows.decide(packet, nowMs), packet, arrival);
   }
 
   private mustYield(
@@ -62,9 +62,10 @@
     { retransmissionCount }: CookiePacket,
     { nowMs, waitedMs }: Arrival,
   ): boolean {
-    const isLastChance = isLastCopy(retransmissionCount) && waitedMs >= longestHoldMs(retransmissionCount);
-    const caller = { waitedMs: waitedMs + sentAfterMs(retransmissionCount), isLastChance };
-    return this.options.crowd?.mustYield(route, caller, nowMs) ?? false;
+    const isLastChance =
+      isLastTransmission(retransmissionCount) && waitedMs >= maxHoldMs(retransmissionCount);
+    const caller = { waitedMs: waitedMs + sinceFirstSynMs(retransmissionCount), isLastChance };
+    return this.options.crowdAdmission?.mustYield(route, caller, nowMs) ?? false;
   }
 
   private dropStale(packet: CookiePacket): void {
@@ -72,60 +73,61 @@
     this.options.log.droppedStale(packet);
   }
 
-  private carryOut(outcome: NewFlowOutcome, packet: CookiePacket, arrival: Arrival): void {
-    const { statistics, sender, log, held } = this.options;
+  private applyOutcome(outcome: NewFlowOutcome, packet: CookiePacket, arrival: Arrival): void {
+    const { statistics, sender, log, heldOpenings } = this.options;
     const { nowMs } = arrival;
     if (outcome.kind === 'hold') {
-      this.options.crowd?.recordReturn(nowMs);
-      return held.hold(packet, { route: outcome.route, reason: 'no-backend' }, arrival);
+      this.options.crowdAdmission?.recordReturn(nowMs);
+      return heldOpenings.hold(packet, { route: outcome.route, reason: 'no-backend' }, arrival);
     }
-    held.forget(packet);
+    heldOpenings.remove(packet);
     if (outcome.kind === 'drop') return statistics.countDrop(outcome.reason);
     if (outcome.kind === 'refuse') {
       statistics.countRefusal(outcome.reason);
       log.refused(packet, outcome.reason, outcome.route, nowMs);
-      return sender.reset();
+      return sender.sendReset();
     }
     const { route, placement } = outcome;
-    this.open(packet, placement, nowMs);
+    this.openFlow(packet, placement, nowMs);
     log.placed(packet, route, placement);
-    sender.forward(placement.state.backend);
+    sender.forwardTo(placement.state.backend);
   }
 
   /** Records a new flow. With a full cache the flow is not remembered, but still forwarded by its cookie. */
-  private open(packet: CookiePacket, placement: Placement, nowMs: number): void {
-    const { newFlows, cache, pending, statistics, crowd, inProgress } = this.options;
+  private openFlow(packet: CookiePacket, placement: Placement, nowMs: number): void {
+    const { newFlows, cache, pendingOpenings, statistics, crowdAdmission, flowsInProgress } = this.options;
     newFlows.recordPlacement(placement, nowMs);
     const flow = cache.add(packet, placement.state, 'opening', nowMs);
-    if (flow) pending.add(flow);
-    if (flow && crowd?.isReturning(nowMs)) inProgress.add(flow);
+    if (flow) pendingOpenings.add(flow);
+    if (flow && crowdAdmission?.isReturning(nowMs)) flowsInProgress.add(flow);
     statistics.opened += 1;
   }
 
   private onRetransmission(packet: CookiePacket, flow: Flow, nowMs: number): void {
-    const { newFlows, pending, failures, sender } = this.options;
+    const { newFlows, pendingOpenings, failures, sender } = this.options;
     flow.lastPacketMs = nowMs;
     if (flow.phase === 'opening') {
-      pending.settle(flow);
+      pendingOpenings.settle(flow);
       failures.report(flow, flow.openedAtMs, nowMs);
     }
     if (mayLeaveFirstBackend(flow.phase, flow.state.liveness(nowMs))) {
       const alternative = newFlows.chooseAgain(packet, nowMs);
       if (alternative) newFlows.recordPlacement(alternative, nowMs);
       const target = decideRetransmission(flow.state, alternative);
-      if (alternative && target === 'another-back-end') this.placeAnew(packet, flow, alternative, nowMs);
+      if (alternative && target === 'another-back-end')
+        this.moveToAlternative(packet, flow, alternative, nowMs);
     }
-    sender.forward(flow.state.backend);
+    sender.forwardTo(flow.state.backend);
   }
 
-  private placeAnew(packet: CookiePacket, flow: Flow, placement: Placement, nowMs: number): void {
-    const { log, statistics, pending, cache } = this.options;
+  private moveToAlternative(packet: CookiePacket, flow: Flow, placement: Placement, nowMs: number): void {
+    const { log, statistics, pendingOpenings, cache } = this.options;
     log.placedAnew(packet, flow, placement);
     statistics.placedAnew += 1;
-    pending.settle(flow);
-    cache.move(flow, placement.state);
+    pendingOpenings.settle(flow);
+    cache.moveToBackend(flow, placement.state);
     flow.openedAtMs = nowMs;
     flow.isFailureCounted = false;
-    pending.add(flow);
+    pendingOpenings.add(flow);
   }
 }
--- a/src/cookie-edge/forwarding/packet-sender.ts
+++ b/src/cookie-edge/forwarding/packet-sender.ts
@@ -22,7 +22,7 @@
    * Forwards to a back end with the cookie that names it; drops and counts the packet where both of its cookies are
    * taken.
    */
-  forward(backend: KnownBackend): void {
+  forwardTo(backend: KnownBackend): void {
     const { edge, cookies, statistics } = this.options;
     const cookie = cookies.cookieOf(backend);
     if (cookie === 0) return statistics.countDrop('no-cookie');
@@ -31,7 +31,7 @@
   }
 
   /** Answers the caller with a reset. */
-  reset(): void {
+  sendReset(): void {
     this.options.edge.sendReset();
   }
 }
--- a/src/cookie-edge/forwarding/returning-crowd.test.ts
+++ b/src/cookie-edge/forwarding/returning-crowd.test.ts
@@ -11,128 +11,131 @@
 import { backendAt, SERVICE_ADDRESS, SERVICE_PORT } from '../routing/routing-test-support.js';
 import { ForwarderHarness } from './cookie-test-support.js';
 
-const DAEMONS = 7;
-const BACKENDS = 10;
-const SLOTS = 2;
-const QUEUE = 8;
-const WORK_MS = 25;
-const CALLS_A_SECOND = 280;
-const AWAY_MS = 2_000;
-const PLAYED_MS = 3_000;
-const TARGET_MS = 121;
+const DAEMON_COUNT = 7;
+const BACKEND_COUNT = 10;
+const SLOTS_PER_BACKEND = 2;
+const QUEUE_LENGTH = 8;
+const MEAN_SERVICE_TIME_MS = 25;
+const CALLS_PER_SECOND = 280;
+const OUTAGE_MS = 2_000;
+const RUN_AFTER_RETURN_MS = 3_000;
+const TARGET_LATENCY_MS = 121;
 const DEADLINE_MS = 2_000;
-const COPIES_MS = [0, 200, 600];
-const ATTEMPT_MS = 1_400;
-const ATTEMPTS = 3;
+const SYN_SENT_AT_MS = [0, 200, 600];
+const ATTEMPT_TIMEOUT_MS = 1_400;
+const MAX_ATTEMPTS = 3;
 const ROUND_TRIP_MS = 4;
 const ANSWER_BYTES = 600;
 
 /** A caller; times are ms of the virtual clock, on which the daemons come back at `AWAY_MS`. */
 interface Caller {
   readonly startMs: number;
-  attempts: number;
-  tookMs?: number;
+  attemptCount: number;
+  answeredAfterMs?: number;
 }
 
-class ReturningCrowd {
+class ReturnSimulation {
   private readonly clock = new VirtualClock();
   private readonly random = seededRandom(3);
   private readonly daemons: ForwarderHarness[] = [];
-  private readonly freeAtMs = Array.from({ length: BACKENDS }, () => new Array<number>(SLOTS).fill(0));
+  private readonly slotFreeAtMs = Array.from({ length: BACKEND_COUNT }, () =>
+    new Array<number>(SLOTS_PER_BACKEND).fill(0),
+  );
   private readonly callers: Caller[] = [];
   private nextPort = 1;
-  turnedAway = 0;
+  rejectedCount = 0;
 
   constructor(private readonly switchedOff: readonly Mechanism[]) {}
 
-  play(): this {
-    const calls = ((AWAY_MS + PLAYED_MS) * CALLS_A_SECOND) / 1_000;
+  run(): this {
+    const calls = ((OUTAGE_MS + RUN_AFTER_RETURN_MS) * CALLS_PER_SECOND) / 1_000;
     for (let index = 0; index < calls; index += 1) {
-      const caller: Caller = { startMs: this.random() * (AWAY_MS + PLAYED_MS), attempts: 0 };
+      const caller: Caller = { startMs: this.random() * (OUTAGE_MS + RUN_AFTER_RETURN_MS), attemptCount: 0 };
       this.callers.push(caller);
-      this.clock.schedule(caller.startMs, () => this.attempt(caller));
+      this.clock.schedule(caller.startMs, () => this.startAttempt(caller));
     }
-    this.clock.advance(AWAY_MS);
+    this.clock.advance(OUTAGE_MS);
     this.startDaemons();
-    this.clock.advance(PLAYED_MS + DEADLINE_MS);
+    this.clock.advance(RUN_AFTER_RETURN_MS + DEADLINE_MS);
     this.daemons.forEach((daemon) => daemon.stop());
     return this;
   }
 
   /** Share of those who called in a time that were answered within `withinMs`. */
-  served(fromMs: number, toMs: number, withinMs: number): number {
+  servedShare(fromMs: number, toMs: number, withinMs: number): number {
     const asked = this.callers.filter(({ startMs }) => startMs >= fromMs && startMs < toMs);
-    return asked.filter(({ tookMs = Infinity }) => tookMs <= withinMs).length / asked.length;
+    return asked.filter(({ answeredAfterMs: tookMs = Infinity }) => tookMs <= withinMs).length / asked.length;
   }
 
   private startDaemons(): void {
-    const records = this.freeAtMs.map((_slots, index) => backendAt(`b-${index}`, index + 1));
+    const records = this.slotFreeAtMs.map((_slots, index) => backendAt(`b-${index}`, index + 1));
     const route: Route = {
       name: 'route-1',
       address: SERVICE_ADDRESS,
       port: SERVICE_PORT,
       targets: [{ service: 'alpha', weight: 1 }],
       priority: 2,
-      targetLatencyMs: TARGET_MS,
+      targetLatencyMs: TARGET_LATENCY_MS,
     };
-    for (let index = 0; index < DAEMONS; index += 1) {
-      const daemon = new ForwarderHarness(this.clock, index, this.switchedOff, { fleetSize: DAEMONS });
+    for (let index = 0; index < DAEMON_COUNT; index += 1) {
+      const daemon = new ForwarderHarness(this.clock, index, this.switchedOff, { fleetSize: DAEMON_COUNT });
       this.daemons.push(daemon.know(records, { routes: [route] }));
     }
   }
 
-  private attempt(caller: Caller): void {
+  private startAttempt(caller: Caller): void {
     const nowMs = this.clock.now();
-    if (caller.attempts >= ATTEMPTS || nowMs >= caller.startMs + DEADLINE_MS) return;
-    caller.attempts += 1;
+    if (caller.attemptCount >= MAX_ATTEMPTS || nowMs >= caller.startMs + DEADLINE_MS) return;
+    caller.attemptCount += 1;
     const attempt = { caller, port: this.nextPort, isOver: false };
     this.nextPort += 1;
-    COPIES_MS.forEach((atMs, copy) => this.clock.schedule(atMs, () => this.sendCopy(attempt, copy)));
-    this.clock.schedule(ATTEMPT_MS, () => this.end(attempt));
+    SYN_SENT_AT_MS.forEach((atMs, copy) => this.clock.schedule(atMs, () => this.sendSyn(attempt, copy)));
+    this.clock.schedule(ATTEMPT_TIMEOUT_MS, () => this.endAttempt(attempt));
   }
 
   /** The next attempt follows at once. */
-  private end(attempt: Attempt): void {
+  private endAttempt(attempt: Attempt): void {
     if (attempt.isOver) return;
     attempt.isOver = true;
-    this.attempt(attempt.caller);
+    this.startAttempt(attempt.caller);
   }
 
-  private sendCopy(attempt: Attempt, copy: number): void {
-    const daemon = this.daemons[attempt.port % DAEMONS];
+  private sendSyn(attempt: Attempt, copy: number): void {
+    const daemon = this.daemons[attempt.port % DAEMON_COUNT];
     if (attempt.isOver || !daemon) return;
     daemon.onSent(attempt.port, (backend, cookie) => {
       daemon.onSent(attempt.port, undefined);
-      if (backend === undefined) return this.end(attempt);
+      if (backend === undefined) return this.endAttempt(attempt);
       this.clock.schedule(ROUND_TRIP_MS, () =>
-        this.request(attempt, daemon, Number(backend.slice(2)), cookie),
+        this.sendRequest(attempt, daemon, Number(backend.slice(2)), cookie),
       );
     });
     daemon.open(attempt.port, copy);
   }
 
-  private request(attempt: Attempt, daemon: ForwarderHarness, backend: number, cookie: number): void {
+  private sendRequest(attempt: Attempt, daemon: ForwarderHarness, backend: number, cookie: number): void {
     attempt.isOver = true;
     const { caller, port } = attempt;
     daemon.goOn(port, cookie, { sequence: 2, payloadBytes: 100 });
-    const slots = this.freeAtMs[backend] as number[];
+    const slots = this.slotFreeAtMs[backend] as number[];
     const nowMs = this.clock.now();
     const slot = slots.indexOf(Math.min(...slots));
     const waitMs = Math.max(0, (slots[slot] as number) - nowMs);
-    if (waitMs > (QUEUE / SLOTS) * WORK_MS) return this.turnAway(attempt, daemon, cookie);
-    const tookMs = waitMs + WORK_MS * (0.5 + this.random());
+    if (waitMs > (QUEUE_LENGTH / SLOTS_PER_BACKEND) * MEAN_SERVICE_TIME_MS)
+      return this.rejectRequest(attempt, daemon, cookie);
+    const tookMs = waitMs + MEAN_SERVICE_TIME_MS * (0.5 + this.random());
     slots[slot] = nowMs + tookMs;
     this.clock.schedule(tookMs, () => {
       const sinceMs = this.clock.now() - caller.startMs;
-      if (sinceMs <= DEADLINE_MS) caller.tookMs = sinceMs;
+      if (sinceMs <= DEADLINE_MS) caller.answeredAfterMs = sinceMs;
       daemon.goOn(port, cookie, { sequence: 102, acknowledgement: 1 + ANSWER_BYTES, fin: true });
     });
   }
 
-  private turnAway({ caller, port }: Attempt, daemon: ForwarderHarness, cookie: number): void {
-    this.turnedAway += 1;
+  private rejectRequest({ caller, port }: Attempt, daemon: ForwarderHarness, cookie: number): void {
+    this.rejectedCount += 1;
     daemon.goOn(port, cookie, { sequence: 102, acknowledgement: 30, fin: true });
-    this.attempt(caller);
+    this.startAttempt(caller);
   }
 }
 
@@ -143,24 +146,24 @@
 }
 
 /** Who calls just after the daemons are back, and who has waited for up to a second. */
-function compare(
+function simulateOnAndOff(
   t: ExecutionContext,
 ): Record<'on' | 'off', { prompt: number; waited: number; turnedAway: number }> {
-  const figures = (switchedOff: readonly Mechanism[]) => {
-    const crowd = new ReturningCrowd(switchedOff).play();
+  const simulate = (switchedOff: readonly Mechanism[]) => {
+    const simulation = new ReturnSimulation(switchedOff).run();
     return {
-      prompt: crowd.served(AWAY_MS, AWAY_MS + 1_000, TARGET_MS),
-      waited: crowd.served(AWAY_MS - 1_000, AWAY_MS, DEADLINE_MS),
-      turnedAway: crowd.turnedAway,
+      prompt: simulation.servedShare(OUTAGE_MS, OUTAGE_MS + 1_000, TARGET_LATENCY_MS),
+      waited: simulation.servedShare(OUTAGE_MS - 1_000, OUTAGE_MS, DEADLINE_MS),
+      turnedAway: simulation.rejectedCount,
     };
   };
-  const both = { on: figures([]), off: figures(['yielding-openings']) };
+  const both = { on: simulate([]), off: simulate(['yielding-openings']) };
   t.log(JSON.stringify(both));
   return both;
 }
 
 test('those who can still be answered in time are, and those who have waited are served all the same', (t) => {
-  const { on, off } = compare(t);
+  const { on, off } = simulateOnAndOff(t);
   t.true(on.prompt >= 0.9, 'nine in ten of those who call just after the return are answered in time');
   t.true(on.waited >= off.waited, 'and no fewer of those who had waited get an answer');
   t.true(on.turnedAway <= off.turnedAway / 2, 'back ends turn fewer than half as many away');
--- a/src/cookie-edge/forwarding/switched-off.test.ts
+++ b/src/cookie-edge/forwarding/switched-off.test.ts
@@ -9,7 +9,7 @@
 }
 
 /** Two openings at a back end without an answer while others answer, which ejects it. */
-function failAt(harness: ForwarderHarness, id: string): void {
+function ejectByUnansweredOpenings(harness: ForwarderHarness, id: string): void {
   for (let port = 1; port <= 6; port += 1) harness.establish(port);
   harness.clock.advance(10);
   failOpenings(harness, id, 2, 100);
@@ -20,13 +20,13 @@
 
 test('with all mechanisms a back end that does not answer is ejected', (t) => {
   const harness = new ForwarderHarness().know(backends(2));
-  failAt(harness, 'a');
+  ejectByUnansweredOpenings(harness, 'a');
   t.is(harness.forwarder.ejections, 1);
 });
 
 test('without passive health nothing is ejected', (t) => {
   const harness = harnessWithout('passive-health').know(backends(2));
-  failAt(harness, 'a');
+  ejectByUnansweredOpenings(harness, 'a');
   t.is(harness.forwarder.ejections, 0);
 });
 
