--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -37,7 +37,7 @@
 import { FlowCache } from './flow-cache.js';
 import { FlowExpiry } from './flow-expiry.js';
 import { FlowFailures } from './flow-failures.js';
-import { FlowTracker } from './flow-follower.js';
+import { FlowTracker } from './flow-tracker.js';
 import { FlowsInProgress } from './flows-in-progress.js';
 import { HeldOpenings } from './held-openings.js';
 import { Housekeeping } from './housekeeping.js';
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -11,7 +11,7 @@
 import type { CookieStatistics } from './cookie-statistics.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 import type { Flow, FlowCache } from './flow-cache.js';
-import type { FlowTracker } from './flow-follower.js';
+import type { FlowTracker } from './flow-tracker.js';
 import { formatFlowId } from './flow-id.js';
 import { backendOfPacket, decideMidFlow } from './mid-flow-rule.js';
 import type { PacketSender } from './packet-sender.js';
