--- a/src/cookie-edge/forwarding/constants.ts
+++ b/src/cookie-edge/forwarding/constants.ts
@@ -1,41 +1,40 @@
-/** Durations of cookie forwarding. */
+/** Durations and limits of cookie forwarding. */
 
-/**
- * Period of the housekeeping, in ms: pending openings, pauses, ejections and expiry. At most the 150 ms after
- * which an opening is unanswered.
- */
+/** Housekeeping period in ms. At most 150 ms, the time after which an opening counts as unanswered. */
 export const HOUSEKEEPING_TICK_MS = 150;
 
-/** Openings that are held at once, so that memory is bounded: at most about 1.3 MB. */
+/** Maximum number of held openings. Bounds their memory to about 1.3 MB. */
 export const MAX_HELD_OPENINGS = 1_024;
 
-/** A held opening is given up this long before its caller sends the next copy, in ms: packets are on their way. */
+/**
+ * A held opening is discarded this long before its caller's next SYN, in ms, because that SYN may reach another daemon
+ * and packets take time to arrive.
+ */
 export const HOLD_SAFETY_MARGIN_MS = 50;
 
-/** Held openings are decided again this long after a change, in ms, so that one turn serves several changes. */
+/** Delay in ms between a change and the re-evaluation of held openings. Several changes share one re-evaluation. */
 export const HELD_REEVALUATION_DELAY_MS = 20;
 
 /**
- * A request on a flow opened this long ago, in ms, no longer counts as in progress: several times what answers take, so
- * that one which never comes does not keep others waiting.
+ * A flow opened this long ago, in ms, no longer counts as in progress. This is several times the usual response time;
+ * without the limit, a request that is never answered would delay other openings.
  */
 export const STALE_REQUEST_MS = 500;
 
 /**
- * Data repeated sooner than this, in ms, is a duplicate made by the network. Source: callers retransmit after 200 ms at
- * the earliest; 50 ms less as a margin.
+ * Data repeated sooner than this, in ms, is a duplicate created by the network, not a retransmission. Callers
+ * retransmit after 200 ms at the earliest; the margin is 50 ms.
  */
 export const MIN_RETRANSMISSION_INTERVAL_MS = 150;
 
 /**
- * A flow that is closed or still opening is remembered this long after its last packet, in ms, so that its last packets
- * and the retransmissions of its SYN are attributed. Outlasts a caller's attempt to open a flow, which ends after
- * 1,400 ms.
+ * Idle timeout in ms of a flow that is opening or closing. The flow is kept so that its last packets and SYN
+ * retransmissions can be matched to it. Longer than an attempt to open a flow, which ends after 1,400 ms.
  */
 export const TRANSIENT_FLOW_TIMEOUT_MS = 3_000;
 
 /**
- * Time in ms between two sweeps of the flow cache. A flow that expires up to 1 s late does no harm, and each sweep
- * visits every flow.
+ * Minimum time in ms between two sweeps of the flow cache. Each sweep visits every flow, and a flow may safely expire
+ * up to 1 s late.
  */
 export const EXPIRY_INTERVAL_MS = 1_000;
--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -1,7 +1,7 @@
 /**
- * Forwards callers' packets on a cookie edge. A packet's cookie decides first, then this balancer's memory of the flow;
- * only a SYN of a flow that is not remembered is placed. Owns the registration of back ends in and out of the parts
- * that hold state of them; the parts are wired by `create-cookie-forwarder.ts`.
+ * Forwards callers' packets on a cookie edge. The back end comes from the packet's cookie if it has one, otherwise from
+ * the flow cache. Only a SYN without a cached flow is placed. Adds and removes back ends in all components that keep
+ * state for them. `create-cookie-forwarder.ts` creates the components.
  */
 import type { Clock } from '../../common/clock.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
@@ -20,7 +20,7 @@
 import type { MidFlowHandler } from './mid-flow-handler.js';
 import type { OpeningHandler } from './opening-handler.js';
 
-/** The wired parts of a forwarder. */
+/** Components of a forwarder. */
 interface CookieForwarderOptions {
   readonly clock: Clock;
   readonly pauses: PauseDetector;
@@ -41,14 +41,14 @@
   readonly housekeeping: Housekeeping;
 }
 
-/** Handles what arrives at the edge, and reports of other balancers. Call `start` once. */
+/** Handles packets from the edge and reports from peers. Call `start` once. */
 export class CookieForwarder implements CookieEdgeHandler {
   readonly statistics: CookieStatistics;
   readonly outliers: OutlierDetector;
-  /** How long back ends took for requests of which this balancer saw both ends. */
+  /** Response times of back ends, for requests whose beginning and end this daemon saw. */
   readonly answers: AnswerTracker;
 
-  /** Back ends whose service no table has named so far. */
+  /** Back ends whose service is not in the route table yet. */
   private readonly unroutedBackends = new Set<KnownBackend>();
 
   constructor(private readonly options: CookieForwarderOptions) {
@@ -64,27 +64,27 @@
     });
   }
 
-  /** Back ends ejected since start. */
+  /** Number of ejections since start. */
   get ejections(): number {
     return this.options.states.ejections;
   }
 
-  /** Probes of back ends that may be dead since start. */
+  /** Number of probes sent since start to back ends that may be dead. */
   get probes(): number {
     return this.options.deadBackends.probes;
   }
 
-  /** Openings held now. */
+  /** Number of openings held now. */
   get heldOpenings(): number {
     return this.options.heldOpenings.size;
   }
 
-  /** Flows remembered now. */
+  /** Number of flows in the cache. */
   get flowCount(): number {
     return this.options.cache.size;
   }
 
-  /** Applies an ejection by another balancer at `atMs`; returns false for one that was known or is outdated. */
+  /** Applies a peer's ejection of a back end at `atMs`. Returns false if it was already known or is outdated. */
   applyEjectionReport(backendId: string, atMs: number): boolean {
     const { isOn, knowledge, states, deadBackends } = this.options;
     if (!isOn('shared-ejections')) return false;
@@ -96,7 +96,7 @@
     return isNew;
   }
 
-  /** Applies a bad answer that another balancer noticed; returns false for one that was known. */
+  /** Applies a bad answer that a peer detected. Returns false if it was already known. */
   applyBadAnswerReport(report: BadAnswerReport): boolean {
     const { isOn, clock } = this.options;
     if (!isOn('outlier-detection')) return false;
@@ -125,8 +125,8 @@
   }
 
   /**
-   * A back end whose service no table names yet may be the entry of another writer: it takes no address from another,
-   * whose flows would be reset.
+   * Registers a back end. One whose service is not in the route table yet may have been recorded by another writer. It
+   * does not claim its address: that would reset the flows of the back end already using the address.
    */
   private registerBackend(backend: KnownBackend): void {
     const { cookies, supersededBackends, knowledge } = this.options;
@@ -135,7 +135,7 @@
     else this.unroutedBackends.add(backend);
   }
 
-  /** Registers the back ends whose service is named by now. */
+  /** Completes the registration of back ends whose service has appeared in the route table. */
   private registerNewlyRouted(): void {
     const { supersededBackends, knowledge } = this.options;
     for (const backend of this.unroutedBackends) {
--- a/src/cookie-edge/forwarding/cookie-statistics.ts
+++ b/src/cookie-edge/forwarding/cookie-statistics.ts
@@ -1,21 +1,21 @@
-/** Counters of cookie forwarding since start. Owns the numbers; each handler counts what it does. */
+/** Counters of cookie forwarding since start. Each handler increments its own. */
 import { LatencyHistogram } from '../../observability/latency-histogram.js';
 
-/** Counters that never decrease, read by the metrics page and the stop event. */
+/** Monotonic counters, exported by the metrics page and the stop event. */
 export class CookieStatistics {
-  /** Packets from callers that could be decoded. */
+  /** Decoded packets from callers. */
   packets = 0;
   /** Packets sent to back ends. */
   forwarded = 0;
   /** New flows placed. */
   opened = 0;
-  /** Retransmitted SYNs that were sent to another back end than the first. */
+  /** Retransmitted SYNs that were sent to a different back end than the first SYN. */
   placedAnew = 0;
   /** Open flows that were reset because their back end was dead. */
   resets = 0;
-  /** Held openings that were given up, because their caller sends the next copy or has given up itself. */
+  /** Held openings that were discarded because their caller was about to send the next SYN or to give up. */
   heldTooLong = 0;
-  /** Flows first seen after their opening: placed by another balancer, or before this one started. */
+  /** Adopted flows: first seen after their opening, because a peer placed them or this daemon started later. */
   takenOver = 0;
   /** Milliseconds from the SYN to the caller's next packet. */
   readonly handshake = new LatencyHistogram();
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -1,4 +1,4 @@
-/** Wires a cookie forwarder. Owns the order in which the parts are created: each after those that it needs. */
+/** Creates a cookie forwarder and its components, in dependency order. */
 import type { Clock } from '../../common/clock.js';
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
@@ -46,59 +46,64 @@
 import { OpeningLog } from './opening-log.js';
 import { PacketSender } from './packet-sender.js';
 
-/** What a cookie forwarder needs. */
+/** Dependencies and settings of a cookie forwarder. */
 interface CookieForwarderEnvironment {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly events: EventLog;
   readonly knowledge: RoutingKnowledge;
   readonly edge: CookieEdgePort;
-  /** Ticked by the forwarder every `HOUSEKEEPING_TICK_MS`. */
+  /** The forwarder reports a tick every `HOUSEKEEPING_TICK_MS`. */
   readonly pauses: PauseDetector;
   readonly zone: string;
-  /** Flows for each unit of capacity that a back end of another zone must have less. */
+  /** A back end of another zone must have this many fewer flows per unit of capacity to be preferred. */
   readonly zoneMargin: number;
-  /** Factor of the load of back ends of other zones, 1 or more. */
+  /** Multiplier, 1 or more, for the load of back ends in other zones. */
   readonly zoneLoadFactor: number;
-  /** Region of a zone; undefined when it is not configured. */
+  /** Returns the region of a zone, or undefined if none is configured. */
   readonly regionOf: (zone: string) => string | undefined;
-  /** Number of daemons, this one included; undefined while unknown. Nothing yields unless it is given. */
+  /**
+   * Returns the number of daemons, including this one, or undefined while unknown. Without this function no opening
+   * yields.
+   */
   readonly fleetSize?: () => number | undefined;
-  /** False while peers are known to remember more of back ends than this daemon has been told; true unless given. */
+  /**
+   * Returns false while peers are known to hold data about back ends that this daemon has not received. Default: true.
+   */
   readonly hasLearntFromPeers?: () => boolean;
-  /** Whether the list of back ends is to be believed; always unless given. */
+  /** Whether the list of back ends is considered complete. Default: always complete. */
   readonly settlement?: Settlement;
   readonly cold: ColdAdmissionOptions;
-  /** Opens a connection to a back end to test whether it listens. */
+  /** Opens a connection to a back end to test whether it is listening. */
   readonly probe: ConnectProbe;
-  /** Longest life of a flow, in ms. */
+  /** Maximum lifetime of a flow, in ms. */
   readonly maxFlowAgeMs: number;
-  /** Flows that are remembered at once. */
+  /** Returns the maximum number of cached flows. */
   readonly maxFlows: () => number;
-  /** Load reports of other balancers; none unless given. */
+  /** Load reports of peers. Default: none. */
   readonly loads?: LoadLevels;
-  /** Mechanisms that are on; all unless given. */
+  /** Tells which mechanisms are enabled. Default: all. */
   readonly isOn?: MechanismCheck;
-  /** Names this balancer in its reports. */
+  /** Identifies this daemon in its reports. */
   readonly observer?: number;
   readonly outliers?: OutlierOptions;
-  /** Called with each bad answer that this balancer noticed, to gossip it. */
+  /** Gossips a bad answer that this daemon detected. */
   readonly onBadAnswer?: (report: BadAnswerReport) => void;
-  /** Called with each back end that is ejected, found dead or in doubt, to gossip it. */
+  /** Gossips that this daemon ejected a back end, found it dead or suspects it. */
   readonly onEject?: (backendId: string, nowMs: number) => void;
 }
 
-/** What forwarding needs of the state of the list. */
+/** The part of `BackendSettlement` that forwarding uses. */
 type Settlement = Pick<BackendSettlement, 'state' | 'isKnownEmpty' | 'subscribe'>;
 
-/** A list that is always believed. */
+/** Treats the list of back ends as always complete. */
 const ALWAYS_SETTLED: Settlement = {
   state: 'settled',
   isKnownEmpty: () => false,
   subscribe: () => undefined,
 };
 
-/** The parts that several others share. */
+/** Components that several others share. */
 interface SharedParts {
   readonly isOn: MechanismCheck;
   readonly statistics: CookieStatistics;
@@ -118,7 +123,7 @@
   readonly flowsInProgress: FlowsInProgress;
 }
 
-/** Creates a forwarder; it handles packets at once, and its timer begins with `start`. */
+/** Creates a forwarder. It can handle packets immediately; its timer starts with `start`. */
 export function createCookieForwarder(environment: CookieForwarderEnvironment): CookieForwarder {
   const { clock, events, knowledge, pauses } = environment;
   const shared = createSharedParts(environment);
@@ -183,12 +188,12 @@
   };
 }
 
-/** The list is always believed while `unsettled-openings` is switched off. */
+/** Returns the configured settlement, or `ALWAYS_SETTLED` while `unsettled-openings` is switched off. */
 function effectiveSettlement({ settlement }: CookieForwarderEnvironment, isOn: MechanismCheck): Settlement {
   return settlement && isOn('unsettled-openings') ? settlement : ALWAYS_SETTLED;
 }
 
-/** The function that gossips an ejection, a death or a doubt; does nothing while `shared-ejections` is switched off. */
+/** Returns `onEject`, or a function that does nothing while `shared-ejections` is switched off. */
 function effectiveEjectionGossip(
   { onEject }: CookieForwarderEnvironment,
   isOn: MechanismCheck,
@@ -257,7 +262,7 @@
   });
 }
 
-/** Undefined where nothing yields. */
+/** Returns undefined if openings never yield. */
 function createCrowdAdmission(
   { knowledge, fleetSize }: CookieForwarderEnvironment,
   { isOn, flowsInProgress }: SharedParts,
--- a/src/cookie-edge/forwarding/events.ts
+++ b/src/cookie-edge/forwarding/events.ts
@@ -12,20 +12,21 @@
   placedAnew: {
     number: 1252,
     level: 'warn',
-    message: 'Retransmitted SYN assigned to another back end: the first one does not answer',
-    action: 'Check the back end that did not answer',
+    message: 'Retransmitted SYN assigned to another back end: the first one does not respond',
+    action: 'Check the back end that did not respond',
   },
   takenOver: {
     number: 1253,
     level: 'info',
-    message: 'Flow assigned elsewhere, or before this start, forwarded by its connection cookie',
+    message:
+      'Flow placed by another daemon, or before this daemon started, forwarded by its connection cookie',
     action: 'none',
   },
   unknownCookie: {
     number: 1254,
     level: 'warn',
     message: 'Packet dropped: its connection cookie matches no known back end',
-    action: 'Check whether this balancer knows all back ends; see knowledgeAgeMs',
+    action: 'Check whether this daemon knows all back ends; see knowledgeAgeMs',
   },
   staleSyn: {
     number: 1255,
@@ -36,31 +37,31 @@
   backendEjected: {
     number: 1256,
     level: 'warn',
-    message: 'Back end ejected: it does not answer; no new flows',
+    message: 'Back end ejected because it does not respond; it gets no new flows',
     action: 'Check the back end and the network to it',
   },
   backendRevived: {
     number: 1257,
     level: 'info',
-    message: 'Ejected, suspected or dead back end answers again',
+    message: 'Ejected, suspected or dead back end responds again',
     action: 'none',
   },
   backendDead: {
     number: 1259,
     level: 'warn',
-    message: 'Back end is dead for this balancer; resetting its open flows, no new flows',
+    message: 'Back end considered dead by this daemon; its open flows are reset and it gets no new flows',
     action: 'silent, refused: check the back end and the network to it; superseded: none',
   },
   flowReset: {
     number: 1260,
     level: 'info',
-    message: 'Open flow reset: its back end is dead',
+    message: 'Open flow reset because its back end is dead',
     action: 'See the event 1259 of its back end',
   },
   openingsReleased: {
     number: 1261,
     level: 'info',
-    message: 'Openings that waited, for a back end to be listed or for their turn, were decided',
+    message: 'Held openings decided after waiting for a back end to be listed or for their turn',
     action: 'none',
   },
   paused: {
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -1,43 +1,46 @@
 /**
- * Remembers the flows that this balancer has met. Packets carry cookies, so that forwarding works without it. It
- * distinguishes retransmissions of a SYN from new flows, counts open flows, and keeps what later packets of a flow are
- * compared with. Owns the flows, and with them the number of open flows at each back end.
+ * Caches the flows that this daemon has seen. Packets carry cookies, so forwarding also works without the cache. The
+ * cache distinguishes SYN retransmissions from new flows, counts the open flows at each back end, and keeps the values
+ * that later packets of a flow are compared with.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { LocalBackendState } from '../backend-health/index.js';
 import type { OutstandingRequest } from '../outliers/index.js';
 import { addressKey } from '../routing/index.js';
 
-/** `opening`: only SYNs came. `open`: the caller continued. `closing`: the caller closed or reset the flow. */
+/**
+ * `opening`: only SYNs have arrived. `open`: the caller has continued. `closing`: the caller has closed or reset the
+ * flow.
+ */
 export type FlowPhase = 'opening' | 'open' | 'closing';
 
 /** One flow from a caller to a service address. */
 export interface Flow {
   readonly callerKey: number;
   readonly serviceKey: number;
-  /** Retransmission count of the first SYN that was seen; 0 for a flow that was taken over. */
+  /** Retransmission count of the first SYN that this daemon saw; 0 for an adopted flow. */
   readonly retransmissionCount: number;
   state: LocalBackendState;
   phase: FlowPhase;
-  /** Monotonic ms at which its SYN was sent to its present back end. */
+  /** Monotonic ms at which the SYN was sent to the current back end. */
   openedAtMs: number;
   /** Monotonic ms of the caller's last packet. */
   lastPacketMs: number;
   /** Highest data sequence number seen; -1 before the first data. */
   highestDataSequence: number;
-  /** Monotonic ms at which data with that sequence number came first. */
+  /** Monotonic ms at which data with `highestDataSequence` first arrived. */
   dataFirstSeenAtMs: number;
-  /** The caller's last acknowledgement number; 0 while it is opening. */
+  /** The caller's last acknowledgement number; 0 while the flow is opening. */
   acknowledgement: number;
-  /** True when the opening, or the newest data, has counted as a failure of the back end already. */
+  /** True once the opening, or the newest data, has been counted as a failure of the back end. */
   isFailureCounted: boolean;
-  /** True from the SYN until the caller continues or the opening counts as failed; set by `PendingOpenings`. */
+  /** True from the SYN until the caller continues or the opening counts as failed. Set by `PendingOpenings`. */
   awaitsAnswer: boolean;
-  /** The request that its caller has sent, until answer data is acknowledged. */
+  /** The outstanding request, from its first data until the caller acknowledges answer data. */
   request: OutstandingRequest | undefined;
 }
 
-/** Holds up to `maxFlows` flows by service address and caller. */
+/** Holds up to `maxFlows` flows, indexed by service address and caller. */
 export class FlowCache {
   private readonly services = new Map<number, Map<number, Flow>>();
   private flowCount = 0;
@@ -45,18 +48,18 @@
 
   constructor(private readonly maxFlows: () => number) {}
 
-  /** Flows remembered now, closed ones included. */
+  /** Number of cached flows, including closed ones. */
   get size(): number {
     return this.flowCount;
   }
 
-  /** The flow with a packet's addresses. */
+  /** Returns the flow with a packet's addresses. */
   find(packet: CookiePacket): Flow | undefined {
     const flows = this.services.get(addressKey(packet.destinationAddress, packet.destinationPort));
     return flows?.get(addressKey(packet.sourceAddress, packet.sourcePort));
   }
 
-  /** Adds the flow of `packet`; undefined when the cache is full. */
+  /** Adds the flow of `packet`. Returns undefined if the cache is full. */
   add(packet: CookiePacket, state: LocalBackendState, phase: FlowPhase, nowMs: number): Flow | undefined {
     if (this.flowCount >= this.maxFlows()) return undefined;
     const serviceKey = addressKey(packet.destinationAddress, packet.destinationPort);
@@ -82,7 +85,7 @@
     return flow;
   }
 
-  /** Moves a flow to another back end, whose open flows it counts among from now on. */
+  /** Moves a flow to another back end and updates the open-flow counts of both. */
   moveToBackend(flow: Flow, state: LocalBackendState): void {
     if (flow.state === state) return;
     if (flow.phase !== 'closing') {
@@ -92,28 +95,28 @@
     flow.state = state;
   }
 
-  /** Records that the caller closed the flow: it no longer counts as open, but is found until it expires. */
+  /** Marks a flow as closed by its caller. It no longer counts as open, but `find` returns it until it expires. */
   markClosed(flow: Flow, nowMs: number): void {
     if (flow.phase === 'closing') return;
     flow.phase = 'closing';
     flow.state.recordClosed(nowMs);
   }
 
-  /** The open flows at a back end. */
+  /** Returns the open flows at a back end. */
   flowsAt(state: LocalBackendState): Flow[] {
     if (state.openFlows === 0) return [];
     return [...this.allFlows()].filter((flow) => flow.state === state && flow.phase !== 'closing');
   }
 
   /**
-   * Forgets every flow at a back end that is forgotten itself. Nothing is reset: the flow's next packet goes where its
-   * cookie says, to the process that has the id now, which resets the flow unless it holds it.
+   * Removes all flows of a back end that is being removed, without resetting them. Their next packets follow their
+   * cookies to the process that has the id now, which resets a flow that it does not know.
    */
   removeFlowsAt(state: LocalBackendState): void {
     for (const flow of this.allFlows()) if (flow.state === state) this.remove(flow);
   }
 
-  /** Forgets a flow. */
+  /** Removes a flow. */
   remove(flow: Flow): void {
     if (flow.phase !== 'closing') flow.state.openFlows -= 1;
     flow.phase = 'closing';
@@ -123,7 +126,10 @@
     if (flows.size === 0) this.services.delete(flow.serviceKey);
   }
 
-  /** Tests up to `limit` flows, continuing where the last call ended, and removes those that `isExpired`. */
+  /**
+   * Tests up to `limit` flows, starting where the last call stopped, and removes those for which `isExpired` returns
+   * true.
+   */
   removeExpired(limit: number, isExpired: (flow: Flow) => boolean): void {
     this.sweepPosition ??= this.allFlows();
     for (let tested = 0; tested < limit; tested += 1) {
--- a/src/cookie-edge/forwarding/flow-expiry.ts
+++ b/src/cookie-edge/forwarding/flow-expiry.ts
@@ -1,21 +1,21 @@
 /**
- * Sweeps the flow cache by the rule in `flow-expiry-rule.ts`, and forgets departed back ends whose flows must have
- * ended. Owns the time of the next sweep; relies on the housekeeping to call it once a tick.
+ * Sweeps the flow cache by the rule in `flow-expiry-rule.ts`, and prunes departed back ends whose flows must have
+ * ended. Housekeeping calls it once per tick.
  */
 import type { RoutingKnowledge } from '../routing/index.js';
 import { EXPIRY_INTERVAL_MS } from './constants.js';
 import type { FlowCache } from './flow-cache.js';
 import { idleTimeoutMs, isExpired } from './flow-expiry-rule.js';
 
-/** What expiry needs. */
+/** Dependencies and settings of flow expiry. */
 interface FlowExpiryOptions {
   readonly knowledge: RoutingKnowledge;
   readonly cache: FlowCache;
-  /** Longest life of a flow, in ms. */
+  /** Maximum lifetime of a flow, in ms. */
   readonly maxFlowAgeMs: number;
 }
 
-/** Sweeps at most once in `EXPIRY_INTERVAL_MS`. Times are monotonic ms. */
+/** Sweeps at most once per `EXPIRY_INTERVAL_MS`. Times are monotonic ms. */
 export class FlowExpiry {
   private nextSweepMs = 0;
 
--- a/src/cookie-edge/forwarding/flow-failures.ts
+++ b/src/cookie-edge/forwarding/flow-failures.ts
@@ -1,25 +1,25 @@
 /**
- * Reports failures of flows: unanswered openings and retransmitted data. Relies on `LocalBackendStates` for the
- * ejection and on `DeadBackends` for the probes that a failure starts.
+ * Reports failures of flows: unanswered openings and retransmitted data. `LocalBackendStates` decides on the ejection;
+ * `DeadBackends` sends the probes that a failure triggers.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { LocalBackendStates, DeadBackends } from '../backend-health/index.js';
 import type { Flow } from './flow-cache.js';
 
-/** What reporting needs. */
+/** Dependencies of failure reporting. */
 interface FlowFailuresOptions {
   readonly states: LocalBackendStates;
   readonly deadBackends: DeadBackends;
   readonly isOn: MechanismCheck;
 }
 
-/** Counts failures against back ends. */
+/** Counts failures of flows against their back ends. */
 export class FlowFailures {
   constructor(private readonly options: FlowFailuresOptions) {}
 
   /**
-   * Counts a failure that began at `sinceMs` against the flow's back end, once for each opening and each piece of data:
-   * a caller that repeats often must not eject a back end alone.
+   * Counts a failure that began at `sinceMs` against the flow's back end. Each opening and each piece of data counts
+   * once, so that a single caller that retransmits often cannot eject a back end.
    */
   report(flow: Flow, sinceMs: number, nowMs: number): void {
     const { states, deadBackends, isOn } = this.options;
--- a/src/cookie-edge/forwarding/flow-tracker.ts
+++ b/src/cookie-edge/forwarding/flow-tracker.ts
@@ -1,7 +1,7 @@
 /**
- * Infers from callers' packets whether back ends answer, since answers bypass a balancer. A new acknowledgement proves
- * that the back end lives, and ends a request. Retransmitted data counts as a failure of the back end. Relies on TCP
- * sequence numbers; owns no state.
+ * Infers from callers' packets whether back ends respond, because responses bypass the daemon. A new acknowledgement
+ * proves that the back end is alive, and completes a request. Retransmitted data counts as a failure of the back end.
+ * Relies on TCP sequence numbers; keeps no state of its own.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
@@ -13,7 +13,7 @@
 import type { Flow, FlowCache } from './flow-cache.js';
 import type { FlowFailures } from './flow-failures.js';
 
-/** What following flows needs. */
+/** Dependencies of flow tracking. */
 interface FlowTrackerOptions {
   readonly cache: FlowCache;
   readonly states: LocalBackendStates;
@@ -29,8 +29,8 @@
   constructor(private readonly options: FlowTrackerOptions) {}
 
   /**
-   * Follows a packet that is no SYN and goes to `backend`, which may differ from the remembered one: the cookie
-   * decides.
+   * Updates a flow with a packet other than a SYN that goes to `backend`. The cookie decides on the back end, so it may
+   * differ from the cached one.
    */
   trackPacket(packet: CookiePacket, flow: Flow, backend: KnownBackend, nowMs: number): void {
     const { cache, pendingOpenings, states } = this.options;
@@ -76,7 +76,8 @@
   }
 
   /**
-   * New data while no request is outstanding begins one; further packets of the same request follow before its answer.
+   * Starts a request when new data arrives and none is outstanding. Further data before the answer belongs to the same
+   * request.
    */
   private beginRequest(flow: Flow, nowMs: number): void {
     const { isOn, answerTracker } = this.options;
@@ -104,7 +105,7 @@
   }
 }
 
-/** True when sequence number `left` comes after `right` in arithmetic modulo 2^32. */
+/** Returns true if sequence number `left` comes after `right` in arithmetic modulo 2^32. */
 function isAfter(left: number, right: number): boolean {
   return ((left - right) | 0) > 0;
 }
--- a/src/cookie-edge/forwarding/flows-in-progress.ts
+++ b/src/cookie-edge/forwarding/flows-in-progress.ts
@@ -1,21 +1,21 @@
 /**
- * Flows that this daemon opened during a return and whose first request is not answered yet, by service. Flows that
- * were opened before are left out: the callers of many of them have given up meanwhile, so that what they asked is
- * never seen to be answered. Owns only the set; relies on `FlowFollower` to keep the flows' state.
+ * Tracks the flows that this daemon opened during a return (the period after an outage) and whose first request is not
+ * answered yet. Flows opened earlier are excluded: many of their callers have given up meanwhile, so the daemon would
+ * never see their requests answered. `FlowTracker` updates the flows.
  */
 import { STALE_REQUEST_MS } from './constants.js';
 import type { Flow } from './flow-cache.js';
 
-/** The flows in progress of one daemon. */
+/** Flows in progress of one daemon. */
 export class FlowsInProgress {
   private readonly flows = new Set<Flow>();
 
-  /** Records a flow that was just opened. */
+  /** Adds a flow that was just opened. */
   add(flow: Flow): void {
     this.flows.add(flow);
   }
 
-  /** Flows at a service that are in progress at `nowMs`, monotonic ms. */
+  /** Counts the flows of a service that are in progress at `nowMs`, in monotonic ms. */
   countForService(service: string, nowMs: number): number {
     let count = 0;
     for (const flow of this.flows) {
@@ -26,7 +26,10 @@
   }
 }
 
-/** A flow whose request takes unusually long is left out: it would keep others waiting for nothing. */
+/**
+ * Excludes flows older than `STALE_REQUEST_MS`, because one unusually slow request would delay other openings without
+ * need.
+ */
 function isInProgress(
   { phase, openedAtMs, highestDataSequence: dataSequence, request }: Flow,
   nowMs: number,
--- a/src/cookie-edge/forwarding/held-openings.ts
+++ b/src/cookie-edge/forwarding/held-openings.ts
@@ -1,12 +1,12 @@
 /**
- * Holds openings that no back end can serve yet, or that yield to others, and has them decided again. Owns what is held
- * and the order among it; `placement/no-backend-rule.ts` and `admission/yield-rule.ts` decide which opening is held.
- * Relies on the edge to keep the packets and to deliver them again.
+ * Holds openings that no back end can serve yet, or that yield to others, and re-evaluates them later.
+ * `placement/no-backend-rule.ts` and `admission/yield-rule.ts` decide which openings are held. The edge keeps the
+ * packets and delivers them again.
  *
- * Load it answers: all daemons were lost, perhaps in an outage in which records lapsed; hundreds of callers wait for
- * back ends that are listed one after the other, or for their turn. The most urgent come first, and among equals those
- * that have waited longest. None is kept beyond the time at which its caller sends the next copy, which replaces it, or
- * gives up.
+ * Load case: all daemons were lost, perhaps in an outage in which records lapsed. Hundreds of callers then wait until
+ * back ends are listed one by one, or for their turn. Openings are re-evaluated by priority, then by how long the
+ * caller has waited. An opening is not held beyond the time at which its caller sends the next SYN, which replaces it,
+ * or gives up.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { CookieEdgePort, CookiePacket } from '../../fabric/cookie-edge.js';
@@ -18,7 +18,7 @@
 import { formatFlowId } from './flow-id.js';
 import { isLastTransmission, sinceFirstSynMs, untilNextTransmissionMs } from './syn-schedule.js';
 
-/** Collaborators. */
+/** Dependencies of `HeldOpenings`. */
 interface HeldOpeningsOptions {
   readonly clock: Clock;
   readonly events: EventLog;
@@ -27,11 +27,11 @@
   readonly settlement: Pick<BackendSettlement, 'subscribe'>;
 }
 
-/** When a packet is handled. */
+/** Times of a packet's arrival. */
 export interface Arrival {
-  /** Monotonic ms. */
+  /** Current time in monotonic ms. */
   readonly nowMs: number;
-  /** How long the packet has waited since it arrived, in ms. */
+  /** Time since the packet arrived, in ms. */
   readonly waitedMs: number;
 }
 
@@ -41,36 +41,36 @@
   readonly reason: 'no-backend' | 'yields';
 }
 
-/** An opening that waits. Times are monotonic ms. */
+/** A held opening. Times are monotonic ms. */
 interface HeldOpening extends HoldCause {
   readonly arrivedAtMs: number;
-  /** When its caller sent its first SYN. */
+  /** Time at which the caller sent its first SYN. */
   readonly firstSentAtMs: number;
-  /** It is given up then. */
+  /** Time at which the opening is discarded. */
   readonly expiresAtMs: number;
-  /** Its caller sends no further copy. */
+  /** True if the caller sends no further SYN in this attempt. */
   readonly isLastTransmission: boolean;
   /** Delivers the packet to the edge's handler again. */
   readonly redeliver: (waitedMs: number) => void;
 }
 
-/** How long a copy is held at most, in ms. */
+/** Returns how long a SYN with this retransmission count may be held, in ms. */
 export function maxHoldMs(retransmissionCount: number): number {
   return untilNextTransmissionMs(retransmissionCount) - HOLD_SAFETY_MARGIN_MS;
 }
 
-/** The order in which openings are decided again: by urgency, then by the time that the caller has waited. */
+/** Orders openings for re-evaluation: by route priority, then by how long the caller has waited. */
 function compareByUrgency(left: HeldOpening, right: HeldOpening): number {
   const leftPriority = left.route.priority ?? Number.MAX_SAFE_INTEGER;
   const rightPriority = right.route.priority ?? Number.MAX_SAFE_INTEGER;
   return leftPriority - rightPriority || left.firstSentAtMs - right.firstSentAtMs;
 }
 
-/** Openings of one daemon that wait. */
+/** Held openings of one daemon. */
 export class HeldOpenings {
   private readonly openingsByFlowId = new Map<string, HeldOpening>();
   private timer: TimerHandle | undefined;
-  /** Something changed since the openings without a back end were last decided. */
+  /** True if the list of back ends has changed since openings without a back end were last re-evaluated. */
   private hasBackendListChanged = false;
 
   constructor(private readonly options: HeldOpeningsOptions) {
@@ -80,12 +80,12 @@
     });
   }
 
-  /** Openings that wait now. */
+  /** Number of openings held now. */
   get size(): number {
     return this.openingsByFlowId.size;
   }
 
-  /** Holds the packet that is being handled; it replaces an earlier copy of its flow. */
+  /** Holds the packet being handled. It replaces an earlier SYN of the same flow. */
   hold(packet: CookiePacket, cause: HoldCause, { nowMs, waitedMs }: Arrival): void {
     const { statistics, edge } = this.options;
     const flowId = formatFlowId(packet);
@@ -105,12 +105,12 @@
     this.scheduleReevaluation();
   }
 
-  /** Forgets a flow that was decided otherwise. */
+  /** Stops holding the opening of a flow that has been decided. */
   remove(packet: CookiePacket): void {
     if (this.openingsByFlowId.size > 0) this.openingsByFlowId.delete(formatFlowId(packet));
   }
 
-  /** Gives up everything that waits. */
+  /** Discards all held openings. */
   stop(): void {
     this.timer?.cancel();
     this.openingsByFlowId.clear();
@@ -133,7 +133,10 @@
     this.scheduleReevaluation();
   }
 
-  /** Drops what its caller sends again at any moment. One that only yields has its last chance then. */
+  /**
+   * Removes openings whose callers are about to retransmit or give up. One that only yields to others is delivered a
+   * last time if its caller sends no further SYN.
+   */
   private removeExpired(nowMs: number): void {
     for (const [flowId, opening] of [...this.openingsByFlowId]) {
       if (nowMs < opening.expiresAtMs) continue;
@@ -145,8 +148,8 @@
   }
 
   /**
-   * Has decided again what may have another outcome by now; what has not is held on. Deciding takes time on a slow
-   * machine, so that each is looked at by the clock: one whose time ran out is left to `removeExpired`.
+   * Redelivers the openings whose outcome may have changed; the handler holds them again if it has not. Decisions take
+   * time on a slow machine, so the clock is read for each opening; `removeExpired` handles those that expire meanwhile.
    */
   private redeliverHeld(): void {
     const { hasBackendListChanged } = this;
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -1,6 +1,6 @@
 /**
- * The periodic work of forwarding: pauses of the process, unanswered openings, ejections, shared addresses, outliers
- * and expiry. Owns the timer; what is checked belongs to the collaborators.
+ * Periodic work of forwarding: checks for process pauses, unanswered openings, ejections, shared addresses, outliers
+ * and expired flows. Owns only the timer.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
@@ -12,7 +12,7 @@
 import type { FlowExpiry } from './flow-expiry.js';
 import type { FlowFailures } from './flow-failures.js';
 
-/** What the housekeeping checks. */
+/** Components that housekeeping checks. */
 interface HousekeepingOptions {
   readonly clock: Clock;
   readonly events: EventLog;
@@ -55,7 +55,10 @@
     expiry.sweepIfDue(nowMs);
   }
 
-  /** Discards pending openings and requests after a pause: with packets unread, answered ones look unanswered. */
+  /**
+   * Detects a pause of the process, and then discards pending openings and requests: their answers may be in packets
+   * not read yet, so answered ones look unanswered.
+   */
   private checkPause(nowMs: number): void {
     const { pauses, events, pendingOpenings, answerTracker } = this.options;
     const pausedMs = pauses.recordTick(nowMs);
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -1,7 +1,6 @@
 /**
- * Handles packets that are no SYN: carries out what `mid-flow-rule.ts` decides, counts it and logs it. Owns no state;
- * relies on the cookie registry and the flow cache to name a packet's back end, and on `FlowTracker` to learn from the
- * packet.
+ * Handles packets other than SYNs: carries out, counts and logs the outcome of `mid-flow-rule.ts`. Keeps no state of
+ * its own. Finds the packet's back end in the cookie registry or the flow cache; `FlowTracker` evaluates the packet.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { EventLog } from '../../observability/event.js';
@@ -16,7 +15,7 @@
 import { backendOfPacket, decideMidFlow } from './mid-flow-rule.js';
 import type { PacketSender } from './packet-sender.js';
 
-/** What handling packets of open flows needs. */
+/** Dependencies of `MidFlowHandler`. */
 interface MidFlowHandlerOptions {
   readonly events: EventLog;
   readonly knowledge: RoutingKnowledge;
@@ -32,7 +31,7 @@
 export class MidFlowHandler {
   constructor(private readonly options: MidFlowHandlerOptions) {}
 
-  /** Handles a packet that is no SYN; `flow` is what is remembered of its addresses. */
+  /** Handles a packet other than a SYN. `flow` is the cached flow with its addresses, if any. */
   onMidFlowPacket(packet: CookiePacket, flow: Flow | undefined, nowMs: number): void {
     const { cookies, states, flowTracker, sender } = this.options;
     const backendFromCookie = packet.cookie === 0 ? undefined : cookies.backendOf(packet.cookie);
@@ -46,7 +45,10 @@
     sender.forwardTo(backend);
   }
 
-  /** Remembers a flow that another balancer placed, or this one before its start; undefined when the cache is full. */
+  /**
+   * Caches a flow that a peer placed, or that this daemon placed before a restart. Returns undefined if the cache is
+   * full.
+   */
   private adoptFlow(packet: CookiePacket, backend: KnownBackend, nowMs: number): Flow | undefined {
     const { statistics, events, cache, states } = this.options;
     statistics.takenOver += 1;
@@ -59,7 +61,7 @@
     return cache.add(packet, states.of(backend), 'open', nowMs);
   }
 
-  /** Resets a flow at a dead back end immediately instead of letting its caller wait for its timeout. */
+  /** Resets a flow at a dead back end immediately, so that its caller need not wait for a timeout. */
   private resetFlowAtDeadBackend(
     packet: CookiePacket,
     flow: Flow | undefined,
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -1,6 +1,7 @@
 /**
- * Handles SYNs: carries out what `syn-rule.ts`, `retransmission-rule.ts` and `placement/new-flow-rule.ts` decide,
- * counts it and has it logged. Owns no state; relies on the flow cache to distinguish retransmissions from new flows.
+ * Handles SYNs: carries out, counts and logs the outcomes of `syn-rule.ts`, `retransmission-rule.ts` and
+ * `placement/new-flow-rule.ts`. Keeps no state of its own. Uses the flow cache to distinguish retransmissions from new
+ * flows.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { CrowdAdmission } from '../admission/index.js';
@@ -18,15 +19,15 @@
 import { classifySyn } from './syn-rule.js';
 import { isLastTransmission, sinceFirstSynMs } from './syn-schedule.js';
 
-/** What handling SYNs needs. */
+/** Dependencies of `OpeningHandler`. */
 interface OpeningHandlerOptions {
   readonly newFlows: NewFlowRule;
-  /** True when a packet that is read at this time may have waited through a pause of the process. */
+  /** Returns true if a packet that is read at this time may have waited through a pause of the process. */
   readonly mayHaveWaited: (nowMs: number) => boolean;
   readonly cache: FlowCache;
   readonly heldOpenings: HeldOpenings;
   readonly flowsInProgress: FlowsInProgress;
-  /** Undefined: nothing yields. */
+  /** Decides which openings yield. Undefined if none do. */
   readonly crowdAdmission?: CrowdAdmission;
   readonly pendingOpenings: PendingOpenings;
   readonly failures: FlowFailures;
@@ -35,14 +36,14 @@
   readonly log: OpeningLog;
 }
 
-/** Label of a stale SYN in the metric of dropped packets. */
+/** Label of stale SYNs in the metric of dropped packets. */
 const STALE_SYN_LABEL = 'old-opening';
 
-/** Carries out what the rules decide about SYNs. Times are monotonic ms. */
+/** Applies the rules about SYNs. Times are monotonic ms. */
 export class OpeningHandler {
   constructor(private readonly options: OpeningHandlerOptions) {}
 
-  /** Handles a SYN; `flow` is what is remembered of its addresses. */
+  /** Handles a SYN. `flow` is the cached flow with its addresses, if any. */
   onSyn(packet: CookiePacket, flow: Flow | undefined, arrival: Arrival): void {
     const { nowMs } = arrival;
     const mayHaveWaited = this.options.mayHaveWaited(nowMs);
@@ -93,7 +94,9 @@
     sender.forwardTo(placement.state.backend);
   }
 
-  /** Records a new flow. With a full cache the flow is not remembered, but still forwarded by its cookie. */
+  /**
+   * Records a new flow. If the cache is full, the flow is not cached; its packets are still forwarded by their cookie.
+   */
   private openFlow(packet: CookiePacket, placement: Placement, nowMs: number): void {
     const { newFlows, cache, pendingOpenings, statistics, crowdAdmission, flowsInProgress } = this.options;
     newFlows.recordPlacement(placement, nowMs);
--- a/src/cookie-edge/forwarding/opening-log.ts
+++ b/src/cookie-edge/forwarding/opening-log.ts
@@ -1,4 +1,4 @@
-/** Logs what became of each SYN and what this balancer knew at that time. Owns no state. */
+/** Logs the outcome of each SYN and the data on which the decision was based. */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { EventLog } from '../../observability/event.js';
 import type { BackendEligibility, Placement } from '../placement/index.js';
@@ -7,18 +7,18 @@
 import type { Flow } from './flow-cache.js';
 import { formatFlowId } from './flow-id.js';
 
-/** What the log needs. */
+/** Dependencies of `OpeningLog`. */
 interface OpeningLogOptions {
   readonly events: EventLog;
   readonly knowledge: RoutingKnowledge;
   readonly eligibility: BackendEligibility;
 }
 
-/** Writes the events 1250, 1251, 1252 and 1255. */
+/** Emits the events 1250, 1251, 1252 and 1255. */
 export class OpeningLog {
   constructor(private readonly options: OpeningLogOptions) {}
 
-  /** A new flow was placed. */
+  /** Logs that a new flow was placed. */
   placed(packet: CookiePacket, route: Route, placement: Placement): void {
     const { events, knowledge } = this.options;
     events.emit(COOKIE_FLOW_EVENTS.opened, {
@@ -36,7 +36,7 @@
     });
   }
 
-  /** A retransmitted SYN is about to leave the back end of its flow. */
+  /** Logs that a retransmitted SYN goes to another back end. Call it before the flow is moved. */
   placedAnew(packet: CookiePacket, flow: Flow, placement: Placement): void {
     this.options.events.emit(COOKIE_FLOW_EVENTS.placedAnew, {
       flow: formatFlowId(packet),
@@ -46,7 +46,7 @@
     });
   }
 
-  /** A new flow was refused; `route` is undefined when there is none. */
+  /** Logs that a new flow was refused. `route` is undefined if no route matches. */
   refused(
     packet: CookiePacket,
     reason: 'no-route' | 'no-backend',
@@ -64,7 +64,7 @@
     });
   }
 
-  /** A SYN was dropped because it may have waited through a pause. */
+  /** Logs that a SYN was dropped because it may have waited through a pause. */
   droppedStale(packet: CookiePacket): void {
     this.options.events.emit(COOKIE_FLOW_EVENTS.staleSyn, { flow: formatFlowId(packet) });
   }
--- a/src/cookie-edge/forwarding/packet-sender.ts
+++ b/src/cookie-edge/forwarding/packet-sender.ts
@@ -1,26 +1,23 @@
-/**
- * Forwards the current packet to a back end, or answers it with a reset. Owns no state; relies on the edge to hold the
- * current packet.
- */
+/** Forwards the current packet to a back end, or answers it with a reset. The edge holds the current packet. */
 import type { CookieEdgePort } from '../../fabric/cookie-edge.js';
 import type { KnownBackend } from '../routing/index.js';
 import type { CookieRegistry } from './cookie-registry.js';
 import type { CookieStatistics } from './cookie-statistics.js';
 
-/** What a sender needs. */
+/** Dependencies of `PacketSender`. */
 interface PacketSenderOptions {
   readonly edge: CookieEdgePort;
   readonly cookies: CookieRegistry;
   readonly statistics: CookieStatistics;
 }
 
-/** Translates back ends to endpoints and cookies, and counts what is forwarded. */
+/** Looks up a back end's endpoint and cookie, and counts forwarded packets. */
 export class PacketSender {
   constructor(private readonly options: PacketSenderOptions) {}
 
   /**
-   * Forwards to a back end with the cookie that names it; drops and counts the packet where both of its cookies are
-   * taken.
+   * Forwards the packet with the back end's cookie. If other back ends own both of its cookies, drops and counts the
+   * packet.
    */
   forwardTo(backend: KnownBackend): void {
     const { edge, cookies, statistics } = this.options;
--- a/src/cookie-edge/forwarding/reset-target.ts
+++ b/src/cookie-edge/forwarding/reset-target.ts
@@ -1,11 +1,11 @@
-/** Builds the fields of a reset from a remembered flow, whose packet is no longer at hand. Does no input or output. */
+/** Builds the fields of a reset from a cached flow, without a packet of that flow. Does no input or output. */
 import type { ResetTarget } from '../../fabric/cookie-edge.js';
 import { splitAddressKey } from '../routing/index.js';
 import type { Flow } from './flow-cache.js';
 
 /**
- * The caller of a flow as a reset names it. A flow that is still opening has acknowledged nothing, so its reset carries
- * the retransmission count of its SYN instead.
+ * Returns the target of a reset for a flow. A caller that is still opening has acknowledged nothing, so the reset
+ * carries the retransmission count of its SYN instead.
  */
 export function resetTargetOf(flow: Flow): ResetTarget {
   const [sourceAddress, sourcePort] = splitAddressKey(flow.callerKey);
--- a/src/cookie-edge/forwarding/retransmission-rule.ts
+++ b/src/cookie-edge/forwarding/retransmission-rule.ts
@@ -1,27 +1,29 @@
 /**
- * Rule: where a retransmitted SYN goes whose flow is remembered.
+ * Rule: where a retransmitted SYN of a cached flow goes.
  *
- * Prevents both a flow that is opened at two back ends and a caller that spends all its attempts on one that does not
- * answer. Does no input or output.
+ * Prevents a flow from being opened at two back ends, and a caller from spending all its attempts on a back end that
+ * does not respond. Does no input or output.
  *
- * Inputs: the phase of the flow, the liveness of its back end, the back end that a new flow would get now. Order: a
- * flow that its caller continued stays; so does one whose back end is not ejected or dead, even if it is suspect,
- * cordoned or draining, since its answer may be on its way. Only then another back end is chosen. Where none is found,
- * or the same one, the flow stays.
+ * Inputs: the phase of the flow, the liveness of its back end, and the back end that a new flow would get now. Order: a
+ * flow that its caller has continued stays. So does a flow whose back end is neither ejected nor dead, even if it is
+ * suspect, cordoned or draining, because its response may be on the way. Otherwise another back end is chosen; the flow
+ * stays if there is none.
  */
 import type { LocalBackendState, Liveness } from '../backend-health/index.js';
 import type { Placement } from '../placement/index.js';
 import type { FlowPhase } from './flow-cache.js';
 
-/** Where the SYN goes. */
+/** Back end that receives the retransmitted SYN. */
 type RetransmissionOutcome = 'first-back-end' | 'another-back-end';
 
-/** True when another back end is worth choosing; a dead verdict counts as an ejection here. */
+/** Returns true if another back end should be considered. A dead verdict counts as an ejection here. */
 export function mayLeaveFirstBackend(phase: FlowPhase, liveness: Liveness): boolean {
   return phase === 'opening' && liveness === 'ejected';
 }
 
-/** The outcome for a flow that may leave its back end; `alternative` is what a new flow would get. */
+/**
+ * Returns the outcome for a flow that may leave its back end. `alternative` is the placement that a new flow would get.
+ */
 export function decideRetransmission(
   first: LocalBackendState,
   alternative: Placement | undefined,
--- a/src/cookie-edge/forwarding/syn-rule.ts
+++ b/src/cookie-edge/forwarding/syn-rule.ts
@@ -1,22 +1,20 @@
 /**
- * Rule: what a SYN is to this balancer.
+ * Rule: whether a SYN is stale, a retransmission or the start of a new flow.
  *
- * Prevents one flow from being opened at two back ends: a SYN that waited in the socket while the process was paused
- * may have been retransmitted meanwhile, and another balancer may have placed the retransmission. Does no input or
- * output.
+ * Prevents a flow from being opened at two back ends: while a SYN waits in the socket during a pause of the process,
+ * its caller may retransmit it and a peer may place the retransmission. Does no input or output.
  *
- * Inputs: the SYN's retransmission count, the phase of the flow that is remembered with the same addresses, and whether
- * the packet may have waited through a pause (`PauseDetector`). Order: the pause is tested first, since a flow that is
- * remembered may have ended during it. Then a first SYN whose ports belong to a closed flow starts a new one. Missing
- * knowledge: a retransmission of which no flow is remembered is placed like a first SYN, because the first one may have
- * reached another balancer, or none.
+ * Inputs: the SYN's retransmission count, the phase of the cached flow with the same addresses, and whether the packet
+ * may have waited through a pause (`PauseDetector`). Order: the pause is tested first, because a cached flow may have
+ * ended during it. Then a first SYN with the addresses of a closed flow starts a new flow. A retransmission without a
+ * cached flow is placed like a first SYN, because the first one may have been lost or have reached another daemon.
  */
 import type { FlowPhase } from './flow-cache.js';
 
-/** `stale`: it may have waited through a pause. `retransmission`: its flow is remembered. */
+/** `stale`: the SYN may have waited through a pause. `retransmission`: its flow is cached. */
 export type SynKind = 'stale' | 'retransmission' | 'new-flow';
 
-/** Classifies a SYN; `phase` is undefined when no flow with its addresses is remembered. */
+/** Classifies a SYN. `phase` is undefined if no flow with its addresses is cached. */
 export function classifySyn(
   retransmissionCount: number,
   phase: FlowPhase | undefined,
