--- a/src/cookie-edge/forwarding/cookie-forwarder.test.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.test.ts
@@ -6,7 +6,7 @@
 import { backends, failOpenings, ForwarderHarness } from './cookie-test-support.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 
-test('a flow that this balancer never saw goes on to the back end that its cookie names', (t) => {
+test('a packet of a flow that this daemon never saw goes to the back end of its cookie', (t) => {
   const first = new ForwarderHarness().know(backends(5));
   const second = new ForwarderHarness().know(backends(5));
   for (let port = 1; port <= 20; port += 1) {
@@ -16,7 +16,7 @@
   t.is(second.forwarder.statistics.takenOver, 20);
 });
 
-test("the packet's cookie goes before the balancer's own memory of the flow", (t) => {
+test('the cookie of a packet takes precedence over the cached flow', (t) => {
   const harness = new ForwarderHarness().know(backends(3));
   const opened = harness.establish(1);
   const other = ['a', 'b', 'c'].find((id) => id !== opened.backend)!;
@@ -26,17 +26,17 @@
     cookies.set(placed.backend!, placed.cookie);
   }
   t.is(harness.goOn(1, cookies.get(other)!)?.backend, other);
-  t.is(harness.goOn(1, 0)?.backend, other, 'it is remembered');
+  t.is(harness.goOn(1, 0)?.backend, other, 'the cache was updated');
 });
 
-test('a cookie that names nobody is never guessed, whatever else is known', (t) => {
+test('a packet with an unknown cookie and no cached flow is dropped, even if there is only one back end', (t) => {
   const harness = new ForwarderHarness().know(backends(1));
   t.is(harness.goOn(7, 0x01020304), undefined);
   t.is(harness.goOn(7, 0), undefined);
   t.deepEqual(harness.forwarder.statistics.drops, { 'unknown-cookie': 2 });
 });
 
-test('copies of a SYN go where the first went', (t) => {
+test('retransmissions of a SYN go to the same back end as the first', (t) => {
   const harness = new ForwarderHarness().know(backends(5));
   const opened = harness.open(1);
   for (let port = 2; port <= 9; port += 1) harness.establish(port);
@@ -46,23 +46,23 @@
   t.deepEqual(harness.open(1, 2), opened);
 });
 
-test('balancers that know the same choose equally for equal SYNs', (t) => {
+test('daemons with the same routes and back ends place equal SYNs equally', (t) => {
   const one = new ForwarderHarness(undefined, 1).know(backends(14));
   const two = new ForwarderHarness(undefined, 99).know(backends(14));
   for (let port = 1; port <= 50; port += 1) t.deepEqual(one.open(port), two.open(port), `port ${port}`);
 });
 
-test('what waited in the socket while the process stood still opens no flow', (t) => {
+test('a SYN that waited in the socket during a pause of the process opens no flow', (t) => {
   const harness = new ForwarderHarness().know(backends(3));
   const opened = harness.establish(1);
   harness.stop();
   harness.clock.advance(5_000);
   t.is(harness.open(2), undefined);
   t.true(harness.events().includes(COOKIE_FLOW_EVENTS.staleSyn.number));
-  t.truthy(harness.goOn(1, opened.cookie), 'open flows go on');
+  t.truthy(harness.goOn(1, opened.cookie), 'open flows continue');
 });
 
-test('a SYN with the ports of a flow that was closed opens a new flow, not at a back end that leaves', (t) => {
+test('a SYN with the ports of a closed flow opens a new flow, not at a draining back end', (t) => {
   const harness = new ForwarderHarness().know(backends(3));
   const opened = harness.establish(1);
   harness.goOn(1, opened.cookie, { fin: true });
@@ -75,7 +75,7 @@
   t.not(again?.backend, opened.backend);
 });
 
-test('a copy of a SYN that waited while the process stood still goes nowhere', (t) => {
+test('a retransmitted SYN that waited during a pause of the process is dropped', (t) => {
   const harness = new ForwarderHarness().know(backends(3));
   t.truthy(harness.open(1));
   harness.stop();
@@ -84,25 +84,25 @@
   t.deepEqual(harness.forwarder.statistics.drops, { 'old-opening': 1 });
 });
 
-test('a long backlog is old to its end, and what comes after it is not', (t) => {
+test('every SYN of the backlog after a pause is dropped, and later ones are placed', (t) => {
   const harness = new ForwarderHarness().know(backends(3));
   harness.pauseProcess(4_000);
   for (let read = 1; read <= 3 * READS_A_TURN; read += 1) {
     t.is(harness.open(read), undefined, `datagram ${read}`);
     if (read % READS_A_TURN === 0) harness.endEventLoopTurn();
   }
-  t.is(harness.open(4_000), undefined, 'the last turn has not ended');
+  t.is(harness.open(4_000), undefined, 'the last turn of the event loop has not ended');
   harness.endEventLoopTurn();
   t.truthy(harness.open(4_001));
 });
 
-test('a late tick opens a short time in which SYNs are too old, and then it is over', (t) => {
+test('housekeeping ticks on schedule do not count as a pause', (t) => {
   const harness = new ForwarderHarness().know(backends(3));
   harness.clock.advance(3 * HOUSEKEEPING_TICK_MS);
-  t.truthy(harness.open(1), 'ticks in time are no pause');
+  t.truthy(harness.open(1), 'no pause was detected');
 });
 
-test('without complete knowledge an opening is left to be repeated, not refused', (t) => {
+test('an opening is dropped, not refused, before the first complete list, so that its caller retransmits', (t) => {
   const harness = new ForwarderHarness();
   t.is(harness.open(1), undefined);
   t.deepEqual(harness.forwarder.statistics.drops, { starting: 1 });
@@ -110,7 +110,7 @@
   t.is(harness.open(1, 1)?.backend, 'a');
 });
 
-test('an opening to an address without a route is refused with a reset at once', (t) => {
+test('an opening to an address without a route is refused with a reset immediately', (t) => {
   const harness = new ForwarderHarness().know(backends(1));
   const answer = harness.deliver({ syn: true, destinationPort: SERVICE_PORT + 1 });
   t.deepEqual(answer, { backend: undefined, cookie: 0 });
@@ -124,7 +124,7 @@
 ];
 
 for (const [name, change, departs] of INELIGIBLE) {
-  test(`a back end that is ${name} gets no new flow, and open flows go on`, (t) => {
+  test(`a back end that is ${name} gets no new flow, and its open flows continue`, (t) => {
     const harness = new ForwarderHarness().know([backendAt('a', 1), backendAt('b', 2)]);
     let port = 1;
     while (harness.establish(port).backend !== 'a') port += 1;
@@ -136,17 +136,17 @@
   });
 }
 
-test('no back end is full beyond its connections, and then openings are refused at once', (t) => {
+test('no back end exceeds its maximum connections; once all are full, openings are refused immediately', (t) => {
   const services = [{ name: 'alpha', maxConnections: 2 }];
   const harness = new ForwarderHarness().know(backends(2), { services });
   for (let port = 1; port <= 4; port += 1) t.truthy(harness.establish(port).backend);
   t.is(harness.open(5)?.backend, undefined);
   t.deepEqual(harness.forwarder.statistics.refusals, { 'no-backend': 1 });
   harness.goOn(1, harness.sent[0]!.cookie, { fin: true });
-  t.truthy(harness.open(6)?.backend, 'a closed flow makes room');
+  t.truthy(harness.open(6)?.backend, 'closing a flow frees a connection');
 });
 
-test('flows that were silent for the idle time make room', (t) => {
+test('flows that reach the idle timeout free their connections', (t) => {
   const services = [{ name: 'alpha', maxConnections: 1 }];
   const harness = new ForwarderHarness().know(backends(1), { services, idleTimeoutMs: 5_000 });
   harness.establish(1);
@@ -156,7 +156,7 @@
   t.is(harness.open(3)?.backend, 'a');
 });
 
-test('a back end that leaves openings unanswered while others answer gets no more', (t) => {
+test('a back end that leaves openings unanswered while others respond is ejected', (t) => {
   const harness = new ForwarderHarness().know(backends(3));
   for (let port = 1; port <= 9; port += 1) harness.establish(port);
   harness.clock.advance(10);
@@ -167,11 +167,11 @@
   t.true(harness.events().includes(COOKIE_FLOW_EVENTS.backendEjected.number));
   for (let port = 600; port < 620; port += 1) t.not(harness.establish(port).backend, 'a');
   const again = harness.open(first!, 1);
-  t.not(again?.backend, 'a', 'a copy of an opening goes elsewhere now');
+  t.not(again?.backend, 'a', 'the retransmission goes to another back end');
   t.deepEqual(harness.open(first!, 2), again);
 });
 
-test('a back end is not ejected when all of them are silent: then it is this balancer or its links', (t) => {
+test('no back end is ejected when all are silent, because the cause is this daemon or its links', (t) => {
   const harness = new ForwarderHarness().know(backends(3));
   for (let port = 1; port <= 9; port += 1) harness.establish(port);
   harness.clock.advance(100);
@@ -180,7 +180,7 @@
   t.is(harness.forwarder.ejections, 0);
 });
 
-test('an ejected back end gets one opening on trial, and comes back when it is answered', (t) => {
+test('an ejected back end gets one trial opening, and returns to service when it responds', (t) => {
   const harness = new ForwarderHarness().know(backends(2));
   for (let port = 1; port <= 6; port += 1) harness.establish(port);
   harness.clock.advance(10);
@@ -195,7 +195,7 @@
   t.true(harness.events().includes(COOKIE_FLOW_EVENTS.backendRevived.number));
 });
 
-test('repeated data that nobody acknowledges speaks against a back end', (t) => {
+test('retransmitted data without an acknowledgement counts as a failure of the back end', (t) => {
   const harness = new ForwarderHarness().know(backends(3));
   const flows = Array.from({ length: 9 }, (_unused, index) => ({
     port: index + 1,
@@ -212,11 +212,11 @@
   harness.goOn(port, opened.cookie, { acknowledgement: 400 });
   t.true(
     harness.events().includes(COOKIE_FLOW_EVENTS.backendRevived.number),
-    'new acknowledged data is life',
+    'a new acknowledgement is a sign of life',
   );
 });
 
-test('a lapsed record serves as a last resort while packets show that its back end lives', (t) => {
+test('a back end with a lapsed record is a last resort while packets show that it is alive', (t) => {
   const harness = new ForwarderHarness().know(backends(1));
   const opened = harness.establish(1);
   harness.depart('a', 11, true);
@@ -225,10 +225,10 @@
   harness.goOn(1, opened.cookie, { acknowledgement: 900 });
   t.is(harness.open(3)?.backend, 'a');
   harness.know([backendAt('b', 12)], {}, 12);
-  t.is(harness.open(4)?.backend, 'b', 'a recorded one goes first');
+  t.is(harness.open(4)?.backend, 'b', 'a back end with a current record is preferred');
 });
 
-test('a record that is still missing when lapsed ones are back is taken as gone', (t) => {
+test('a lapsed record that has not returned after LAPSED_RECORD_MS counts as removed', (t) => {
   const harness = new ForwarderHarness().know(backends(1));
   const opened = harness.establish(1);
   harness.depart('a', 11, true);
@@ -237,18 +237,18 @@
   t.is(harness.open(2)?.backend, 'a');
   harness.clock.advance(10);
   t.is(harness.open(3)?.backend, undefined);
-  t.is(harness.goOn(1, opened.cookie)?.backend, 'a', 'its open flows go on');
+  t.is(harness.goOn(1, opened.cookie)?.backend, 'a', 'its open flows continue');
   harness.know([backendAt('a', 12)], {}, 12);
-  t.is(harness.open(4)?.backend, 'a', 'it came back later');
+  t.is(harness.open(4)?.backend, 'a', 'its record returned');
 });
 
-test('a back end that said that it leaves is no last resort', (t) => {
+test('a draining back end with a lapsed record is not a last resort', (t) => {
   const harness = new ForwarderHarness().know([backendAt('a', 1, { draining: true })]);
   harness.depart('a', 11, true);
   t.is(harness.open(1)?.backend, undefined);
 });
 
-test('the next tries of a caller go elsewhere while an opening waits unusually long', (t) => {
+test('new openings avoid a back end while an opening there waits unusually long', (t) => {
   const harness = new ForwarderHarness().know(backends(2));
   for (let port = 1; port <= 40; port += 1) {
     const opened = harness.open(port)!;
@@ -256,23 +256,23 @@
     harness.goOn(port, opened.cookie);
   }
   harness.know([...backends(2), backendAt('c', 20)], {}, 20);
-  t.is(harness.open(100)?.backend, 'c', 'the emptiest');
+  t.is(harness.open(100)?.backend, 'c', 'the back end with the fewest flows');
   harness.clock.advance(4);
-  t.is(harness.open(101)?.backend, 'c', 'answers take that long');
+  t.is(harness.open(101)?.backend, 'c', 'the wait is within the usual response time');
   harness.clock.advance(30);
   t.not(harness.open(102)?.backend, 'c');
   harness.goOn(100, harness.sent.find(({ backend }) => backend === 'c')!.cookie);
   harness.goOn(101, harness.sent.find(({ backend }) => backend === 'c')!.cookie);
-  t.is(harness.open(103)?.backend, 'c', 'it answered after all');
+  t.is(harness.open(103)?.backend, 'c', 'it has responded');
 });
 
-test('a back end that another balancer ejected is avoided until it gives a sign of life', (t) => {
+test('a back end that a peer ejected is avoided until it shows a sign of life', (t) => {
   const harness = new ForwarderHarness().know(backends(3));
   const [opened] = ['a', 'b', 'c'].map((_id, index) => harness.establish(index + 1));
   harness.clock.advance(10);
   const suspected = opened!.backend!;
   t.true(harness.forwarder.applyEjectionReport(suspected, harness.clock.now()));
-  t.false(harness.forwarder.applyEjectionReport(suspected, harness.clock.now()), 'it is known now');
+  t.false(harness.forwarder.applyEjectionReport(suspected, harness.clock.now()), 'already known');
   for (let port = 10; port < 18; port += 1) t.not(harness.establish(port).backend, suspected);
   harness.clock.advance(5);
   harness.goOn(1, opened!.cookie, { acknowledgement: 500 });
@@ -284,14 +284,14 @@
   t.false(harness.forwarder.applyEjectionReport('nobody', harness.clock.now()));
 });
 
-test('a service whose only back end is suspected elsewhere is served by it', (t) => {
+test('the only back end of a service gets flows although a peer ejected it', (t) => {
   const harness = new ForwarderHarness().know(backends(1));
   harness.clock.advance(10);
   harness.forwarder.applyEjectionReport('a', harness.clock.now());
   t.is(harness.open(1)?.backend, 'a');
 });
 
-test('a back end without long flows does not get every short one', (t) => {
+test('a back end without long flows does not get every short flow', (t) => {
   const harness = new ForwarderHarness().know([backendAt('a', 1), backendAt('b', 2)]);
   for (let port = 1; port <= 12; port += 1) harness.establish(port);
   harness.know([backendAt('a', 1), backendAt('b', 2), backendAt('new', 11)], {}, 12);
--- a/src/cookie-edge/forwarding/cookie-registry.test.ts
+++ b/src/cookie-edge/forwarding/cookie-registry.test.ts
@@ -1,4 +1,4 @@
-/** Cookies that collide, and cookies of forgotten back ends. */
+/** Colliding cookies, and cookies of removed back ends. */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
@@ -6,7 +6,7 @@
 import { backendAt } from '../routing/routing-test-support.js';
 import { CookieRegistry } from './cookie-registry.js';
 
-/** Known back ends with these ids, recorded in this order. */
+/** Registers back ends with these ids in this order and returns them. */
 function registerBackends(...ids: string[]): KnownBackend[] {
   const clock = new VirtualClock();
   const registry = new BackendRegistry({ clock, events: SILENT_EVENT_LOG, retentionMs: 1_000 });
@@ -14,7 +14,7 @@
   return ids.map((id) => registry.get(id)!);
 }
 
-/** Two ids whose first cookies are equal, found by trying: about 100,000 ids hold one such pair. */
+/** Finds two ids with equal first cookies by trying; about 100,000 ids contain one such pair. */
 function collidingIds(): readonly [string, string] {
   const seen = new Map<number, string>();
   for (let number = 0; ; number += 1) {
@@ -29,7 +29,7 @@
   }
 }
 
-test('cookies of two back ends that collide are kept apart, in whatever order they become known', (t) => {
+test('two back ends with colliding hashes have different cookies, whichever is added first', (t) => {
   const [first, second] = collidingIds();
   const [earlier, later] = registerBackends(first, second) as [KnownBackend, KnownBackend];
   const orders = [
@@ -46,10 +46,14 @@
   t.deepEqual(cookies[0], cookies[1]);
   const alone = new CookieRegistry();
   alone.add(later);
-  t.is(alone.backendOf(cookies[0]![1]!), later, 'one who never knew the earlier understands both cookies');
+  t.is(
+    alone.backendOf(cookies[0]![1]!),
+    later,
+    'a registry without the earlier back end also finds the later one by its second cookie',
+  );
 });
 
-test('a forgotten back end is not found by its cookie any more', (t) => {
+test('a removed back end is no longer found by its cookie', (t) => {
   const [backend] = registerBackends('a') as [KnownBackend];
   const registry = new CookieRegistry();
   registry.add(backend);
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -1,4 +1,4 @@
-/** A cookie forwarder on a virtual clock, with an edge that records what is sent. */
+/** A cookie forwarder on a virtual clock, with an edge that records the sent packets. */
 import { VirtualClock } from '../../common/clock.js';
 import { combine32 } from '../../common/hash.js';
 import { allBut, type Mechanism } from '../../common/mechanisms.js';
@@ -29,7 +29,7 @@
 import type { CookieForwarder } from './cookie-forwarder.js';
 import { createCookieForwarder } from './create-cookie-forwarder.js';
 
-/** What the edge was asked to send. */
+/** A packet that the forwarder asked the edge to send. */
 export interface SentPacket {
   /** Undefined for a reset. */
   readonly backend: string | undefined;
@@ -37,45 +37,45 @@
   readonly cookie: number;
 }
 
-/** The environment of a balancer under test. */
+/** Options of the daemon under test. */
 export interface HarnessSurroundings {
   /** Region of each zone. */
   readonly regions?: Readonly<Record<string, string>>;
-  /** Whether it is among the owners of a cold back end; always unless given. */
+  /** Returns true if the daemon is one of the owners of a cold back end. Default: always. */
   readonly isOwner?: (backendId: string) => boolean;
-  /** Outcome of a probe; answered unless given. */
+  /** Returns the outcome of a probe. Default: answered. */
   readonly probe?: ConnectProbe;
-  /** Whether peers have told what they know of back ends; they have unless given. */
+  /** Returns true once peers have sent their data about back ends. Default: always. */
   readonly hasLearntFromPeers?: () => boolean;
-  /** Number of daemons; nothing yields unless given. */
+  /** Number of daemons. Without it no opening yields. */
   readonly fleetSize?: number;
-  /** Follows the state of the list; it is always believed unless given. */
+  /** Uses `settlement` to decide whether the list of back ends is complete. Default: the list is always complete. */
   readonly settles?: boolean;
-  /** Names it in its reports to other balancers. */
+  /** Identifies the daemon in its reports to peers. */
   readonly observer?: number;
-  /** Called with its reports of bad answers. */
+  /** Called with the daemon's reports of bad answers. */
   readonly onBadAnswer?: (report: BadAnswerReport) => void;
 }
 
-/** Called with the back end that a packet was sent to, undefined for a reset. */
+/** Called with the back end to which a packet was sent; undefined for a reset. */
 type SentListener = (backend: string | undefined, cookie: number) => void;
 
-/** One balancer under test. */
+/** One daemon under test. */
 export class ForwarderHarness {
   readonly sent: SentPacket[] = [];
   private readonly sentListeners = new Map<number, SentListener>();
-  /** For each of `sent` the caller's port. */
+  /** The caller's port of each packet in `sent`. */
   readonly sentPorts: number[] = [];
-  /** Resets of flows other than that of the packet being handled. */
+  /** Resets of flows other than the flow of the packet being handled. */
   readonly resets: ResetTarget[] = [];
-  /** Back ends that it reported as ejected, dead or in doubt. */
+  /** Back ends that the daemon reported as ejected, dead or suspect. */
   readonly gossipedEjections: string[] = [];
   readonly logged: { readonly event: EventDefinition; readonly fields: EventFields }[] = [];
   readonly knowledge: RoutingKnowledge;
   readonly settlement: BackendSettlement;
   recordsMayLapse = false;
   readonly forwarder: CookieForwarder;
-  /** The packet that is being handled. */
+  /** The packet being handled. */
   private currentPacket: CookiePacket = EMPTY_PACKET;
   private abort = new AbortController();
   private readonly turns: (() => void)[] = [];
@@ -120,7 +120,7 @@
     this.forwarder.start(this.abort.signal);
   }
 
-  /** Pauses the process for `milliseconds`; its timers continue with a late tick. */
+  /** Pauses the process for `milliseconds`; its timers then resume with a late tick. */
   pauseProcess(milliseconds: number): void {
     this.stop();
     this.clock.advance(milliseconds);
@@ -144,7 +144,7 @@
     return this;
   }
 
-  /** Cordons these zones, and no others, as of `revision`. */
+  /** Sets the cordoned zones to exactly these as of `revision`. */
   cordon(zones: readonly string[], revision: number): void {
     const origin = { since: -1, confirmedAtMs: this.clock.now(), mayHaveLapsed: false };
     const cordons = zones.map((zone) => ({ zone, revision }));
@@ -169,7 +169,7 @@
     };
   }
 
-  /** Calls `listener` with what is sent next for the caller's port; undefined ends that. */
+  /** Calls `listener` with each packet sent to the caller's port from now on; undefined removes the listener. */
   onSent(port: number, listener: SentListener | undefined): void {
     if (listener) this.sentListeners.set(port, listener);
     else this.sentListeners.delete(port);
@@ -181,14 +181,14 @@
     this.sentPorts.push(this.currentPacket.sourcePort);
   }
 
-  /** Delivers a packet; returns what was sent for it, or undefined. */
+  /** Delivers a packet. Returns the packet sent in response, or undefined. */
   deliver(packet: Partial<CookiePacket>): SentPacket | undefined {
     const firstNew = this.sent.length;
     this.handle(packet);
     return this.sent[firstNew];
   }
 
-  /** Has a packet handled that was kept for `waitedMs` since it arrived. */
+  /** Delivers a packet that was held for `waitedMs` since its arrival. */
   handle(packet: Partial<CookiePacket>, waitedMs = 0): void {
     this.currentPacket = { ...EMPTY_PACKET, ...packet };
     this.forwarder.onPacket(this.currentPacket, waitedMs);
@@ -212,7 +212,7 @@
     return this.deliver({ sourcePort: port, ack: true, cookie, acknowledgement: 1, ...packet });
   }
 
-  /** Numbers of the events that were logged. */
+  /** Returns the numbers of the logged events. */
   events(): number[] {
     return this.logged.map(({ event }) => event.number);
   }
@@ -239,7 +239,7 @@
   cookie: 0,
 };
 
-/** A request in which nothing but load decides, at time 0, for a flow that `flow` distinguishes from others. */
+/** Builds a request at time 0 in which only load decides. `flow` distinguishes the flow from others. */
 export function placementRequest(
   states: ReadonlyMap<KnownBackend, LocalBackendState>,
   flow: number,
@@ -253,7 +253,7 @@
   };
 }
 
-/** Back ends `a`, `b`, ... of the service `alpha`. */
+/** Returns `count` back ends `a`, `b`, ... of the service `alpha`. */
 export function backends(count: number): RoutedBackend[] {
   return Array.from({ length: count }, (_unused, index) =>
     backendAt(String.fromCharCode(97 + index), index + 1, {
@@ -262,7 +262,7 @@
   );
 }
 
-/** Opens flows until `count` of them went to `backend`; those are left unanswered. */
+/** Opens flows until `count` of them were placed at `backend`. Only those stay unanswered. Returns their ports. */
 export function failOpenings(
   harness: ForwarderHarness,
   backend: string,
--- a/src/cookie-edge/forwarding/filling-backend-list.test.ts
+++ b/src/cookie-edge/forwarding/filling-backend-list.test.ts
@@ -1,7 +1,8 @@
 /**
- * Replays the load after the loss of all daemons in an outage with lapses: callers open flows while the list of back
- * ends fills over two seconds. Each caller sends copies after 200 and 600 ms, gives an attempt up after 1,400 ms or
- * with a reset, and makes three attempts within its deadline, as the platform's callers do.
+ * Simulates callers that open flows after all daemons were lost in an outage in which records lapsed, while the list of
+ * back ends fills over two seconds. Guards against resets and failed calls during that time. Like the platform's
+ * callers, each caller retransmits its SYN after 200 and 600 ms, ends an attempt after 1,400 ms or at a reset, and
+ * makes up to three attempts within its deadline.
  */
 import test from 'ava';
 import type { Mechanism } from '../../common/mechanisms.js';
@@ -18,10 +19,10 @@
 const LIST_FILL_DURATION_MS = 2_000;
 const BACKEND_COUNT = 40;
 const CALLER_COUNT = 300;
-/** Callers open over this time, from the daemon's start. */
+/** Callers start evenly over this time in ms, counted from the start of the daemon. */
 const CALLER_START_SPREAD_MS = 1_500;
 
-/** A caller and how its request went. */
+/** A caller and the progress of its request. */
 interface Caller {
   readonly startMs: number;
   attempt: number;
@@ -32,12 +33,12 @@
   backend?: string;
 }
 
-/** What callers got. */
+/** Results of all callers. */
 interface Outcome {
   readonly failed: number;
   readonly resets: number;
   readonly waitsMs: readonly number[];
-  /** Flows of the busiest back end. */
+  /** Number of flows at the busiest back end. */
   readonly flowsOfBusiestBackend: number;
 }
 
@@ -57,7 +58,7 @@
     this.callers = Array.from({ length: CALLER_COUNT }, (_unused, index) => this.createCaller(index));
   }
 
-  /** Has the daemon read a roster with all back ends. */
+  /** Makes the daemon read a roster with all back ends. */
   withRoster(): this {
     for (const record of this.backendsInListOrder)
       this.harness.knowledge.backends.putRemembered(record, false);
@@ -87,7 +88,7 @@
     return this.nextPort;
   }
 
-  /** Lists the back ends evenly over the time in which live ones are recorded again. */
+  /** Lists the back ends evenly over `LIST_FILL_DURATION_MS`, in which live back ends are recorded again. */
   private listDueBackends(nowMs: number): void {
     const dueCount = Math.floor((BACKEND_COUNT * nowMs) / LIST_FILL_DURATION_MS);
     for (; this.listedCount < Math.min(dueCount, BACKEND_COUNT); this.listedCount += 1) {
@@ -118,7 +119,7 @@
     caller.port = this.allocatePort();
   }
 
-  /** Has callers take what was sent: a reset ends an attempt, a placed opening is continued. */
+  /** Delivers the sent packets to the callers. A reset ends an attempt; a placed opening is continued. */
   private deliverAnswers(nowMs: number): void {
     const { sent, sentPorts } = this.harness;
     const ports = sentPorts.splice(0);
@@ -155,19 +156,19 @@
   return Array.from({ length: BACKEND_COUNT }, (_unused, index) => backendAt(`b-${index}`, index + 1));
 }
 
-test('while the list fills no caller is reset or fails', (t) => {
+test('no caller is reset or fails while the list of back ends fills', (t) => {
   const { failed, resets } = new FillingListSimulation([]).run();
   t.is(resets, 0);
   t.is(failed, 0);
 });
 
-test('without holding, callers are reset and fail', (t) => {
+test('callers are reset and fail if openings are not held', (t) => {
   const { failed, resets } = new FillingListSimulation(['unsettled-openings']).run();
   t.true(resets > 0);
   t.true(failed > 0);
 });
 
-test('with a roster nobody waits, and no back end gets more than twice its share', (t) => {
+test('with a roster no caller waits, and no back end gets more than twice its share', (t) => {
   const {
     failed,
     resets,
@@ -182,24 +183,24 @@
   );
 });
 
-test('a service that the roster knows to be empty is refused at once, one that it lacks a list for is not', (t) => {
+test('an opening is refused immediately if the roster shows that its service has no back ends', (t) => {
   const harness = new ForwarderHarness(new VirtualClock(), 1, [], { settles: true }).know([]);
   harness.settlement.recordRoster(new Set(['beta']));
   t.is(harness.open(40_001)?.backend, undefined);
   t.is(harness.sent.length, 1, 'a reset');
 });
 
-test('an empty list is believed after its time, and then an opening is refused at once', (t) => {
+test('an empty list is considered complete after a time limit, and then openings are refused immediately', (t) => {
   const clock = new VirtualClock();
   const harness = new ForwarderHarness(clock, 1, [], { settles: true }).know([]);
   t.is(harness.open(40_001), undefined, 'held');
   clock.advance(5_000);
-  t.is(harness.sent.length, 0, 'its caller has given up: no reset');
+  t.is(harness.sent.length, 0, 'no reset, because its caller has given up');
   t.is(harness.open(40_002)?.backend, undefined);
   t.is(harness.sent.length, 1, 'a reset');
 });
 
-test('a held opening is refused as soon as the list is settled', (t) => {
+test('a held opening is refused as soon as the empty list is settled', (t) => {
   const clock = new VirtualClock();
   const harness = new ForwarderHarness(clock, 1, [], { settles: true }).know([]);
   harness.open(40_001, 2);
@@ -211,7 +212,7 @@
   );
 });
 
-test('what waits is decided by the priority of its route, then by the time that its caller has waited', (t) => {
+test('held openings are decided in order of route priority, then of the time that the caller has waited', (t) => {
   const clock = new VirtualClock();
   const harness = new ForwarderHarness(clock, 1, [], { settles: true });
   const target = [{ service: 'alpha', weight: 1 }];
@@ -231,7 +232,7 @@
   t.deepEqual(harness.sentPorts, [4, 2, 3, 1]);
 });
 
-test('an opening that waited elsewhere before it is held is given up before its caller sends the next copy', (t) => {
+test('the hold of an opening that waited elsewhere before also ends before its caller retransmits', (t) => {
   const clock = new VirtualClock();
   const harness = new ForwarderHarness(clock, 1, [], { settles: true }).know([]);
   harness.handle({ sourcePort: 1, syn: true }, 100);
@@ -240,7 +241,7 @@
   t.is(harness.forwarder.statistics.heldTooLong, 1);
 });
 
-test('an opening whose time runs out while others are decided is not decided late', (t) => {
+test('an opening whose hold expires while others are decided is discarded, not decided late', (t) => {
   const clock = new VirtualClock();
   const harness = new ForwarderHarness(clock, 1, [], { settles: true }).know([]);
   harness.open(1, 1);
--- a/src/cookie-edge/forwarding/flow-expiry-rule.test.ts
+++ b/src/cookie-edge/forwarding/flow-expiry-rule.test.ts
@@ -1,4 +1,4 @@
-/** When a remembered flow is forgotten. */
+/** When a cached flow expires. */
 import test from 'ava';
 import { TRANSIENT_FLOW_TIMEOUT_MS } from './constants.js';
 import type { FlowPhase } from './flow-cache.js';
@@ -17,12 +17,12 @@
 ];
 
 for (const [phase, silentMs, expected] of CASES) {
-  test(`a flow that is ${phase} and silent for ${silentMs} ms is ${expected ? 'forgotten' : 'kept'}`, (t) => {
+  test(`a flow that is ${phase} and silent for ${silentMs} ms is ${expected ? 'removed' : 'kept'}`, (t) => {
     t.is(isExpired(phase, silentMs, IDLE_MS), expected);
   });
 }
 
-test('the idle timeout is the configured one, bounded by the longest life of a flow', (t) => {
+test('the idle timeout is the configured one, bounded by the maximum lifetime of a flow', (t) => {
   t.is(idleTimeoutMs(undefined, 100), 100);
   t.is(idleTimeoutMs(40, 100), 40);
   t.is(idleTimeoutMs(400, 100), 100);
--- a/src/cookie-edge/forwarding/incarnation.test.ts
+++ b/src/cookie-edge/forwarding/incarnation.test.ts
@@ -1,4 +1,7 @@
-/** A back end that starts again under its id knows nothing: what becomes of its flows and of what was known of it. */
+/**
+ * A back end that restarts under its id has lost its state. These tests guard its flows, and what the daemon has
+ * recorded of the previous incarnation, against being applied to the new one.
+ */
 import test from 'ava';
 import type { RoutedBackend } from '../routing/index.js';
 import { backendAt, updateAt } from '../routing/routing-test-support.js';
@@ -13,7 +16,7 @@
   return backends(count).map((backend) => ({ ...backend, incarnation }));
 }
 
-/** Tells the harness of another record of `a`. */
+/** Applies a changed record of `a`. */
 function updateRecordOfA(harness: ForwarderHarness, revision: number, change: Partial<RoutedBackend>): void {
   const [first] = recordsWithIncarnation(1);
   const record = { ...first!, revision, ...change };
@@ -21,14 +24,14 @@
   harness.knowledge.apply('backends', updateAt(revision, { backends: [record] }), origin);
 }
 
-/** Lets openings become overdue while `b` answers one. */
+/** Waits until pending openings count as unanswered while `b` responds to one. */
 function failOpeningsWhileBAnswers(harness: ForwarderHarness): void {
   harness.clock.advance(300);
   for (let port = 43_000; harness.establish(port).backend !== 'b'; port += 1);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
 }
 
-test('flows of the old life go on to the process, which resets them itself; none is reset here', (t) => {
+test('flows of the old incarnation are forwarded to the new process, which resets them; the daemon resets none', (t) => {
   const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
   const { cookie } = harness.establish(41_000);
   updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
@@ -37,7 +40,7 @@
   t.is(harness.events().filter((number) => number === RESTARTED_EVENT).length, 1);
 });
 
-test('flows of the old life do not count as load of the new one', (t) => {
+test('flows of the old incarnation do not count as load of the new one', (t) => {
   const harness = new ForwarderHarness().know(recordsWithIncarnation(2));
   for (let port = 41_000; port < 41_008; port += 1) harness.establish(port);
   updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
@@ -45,7 +48,7 @@
   t.deepEqual(placed, ['a', 'a', 'a']);
 });
 
-test('an ejection of the old life does not keep new flows from the new one', (t) => {
+test('an ejection of the old incarnation does not keep new flows from the new one', (t) => {
   const harness = new ForwarderHarness().know(recordsWithIncarnation(2));
   failOpenings(harness, 'a', 2, 41_000);
   failOpeningsWhileBAnswers(harness);
@@ -55,7 +58,7 @@
   t.true(placed.includes('a'));
 });
 
-test('openings at the old life that fail later do not count against the new one', (t) => {
+test('openings at the old incarnation that fail later do not count against the new one', (t) => {
   const harness = new ForwarderHarness().know(recordsWithIncarnation(2));
   failOpenings(harness, 'a', 2, 41_000);
   updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
@@ -63,7 +66,7 @@
   t.is(harness.forwarder.ejections, 0);
 });
 
-test('a new life at another address gets its flows there, though that was used by one that left', (t) => {
+test('a new incarnation gets flows at its new address, even if a departed back end used that address', (t) => {
   const harness = new ForwarderHarness().know([
     ...recordsWithIncarnation(1),
     backendAt('later', 9, { incarnation: 5 }),
@@ -74,7 +77,7 @@
   t.deepEqual(harness.open(42_000)?.endpoint, endpoint);
 });
 
-test('a new life of another service, zone or capacity is known as what it says', (t) => {
+test('the record of a new incarnation replaces service, zone and capacity', (t) => {
   const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
   updateRecordOfA(harness, 11, {
     incarnation: SECOND_INCARNATION,
@@ -88,7 +91,7 @@
   t.is(registry.ofService('beta').size, 1);
 });
 
-test('a life that left or drained does not keep the next one from serving', (t) => {
+test('a new incarnation gets flows although the previous one drained and departed', (t) => {
   const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
   updateRecordOfA(harness, 11, { draining: true });
   t.is(harness.open(42_000)?.backend, undefined);
@@ -97,14 +100,14 @@
   t.is(harness.open(42_001)?.backend, 'a');
 });
 
-test('a removal of the old life that arrives late does not end the new one', (t) => {
+test('a late removal of the old incarnation does not remove the new one', (t) => {
   const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
   updateRecordOfA(harness, 13, { incarnation: SECOND_INCARNATION });
   harness.depart('a', 12);
   t.is(harness.open(42_001)?.backend, 'a');
 });
 
-test('the same life, or a record that names none, forgets nothing', (t) => {
+test('a record with the same incarnation, or without one, keeps the known back end', (t) => {
   for (const incarnation of [FIRST_INCARNATION, undefined]) {
     const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
     const known = harness.knowledge.backends.get('a');
@@ -113,7 +116,7 @@
   }
 });
 
-test('two restarts in a row, the second with a clock set back, are two lives', (t) => {
+test('two successive restarts, the second with a clock set back, are two incarnations', (t) => {
   const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
   updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
   updateRecordOfA(harness, 12, { incarnation: FIRST_INCARNATION - 5_000 });
@@ -121,7 +124,7 @@
   t.is(harness.events().filter((number) => number === RESTARTED_EVENT).length, 2);
 });
 
-test('a record of an older life that arrives late changes nothing', (t) => {
+test('a late record of an older incarnation changes nothing', (t) => {
   const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
   updateRecordOfA(harness, 13, { incarnation: SECOND_INCARNATION });
   updateRecordOfA(harness, 11, { incarnation: FIRST_INCARNATION, draining: true });
@@ -129,7 +132,7 @@
   t.is(harness.open(42_001)?.backend, 'a');
 });
 
-test('a new life is cold from its own start', (t) => {
+test('slow start of a new incarnation begins with its own start', (t) => {
   const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
   harness.clock.advance(10_000);
   updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION, coldMs: 2_000 });
--- a/src/cookie-edge/forwarding/mid-flow-rule.test.ts
+++ b/src/cookie-edge/forwarding/mid-flow-rule.test.ts
@@ -1,4 +1,4 @@
-/** Where a packet that is no SYN goes: each outcome, and the order of cookie and memory. */
+/** Where a packet other than a SYN goes: each outcome, and the precedence of the cookie over the cached flow. */
 import test from 'ava';
 import type { KnownBackend } from '../routing/index.js';
 import { backendOfPacket, decideMidFlow, type MidFlowOutcome } from './mid-flow-rule.js';
@@ -14,7 +14,7 @@
   readonly outcome: MidFlowOutcome;
 }[] = [
   {
-    title: 'the cookie decides',
+    title: 'the cookie decides if there is no cached flow',
     cookie: named,
     memory: undefined,
     isDead: false,
@@ -22,7 +22,7 @@
     outcome: 'forward',
   },
   {
-    title: 'the cookie outweighs the memory',
+    title: 'the cookie takes precedence over the cached flow',
     cookie: named,
     memory: remembered,
     isDead: false,
@@ -30,7 +30,7 @@
     outcome: 'forward',
   },
   {
-    title: 'without a cookie the memory decides',
+    title: 'the cached flow decides if there is no cookie',
     cookie: undefined,
     memory: remembered,
     isDead: false,
@@ -38,7 +38,7 @@
     outcome: 'forward',
   },
   {
-    title: 'a dead back end has its flow reset',
+    title: 'a flow at a dead back end is reset',
     cookie: named,
     memory: remembered,
     isDead: true,
@@ -46,7 +46,7 @@
     outcome: 'reset',
   },
   {
-    title: 'an unknown back end has its packet dropped',
+    title: 'a packet of an unknown back end is dropped',
     cookie: undefined,
     memory: undefined,
     isDead: false,
--- a/src/cookie-edge/forwarding/overload-after-outage.test.ts
+++ b/src/cookie-edge/forwarding/overload-after-outage.test.ts
@@ -1,7 +1,8 @@
 /**
- * Replays the load after all daemons were away for two seconds: callers that waited come back with those that call as
- * usual, and ten back ends of two slots have to serve both. Callers send copies, try three times, and give up at their
- * deadline; a back end turns away what its slots and its queue cannot take.
+ * Simulates the return of all daemons after an outage of two seconds. Callers that have waited return together with the
+ * usual load, and both share ten back ends of two slots each. Guards against an overload in which all callers are
+ * served late. Callers retransmit, make up to three attempts and give up at their deadline. A back end rejects requests
+ * that exceed its slots and its queue.
  */
 import test, { type ExecutionContext } from 'ava';
 import { VirtualClock } from '../../common/clock.js';
@@ -27,7 +28,7 @@
 const ROUND_TRIP_MS = 4;
 const ANSWER_BYTES = 600;
 
-/** A caller; times are ms of the virtual clock, on which the daemons come back at `AWAY_MS`. */
+/** A caller. Times are ms of the virtual clock; the daemons return at `OUTAGE_MS`. */
 interface Caller {
   readonly startMs: number;
   attemptCount: number;
@@ -61,7 +62,7 @@
     return this;
   }
 
-  /** Share of those who called in a time that were answered within `withinMs`. */
+  /** Returns the share of callers that started in an interval and got an answer within `withinMs`. */
   servedShare(fromMs: number, toMs: number, withinMs: number): number {
     const asked = this.callers.filter(({ startMs }) => startMs >= fromMs && startMs < toMs);
     return asked.filter(({ answeredAfterMs: tookMs = Infinity }) => tookMs <= withinMs).length / asked.length;
@@ -93,7 +94,7 @@
     this.clock.schedule(ATTEMPT_TIMEOUT_MS, () => this.endAttempt(attempt));
   }
 
-  /** The next attempt follows at once. */
+  /** Ends an attempt; the next one starts immediately. */
   private endAttempt(attempt: Attempt): void {
     if (attempt.isOver) return;
     attempt.isOver = true;
@@ -145,7 +146,10 @@
   isOver: boolean;
 }
 
-/** Who calls just after the daemons are back, and who has waited for up to a second. */
+/**
+ * Compares runs with and without `yielding-openings`: callers that start within a second after the return, and callers
+ * that started up to a second before it.
+ */
 function simulateOnAndOff(
   t: ExecutionContext,
 ): Record<'on' | 'off', { prompt: number; waited: number; turnedAway: number }> {
@@ -162,9 +166,9 @@
   return both;
 }
 
-test('those who can still be answered in time are, and those who have waited are served all the same', (t) => {
+test('after an outage new callers are answered in time, and no fewer of the waiting callers get an answer', (t) => {
   const { on, off } = simulateOnAndOff(t);
-  t.true(on.prompt >= 0.9, 'nine in ten of those who call just after the return are answered in time');
-  t.true(on.waited >= off.waited, 'and no fewer of those who had waited get an answer');
-  t.true(on.turnedAway <= off.turnedAway / 2, 'back ends turn fewer than half as many away');
+  t.true(on.prompt >= 0.9, 'nine in ten of the callers just after the return are answered in time');
+  t.true(on.waited >= off.waited, 'no fewer of the waiting callers get an answer');
+  t.true(on.turnedAway <= off.turnedAway / 2, 'back ends reject at most half as many requests');
 });
--- a/src/cookie-edge/forwarding/reset-target.test.ts
+++ b/src/cookie-edge/forwarding/reset-target.test.ts
@@ -4,7 +4,10 @@
 import { FlowCache, type FlowPhase } from './flow-cache.js';
 import { resetTargetOf } from './reset-target.js';
 
-/** Phase of a flow whose SYN was the second retransmission, and what a reset of it carries. */
+/**
+ * Phase and acknowledgement of a flow whose SYN was the second retransmission, and the retransmission count that its
+ * reset carries.
+ */
 const CASES: readonly (readonly [FlowPhase, number, number])[] = [
   ['opening', 0, 2],
   ['open', 0, 0],
--- a/src/cookie-edge/forwarding/retransmission-rule.test.ts
+++ b/src/cookie-edge/forwarding/retransmission-rule.test.ts
@@ -5,7 +5,7 @@
 import type { FlowPhase } from './flow-cache.js';
 import { decideRetransmission, mayLeaveFirstBackend } from './retransmission-rule.js';
 
-/** Phase of the flow, liveness of its back end, whether another one is worth choosing. */
+/** Phase of the flow, liveness of its back end, and whether another back end is considered. */
 const CASES: readonly (readonly [FlowPhase, Liveness, boolean])[] = [
   ['opening', 'alive', false],
   ['opening', 'suspect', false],
@@ -21,7 +21,7 @@
   });
 }
 
-test('a retransmission goes elsewhere only where another back end is found', (t) => {
+test('a retransmission goes to another back end only if there is an alternative other than the first', (t) => {
   const [first, other] = [stateOf('a'), stateOf('b')];
   const at = (state: typeof first): Placement => ({
     state,
--- a/src/cookie-edge/forwarding/switched-off.test.ts
+++ b/src/cookie-edge/forwarding/switched-off.test.ts
@@ -1,4 +1,4 @@
-/** What a forwarder does without one of its mechanisms, as the ablation switches them off. */
+/** Behaviour of a forwarder with single mechanisms switched off, as in ablation runs. */
 import test from 'ava';
 import type { Mechanism } from '../../common/mechanisms.js';
 import { HOUSEKEEPING_TICK_MS } from './constants.js';
@@ -8,7 +8,7 @@
   return new ForwarderHarness(undefined, 1, [mechanism]);
 }
 
-/** Two openings at a back end without an answer while others answer, which ejects it. */
+/** Leaves two openings at a back end unanswered while others respond, which ejects it. */
 function ejectByUnansweredOpenings(harness: ForwarderHarness, id: string): void {
   for (let port = 1; port <= 6; port += 1) harness.establish(port);
   harness.clock.advance(10);
@@ -18,31 +18,31 @@
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
 }
 
-test('with all mechanisms a back end that does not answer is ejected', (t) => {
+test('with all mechanisms on, a back end that does not respond is ejected', (t) => {
   const harness = new ForwarderHarness().know(backends(2));
   ejectByUnansweredOpenings(harness, 'a');
   t.is(harness.forwarder.ejections, 1);
 });
 
-test('without passive health nothing is ejected', (t) => {
+test('without passive health checks no back end is ejected', (t) => {
   const harness = harnessWithout('passive-health').know(backends(2));
   ejectByUnansweredOpenings(harness, 'a');
   t.is(harness.forwarder.ejections, 0);
 });
 
-test('without shared ejections the word of others counts for nothing', (t) => {
+test('without shared ejections the reports of peers are ignored', (t) => {
   const harness = harnessWithout('shared-ejections').know(backends(2));
   t.false(harness.forwarder.applyEjectionReport('a', harness.clock.now()));
 });
 
-test('without the guard a SYN that waited through a pause is placed', (t) => {
+test('without the stale-SYN guard a SYN that waited through a pause is placed', (t) => {
   const harness = harnessWithout('old-opening-guard').know(backends(2));
   harness.stop();
   harness.clock.advance(5_000);
   t.truthy(harness.open(1));
 });
 
-test('without counting closed flows a back end without long flows gets every short one', (t) => {
+test('without counting closed flows a back end without long flows gets every short flow', (t) => {
   const harness = harnessWithout('closed-flows').know(backends(2));
   for (let port = 1; port <= 12; port += 1) harness.establish(port);
   harness.know(backends(3), {}, 12);
--- a/src/cookie-edge/forwarding/syn-rule.test.ts
+++ b/src/cookie-edge/forwarding/syn-rule.test.ts
@@ -2,7 +2,10 @@
 import type { FlowPhase } from './flow-cache.js';
 import { classifySyn, type SynKind } from './syn-rule.js';
 
-/** Retransmission count, phase of the remembered flow, whether it may have waited through a pause; what the SYN is. */
+/**
+ * Retransmission count, phase of the cached flow, whether the SYN may have waited through a pause, and the expected
+ * kind.
+ */
 const CASES: readonly (readonly [number, FlowPhase | undefined, boolean, SynKind])[] = [
   [0, undefined, true, 'stale'],
   [1, 'opening', true, 'stale'],
