--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -78,6 +78,7 @@
   /** The packet being handled. */
   private currentPacket: CookiePacket = EMPTY_PACKET;
   private abort = new AbortController();
+  /** Callbacks to run at the end of the current turn of the event loop. */
   private readonly turns: (() => void)[] = [];
 
   constructor(
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -82,7 +82,7 @@
   readonly maxFlows: () => number;
   /** Load reports of peers. Default: none. */
   readonly loads?: LoadLevels;
-  /** Tells which mechanisms are enabled. Default: all. */
+  /** Returns true for each enabled mechanism. Default: all are enabled. */
   readonly isOn?: MechanismCheck;
   /** Identifies this daemon in its reports. */
   readonly observer?: number;
@@ -236,7 +236,7 @@
     regionOf: environment.regionOf,
     stateOf: (backend) => states.of(backend),
   });
-  const newFlows = new NewFlowRule({
+  const newFlowRule = new NewFlowRule({
     knowledge,
     eligibility,
     coldAdmission,
@@ -248,7 +248,7 @@
     slowHandshakeMs: () => pendingOpenings.slowHandshakeMs,
   });
   return new OpeningHandler({
-    newFlows,
+    newFlowRule,
     cache: shared.cache,
     heldOpenings: shared.heldOpenings,
     flowsInProgress: shared.flowsInProgress,
@@ -257,7 +257,7 @@
     failures: shared.failures,
     sender: shared.sender,
     statistics: shared.statistics,
-    log: new OpeningLog({ events, knowledge, eligibility }),
+    openingLog: new OpeningLog({ events, knowledge, eligibility }),
     mayHaveWaited: (nowMs) => isOn('old-opening-guard') && pauses.mayHaveWaited(nowMs),
   });
 }
--- a/src/cookie-edge/forwarding/incarnation.test.ts
+++ b/src/cookie-edge/forwarding/incarnation.test.ts
@@ -31,7 +31,7 @@
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
 }
 
-test('flows of the old incarnation are forwarded to the new process, which resets them; the daemon resets none', (t) => {
+test('flows of the old incarnation go to the new process, which resets them; the daemon resets none', (t) => {
   const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
   const { cookie } = harness.establish(41_000);
   updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -21,7 +21,7 @@
 
 /** Dependencies of `OpeningHandler`. */
 interface OpeningHandlerOptions {
-  readonly newFlows: NewFlowRule;
+  readonly newFlowRule: NewFlowRule;
   /** Returns true if a packet that is read at this time may have waited through a pause of the process. */
   readonly mayHaveWaited: (nowMs: number) => boolean;
   readonly cache: FlowCache;
@@ -33,7 +33,7 @@
   readonly failures: FlowFailures;
   readonly sender: PacketSender;
   readonly statistics: CookieStatistics;
-  readonly log: OpeningLog;
+  readonly openingLog: OpeningLog;
 }
 
 /** Label of stale SYNs in the metric of dropped packets. */
@@ -51,11 +51,11 @@
     if (kind === 'stale') return this.dropStale(packet);
     if (kind === 'retransmission' && flow) return this.onRetransmission(packet, flow, nowMs);
     if (flow) this.options.cache.remove(flow);
-    const route = this.options.newFlows.routeOf(packet);
+    const route = this.options.newFlowRule.routeOf(packet);
     if (route && this.mustYield(route, packet, arrival)) {
       return this.options.heldOpenings.hold(packet, { route, reason: 'yields' }, arrival);
     }
-    this.applyOutcome(this.options.newFlows.decide(packet, nowMs), packet, arrival);
+    this.applyOutcome(this.options.newFlowRule.decide(packet, nowMs), packet, arrival);
   }
 
   private mustYield(
@@ -71,11 +71,11 @@
 
   private dropStale(packet: CookiePacket): void {
     this.options.statistics.countDrop(STALE_SYN_LABEL);
-    this.options.log.droppedStale(packet);
+    this.options.openingLog.logStaleSyn(packet);
   }
 
   private applyOutcome(outcome: NewFlowOutcome, packet: CookiePacket, arrival: Arrival): void {
-    const { statistics, sender, log, heldOpenings } = this.options;
+    const { statistics, sender, openingLog, heldOpenings } = this.options;
     const { nowMs } = arrival;
     if (outcome.kind === 'hold') {
       this.options.crowdAdmission?.recordReturn(nowMs);
@@ -85,12 +85,12 @@
     if (outcome.kind === 'drop') return statistics.countDrop(outcome.reason);
     if (outcome.kind === 'refuse') {
       statistics.countRefusal(outcome.reason);
-      log.refused(packet, outcome.reason, outcome.route, nowMs);
+      openingLog.logRefusal(packet, outcome.reason, outcome.route, nowMs);
       return sender.sendReset();
     }
     const { route, placement } = outcome;
     this.openFlow(packet, placement, nowMs);
-    log.placed(packet, route, placement);
+    openingLog.logPlacement(packet, route, placement);
     sender.forwardTo(placement.state.backend);
   }
 
@@ -98,8 +98,8 @@
    * Records a new flow. If the cache is full, the flow is not cached; its packets are still forwarded by their cookie.
    */
   private openFlow(packet: CookiePacket, placement: Placement, nowMs: number): void {
-    const { newFlows, cache, pendingOpenings, statistics, crowdAdmission, flowsInProgress } = this.options;
-    newFlows.recordPlacement(placement, nowMs);
+    const { newFlowRule, cache, pendingOpenings, statistics, crowdAdmission, flowsInProgress } = this.options;
+    newFlowRule.recordPlacement(placement, nowMs);
     const flow = cache.add(packet, placement.state, 'opening', nowMs);
     if (flow) pendingOpenings.add(flow);
     if (flow && crowdAdmission?.isReturning(nowMs)) flowsInProgress.add(flow);
@@ -107,15 +107,15 @@
   }
 
   private onRetransmission(packet: CookiePacket, flow: Flow, nowMs: number): void {
-    const { newFlows, pendingOpenings, failures, sender } = this.options;
+    const { newFlowRule, pendingOpenings, failures, sender } = this.options;
     flow.lastPacketMs = nowMs;
     if (flow.phase === 'opening') {
       pendingOpenings.settle(flow);
       failures.report(flow, flow.openedAtMs, nowMs);
     }
     if (mayLeaveFirstBackend(flow.phase, flow.state.liveness(nowMs))) {
-      const alternative = newFlows.chooseAgain(packet, nowMs);
-      if (alternative) newFlows.recordPlacement(alternative, nowMs);
+      const alternative = newFlowRule.chooseAgain(packet, nowMs);
+      if (alternative) newFlowRule.recordPlacement(alternative, nowMs);
       const target = decideRetransmission(flow.state, alternative);
       if (alternative && target === 'another-back-end')
         this.moveToAlternative(packet, flow, alternative, nowMs);
@@ -124,8 +124,8 @@
   }
 
   private moveToAlternative(packet: CookiePacket, flow: Flow, placement: Placement, nowMs: number): void {
-    const { log, statistics, pendingOpenings, cache } = this.options;
-    log.placedAnew(packet, flow, placement);
+    const { openingLog, statistics, pendingOpenings, cache } = this.options;
+    openingLog.logMove(packet, flow, placement);
     statistics.placedAnew += 1;
     pendingOpenings.settle(flow);
     cache.moveToBackend(flow, placement.state);
--- a/src/cookie-edge/forwarding/opening-log.ts
+++ b/src/cookie-edge/forwarding/opening-log.ts
@@ -19,7 +19,7 @@
   constructor(private readonly options: OpeningLogOptions) {}
 
   /** Logs that a new flow was placed. */
-  placed(packet: CookiePacket, route: Route, placement: Placement): void {
+  logPlacement(packet: CookiePacket, route: Route, placement: Placement): void {
     const { events, knowledge } = this.options;
     events.emit(COOKIE_FLOW_EVENTS.opened, {
       flow: formatFlowId(packet),
@@ -37,7 +37,7 @@
   }
 
   /** Logs that a retransmitted SYN goes to another back end. Call it before the flow is moved. */
-  placedAnew(packet: CookiePacket, flow: Flow, placement: Placement): void {
+  logMove(packet: CookiePacket, flow: Flow, placement: Placement): void {
     this.options.events.emit(COOKIE_FLOW_EVENTS.placedAnew, {
       flow: formatFlowId(packet),
       before: flow.state.backend.id,
@@ -47,7 +47,7 @@
   }
 
   /** Logs that a new flow was refused. `route` is undefined if no route matches. */
-  refused(
+  logRefusal(
     packet: CookiePacket,
     reason: 'no-route' | 'no-backend',
     route: Route | undefined,
@@ -65,7 +65,7 @@
   }
 
   /** Logs that a SYN was dropped because it may have waited through a pause. */
-  droppedStale(packet: CookiePacket): void {
+  logStaleSyn(packet: CookiePacket): void {
     this.options.events.emit(COOKIE_FLOW_EVENTS.staleSyn, { flow: formatFlowId(packet) });
   }
 }
--- a/src/cookie-edge/forwarding/overload-after-outage.test.ts
+++ b/src/cookie-edge/forwarding/overload-after-outage.test.ts
@@ -32,7 +32,7 @@
 interface Caller {
   readonly startMs: number;
   attemptCount: number;
-  answeredAfterMs?: number;
+  latencyMs?: number;
 }
 
 class ReturnSimulation {
@@ -64,8 +64,8 @@
 
   /** Returns the share of callers that started in an interval and got an answer within `withinMs`. */
   servedShare(fromMs: number, toMs: number, withinMs: number): number {
-    const asked = this.callers.filter(({ startMs }) => startMs >= fromMs && startMs < toMs);
-    return asked.filter(({ answeredAfterMs: tookMs = Infinity }) => tookMs <= withinMs).length / asked.length;
+    const started = this.callers.filter(({ startMs }) => startMs >= fromMs && startMs < toMs);
+    return started.filter(({ latencyMs = Infinity }) => latencyMs <= withinMs).length / started.length;
   }
 
   private startDaemons(): void {
@@ -90,7 +90,9 @@
     caller.attemptCount += 1;
     const attempt = { caller, port: this.nextPort, isOver: false };
     this.nextPort += 1;
-    SYN_SENT_AT_MS.forEach((atMs, copy) => this.clock.schedule(atMs, () => this.sendSyn(attempt, copy)));
+    SYN_SENT_AT_MS.forEach((atMs, retransmissionCount) =>
+      this.clock.schedule(atMs, () => this.sendSyn(attempt, retransmissionCount)),
+    );
     this.clock.schedule(ATTEMPT_TIMEOUT_MS, () => this.endAttempt(attempt));
   }
 
@@ -101,7 +103,7 @@
     this.startAttempt(attempt.caller);
   }
 
-  private sendSyn(attempt: Attempt, copy: number): void {
+  private sendSyn(attempt: Attempt, retransmissionCount: number): void {
     const daemon = this.daemons[attempt.port % DAEMON_COUNT];
     if (attempt.isOver || !daemon) return;
     daemon.onSent(attempt.port, (backend, cookie) => {
@@ -111,7 +113,7 @@
         this.sendRequest(attempt, daemon, Number(backend.slice(2)), cookie),
       );
     });
-    daemon.open(attempt.port, copy);
+    daemon.open(attempt.port, retransmissionCount);
   }
 
   private sendRequest(attempt: Attempt, daemon: ForwarderHarness, backend: number, cookie: number): void {
@@ -124,11 +126,11 @@
     const waitMs = Math.max(0, (slots[slot] as number) - nowMs);
     if (waitMs > (QUEUE_LENGTH / SLOTS_PER_BACKEND) * MEAN_SERVICE_TIME_MS)
       return this.rejectRequest(attempt, daemon, cookie);
-    const tookMs = waitMs + MEAN_SERVICE_TIME_MS * (0.5 + this.random());
-    slots[slot] = nowMs + tookMs;
-    this.clock.schedule(tookMs, () => {
-      const sinceMs = this.clock.now() - caller.startMs;
-      if (sinceMs <= DEADLINE_MS) caller.answeredAfterMs = sinceMs;
+    const responseMs = waitMs + MEAN_SERVICE_TIME_MS * (0.5 + this.random());
+    slots[slot] = nowMs + responseMs;
+    this.clock.schedule(responseMs, () => {
+      const elapsedMs = this.clock.now() - caller.startMs;
+      if (elapsedMs <= DEADLINE_MS) caller.latencyMs = elapsedMs;
       daemon.goOn(port, cookie, { sequence: 102, acknowledgement: 1 + ANSWER_BYTES, fin: true });
     });
   }
