--- a/src/cookie-edge/forwarding/cookie-forwarder.test.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.test.ts
@@ -66,10 +66,10 @@
   const harness = new ForwarderHarness().know(backends(3));
   const opened = harness.establish(1);
   harness.goOn(1, opened.cookie, { fin: true });
-  const leaving = backends(3).map((record) =>
+  const withDrainingBackend = backends(3).map((record) =>
     record.id === opened.backend ? { ...record, draining: true, revision: 20 } : record,
   );
-  harness.know(leaving, {}, 20);
+  harness.know(withDrainingBackend, {}, 20);
   const again = harness.open(1);
   t.truthy(again?.backend);
   t.not(again?.backend, opened.backend);
--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -1,7 +1,7 @@
 /**
- * Forwards callers' packets on a cookie edge. The back end comes from the packet's cookie if it has one, otherwise from
- * the flow cache. Only a SYN without a cached flow is placed. Adds and removes back ends in all components that keep
- * state for them. `create-cookie-forwarder.ts` creates the components.
+ * Forwards callers' packets on a cookie edge. The back end comes from the packet's cookie if that belongs to a known
+ * back end, otherwise from the flow cache. Only a SYN without a cached flow is placed. Adds and removes back ends in
+ * all components that keep state for them. `create-cookie-forwarder.ts` creates the components.
  */
 import type { Clock } from '../../common/clock.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
--- a/src/cookie-edge/forwarding/filling-backend-list.test.ts
+++ b/src/cookie-edge/forwarding/filling-backend-list.test.ts
@@ -102,8 +102,8 @@
   }
 
   private stepCaller(caller: Caller, nowMs: number): void {
-    const isOver = caller.openedAtMs !== undefined || caller.attempt > MAX_ATTEMPTS;
-    if (isOver || nowMs < caller.startMs || nowMs >= caller.startMs + DEADLINE_MS) return;
+    const isFinished = caller.openedAtMs !== undefined || caller.attempt > MAX_ATTEMPTS;
+    if (isFinished || nowMs < caller.startMs || nowMs >= caller.startMs + DEADLINE_MS) return;
     const attemptAgeMs = nowMs - caller.attemptStartMs;
     if (attemptAgeMs >= ATTEMPT_TIMEOUT_MS) return this.startNextAttempt(caller, nowMs);
     if (attemptAgeMs < (SYN_SENT_AT_MS[caller.synsSent] ?? Infinity)) return;
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -1,7 +1,7 @@
 /**
- * Caches the flows that this daemon has seen. Packets carry cookies, so forwarding also works without the cache. The
- * cache distinguishes SYN retransmissions from new flows, counts the open flows at each back end, and keeps the values
- * that later packets of a flow are compared with.
+ * Caches the flows that this daemon has seen, and owns the number of open flows at each back end. Packets carry
+ * cookies, so forwarding also works without the cache. The cache distinguishes SYN retransmissions from new flows, and
+ * keeps the values that later packets of a flow are compared with.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { LocalBackendState } from '../backend-health/index.js';
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -34,8 +34,8 @@
   /** Handles a packet other than a SYN. `flow` is the cached flow with its addresses, if any. */
   onMidFlowPacket(packet: CookiePacket, flow: Flow | undefined, nowMs: number): void {
     const { cookies, states, flowTracker, sender } = this.options;
-    const backendFromCookie = packet.cookie === 0 ? undefined : cookies.backendOf(packet.cookie);
-    const backend = backendOfPacket(backendFromCookie, flow?.state.backend);
+    const cookieBackend = packet.cookie === 0 ? undefined : cookies.backendOf(packet.cookie);
+    const backend = backendOfPacket(cookieBackend, flow?.state.backend);
     const isDead = backend !== undefined && states.of(backend).isDead(nowMs);
     const outcome = decideMidFlow(backend, isDead);
     if (!backend || outcome === 'drop') return this.dropUnknownCookie(packet);
--- a/src/cookie-edge/forwarding/mid-flow-rule.test.ts
+++ b/src/cookie-edge/forwarding/mid-flow-rule.test.ts
@@ -3,61 +3,61 @@
 import type { KnownBackend } from '../routing/index.js';
 import { backendOfPacket, decideMidFlow, type MidFlowOutcome } from './mid-flow-rule.js';
 
-const [named, remembered] = [{ id: 'named' }, { id: 'remembered' }] as [KnownBackend, KnownBackend];
+const [fromCookie, fromCachedFlow] = [{ id: 'named' }, { id: 'remembered' }] as [KnownBackend, KnownBackend];
 
 const CASES: readonly {
   readonly title: string;
   readonly cookie: KnownBackend | undefined;
-  readonly memory: KnownBackend | undefined;
+  readonly cachedFlowBackend: KnownBackend | undefined;
   readonly isDead: boolean;
   readonly backend: KnownBackend | undefined;
   readonly outcome: MidFlowOutcome;
 }[] = [
   {
     title: 'the cookie decides if there is no cached flow',
-    cookie: named,
-    memory: undefined,
+    cookie: fromCookie,
+    cachedFlowBackend: undefined,
     isDead: false,
-    backend: named,
+    backend: fromCookie,
     outcome: 'forward',
   },
   {
     title: 'the cookie takes precedence over the cached flow',
-    cookie: named,
-    memory: remembered,
+    cookie: fromCookie,
+    cachedFlowBackend: fromCachedFlow,
     isDead: false,
-    backend: named,
+    backend: fromCookie,
     outcome: 'forward',
   },
   {
     title: 'the cached flow decides if there is no cookie',
     cookie: undefined,
-    memory: remembered,
+    cachedFlowBackend: fromCachedFlow,
     isDead: false,
-    backend: remembered,
+    backend: fromCachedFlow,
     outcome: 'forward',
   },
   {
     title: 'a flow at a dead back end is reset',
-    cookie: named,
-    memory: remembered,
+    cookie: fromCookie,
+    cachedFlowBackend: fromCachedFlow,
     isDead: true,
-    backend: named,
+    backend: fromCookie,
     outcome: 'reset',
   },
   {
     title: 'a packet of an unknown back end is dropped',
     cookie: undefined,
-    memory: undefined,
+    cachedFlowBackend: undefined,
     isDead: false,
     backend: undefined,
     outcome: 'drop',
   },
 ];
 
-for (const { title, cookie, memory, isDead, backend, outcome } of CASES) {
+for (const { title, cookie, cachedFlowBackend, isDead, backend, outcome } of CASES) {
   test(title, (t) => {
-    const chosen = backendOfPacket(cookie, memory);
+    const chosen = backendOfPacket(cookie, cachedFlowBackend);
     t.is(chosen, backend);
     t.is(decideMidFlow(chosen, isDead), outcome);
   });
--- a/src/cookie-edge/forwarding/mid-flow-rule.ts
+++ b/src/cookie-edge/forwarding/mid-flow-rule.ts
@@ -17,10 +17,10 @@
 
 /** Returns the back end of a packet, or undefined if neither its cookie nor a cached flow identifies one. */
 export function backendOfPacket(
-  namedByCookie: KnownBackend | undefined,
-  remembered: KnownBackend | undefined,
+  cookieBackend: KnownBackend | undefined,
+  cachedFlowBackend: KnownBackend | undefined,
 ): KnownBackend | undefined {
-  return namedByCookie ?? remembered;
+  return cookieBackend ?? cachedFlowBackend;
 }
 
 /** Returns the outcome for a packet of `backend`. `isDead` is true while a dead verdict is in force. */
--- a/src/cookie-edge/forwarding/retransmission-rule.ts
+++ b/src/cookie-edge/forwarding/retransmission-rule.ts
@@ -6,8 +6,8 @@
  *
  * Inputs: the phase of the flow, the liveness of its back end, and the back end that a new flow would get now. Order: a
  * flow that its caller has continued stays. So does a flow whose back end is neither ejected nor dead, even if it is
- * suspect, cordoned or draining, because its response may be on the way. Otherwise another back end is chosen; the flow
- * stays if there is none.
+ * suspect, cordoned or draining, because its response may be on the way. Otherwise the flow goes to the back end that a
+ * new flow would get; it stays if there is none, or if it is the same one.
  */
 import type { LocalBackendState, Liveness } from '../backend-health/index.js';
 import type { Placement } from '../placement/index.js';
