--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -1,7 +1,7 @@
 /**
- * Forwards callers' packets on a cookie edge. A packet's cookie decides first, then this balancer's memory of the flow;
- * only a SYN of a flow that is not remembered is placed. Owns the registration of back ends in and out of the parts
- * that hold state of them; the parts are wired by `create-cookie-forwarder.ts`.
+ * Forwards callers' packets on a cookie edge. The back end comes from the packet's cookie if that belongs to a known
+ * back end, otherwise from the flow cache. Only a SYN without a cached flow is placed. Adds and removes back ends in
+ * all components that keep state for them. `create-cookie-forwarder.ts` creates the components.
  */
 import type { Clock } from '../../common/clock.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
@@ -20,7 +20,7 @@
 import type { MidFlowHandler } from './mid-flow-handler.js';
 import type { OpeningHandler } from './opening-handler.js';
 
-/** The wired parts of a forwarder. */
+/** Components of a forwarder. */
 interface CookieForwarderOptions {
   readonly clock: Clock;
   readonly pauses: PauseDetector;
@@ -30,73 +30,73 @@
   readonly cookies: CookieRegistry;
   readonly cache: FlowCache;
   readonly states: LocalBackendStates;
-  readonly dead: DeadBackends;
-  readonly superseded: SupersededBackends;
+  readonly deadBackends: DeadBackends;
+  readonly supersededBackends: SupersededBackends;
   readonly coldAdmission: ColdAdmission;
-  readonly answers: AnswerTracker;
+  readonly answerTracker: AnswerTracker;
   readonly outliers: OutlierDetector;
-  readonly openings: OpeningHandler;
-  readonly held: HeldOpenings;
-  readonly midFlow: MidFlowHandler;
+  readonly openingHandler: OpeningHandler;
+  readonly heldOpenings: HeldOpenings;
+  readonly midFlowHandler: MidFlowHandler;
   readonly housekeeping: Housekeeping;
 }
 
-/** Handles what arrives at the edge, and reports of other balancers. Call `start` once. */
+/** Handles packets from the edge and reports from peers. Call `start` once. */
 export class CookieForwarder implements CookieEdgeHandler {
   readonly statistics: CookieStatistics;
   readonly outliers: OutlierDetector;
-  /** How long back ends took for requests of which this balancer saw both ends. */
+  /** Response times of back ends, for requests whose beginning and end this daemon saw. */
   readonly answers: AnswerTracker;
 
-  /** Back ends whose service no table has named so far. */
-  private readonly unnamed = new Set<KnownBackend>();
+  /** Back ends whose service is not in the route table yet. */
+  private readonly unroutedBackends = new Set<KnownBackend>();
 
   constructor(private readonly options: CookieForwarderOptions) {
-    const { statistics, outliers, answers, knowledge } = options;
+    const { statistics, outliers, answerTracker: answers, knowledge } = options;
     this.statistics = statistics;
     this.outliers = outliers;
     this.answers = answers;
     for (const backend of knowledge.backends.all()) this.registerBackend(backend);
     knowledge.backends.onAdd((backend) => this.registerBackend(backend));
-    knowledge.backends.onForget((backend) => this.forgetBackend(backend));
+    knowledge.backends.onForget((backend) => this.removeBackend(backend));
     knowledge.subscribe(({ topic }) => {
-      if (topic === 'routes') this.registerNamed();
+      if (topic === 'routes') this.registerNewlyRouted();
     });
   }
 
-  /** Back ends ejected since start. */
+  /** Number of ejections since start. */
   get ejections(): number {
     return this.options.states.ejections;
   }
 
-  /** Probes of back ends that may be dead since start. */
+  /** Number of probes sent since start to back ends that may be dead. */
   get probes(): number {
-    return this.options.dead.probes;
+    return this.options.deadBackends.probes;
   }
 
-  /** Openings held now. */
+  /** Number of openings held now. */
   get heldOpenings(): number {
-    return this.options.held.size;
+    return this.options.heldOpenings.size;
   }
 
-  /** Flows remembered now. */
+  /** Number of flows in the cache. */
   get flowCount(): number {
     return this.options.cache.size;
   }
 
-  /** Applies an ejection by another balancer at `atMs`; returns false for one that was known or is outdated. */
+  /** Applies a peer's ejection of a back end at `atMs`. Returns false if it was already known or is outdated. */
   applyEjectionReport(backendId: string, atMs: number): boolean {
-    const { isOn, knowledge, states, dead } = this.options;
+    const { isOn, knowledge, states, deadBackends } = this.options;
     if (!isOn('shared-ejections')) return false;
     const backend = knowledge.backends.get(backendId);
     if (!backend) return false;
     const state = states.of(backend);
     const isNew = state.applyEjectionReport(atMs);
-    if (isNew) dead.probeIfInDoubt(state);
+    if (isNew) deadBackends.probeIfInDoubt(state);
     return isNew;
   }
 
-  /** Applies a bad answer that another balancer noticed; returns false for one that was known. */
+  /** Applies a bad answer that a peer detected. Returns false if it was already known. */
   applyBadAnswerReport(report: BadAnswerReport): boolean {
     const { isOn, clock } = this.options;
     if (!isOn('outlier-detection')) return false;
@@ -106,7 +106,7 @@
   /** Runs the housekeeping until `signal` aborts. */
   start(signal: AbortSignal): void {
     this.options.housekeeping.start(signal);
-    signal.addEventListener('abort', () => this.options.held.stop());
+    signal.addEventListener('abort', () => this.options.heldOpenings.stop());
   }
 
   onDrop(reason: EdgeDropReason): void {
@@ -115,42 +115,42 @@
   }
 
   onPacket(packet: CookiePacket, waitedMs = 0): void {
-    const { clock, pauses, cache, openings, midFlow } = this.options;
+    const { clock, pauses, cache, openingHandler, midFlowHandler } = this.options;
     const nowMs = clock.now();
     pauses.recordRead('edge');
     this.statistics.packets += 1;
     const flow = cache.find(packet);
-    if (packet.syn && !packet.ack) openings.onSyn(packet, flow, { nowMs, waitedMs });
-    else midFlow.onMidFlow(packet, flow, nowMs);
+    if (packet.syn && !packet.ack) openingHandler.onSyn(packet, flow, { nowMs, waitedMs });
+    else midFlowHandler.onMidFlowPacket(packet, flow, nowMs);
   }
 
   /**
-   * A back end whose service no table names yet may be the entry of another writer: it takes no address from another,
-   * whose flows would be reset.
+   * Registers a back end. One whose service is not in the route table yet may have been recorded by another writer. It
+   * does not claim its address: that would reset the flows of the back end already using the address.
    */
   private registerBackend(backend: KnownBackend): void {
-    const { cookies, superseded, knowledge } = this.options;
+    const { cookies, supersededBackends, knowledge } = this.options;
     cookies.add(backend);
-    if (knowledge.routes()?.namesService(backend.record.service)) superseded.registerBackend(backend);
-    else this.unnamed.add(backend);
+    if (knowledge.routes()?.namesService(backend.record.service)) supersededBackends.registerBackend(backend);
+    else this.unroutedBackends.add(backend);
   }
 
-  /** Registers the back ends whose service is named by now. */
-  private registerNamed(): void {
-    const { superseded, knowledge } = this.options;
-    for (const backend of this.unnamed) {
+  /** Completes the registration of back ends whose service has appeared in the route table. */
+  private registerNewlyRouted(): void {
+    const { supersededBackends, knowledge } = this.options;
+    for (const backend of this.unroutedBackends) {
       if (!knowledge.routes()?.namesService(backend.record.service)) continue;
-      this.unnamed.delete(backend);
-      superseded.registerBackend(backend);
+      this.unroutedBackends.delete(backend);
+      supersededBackends.registerBackend(backend);
     }
   }
 
-  private forgetBackend(backend: KnownBackend): void {
-    const { dead, superseded, cookies, states, coldAdmission, cache } = this.options;
-    cache.forgetBackend(states.of(backend));
-    this.unnamed.delete(backend);
-    dead.forget(backend);
-    superseded.forget(backend);
+  private removeBackend(backend: KnownBackend): void {
+    const { deadBackends, supersededBackends, cookies, states, coldAdmission, cache } = this.options;
+    cache.removeFlowsAt(states.of(backend));
+    this.unroutedBackends.delete(backend);
+    deadBackends.forget(backend);
+    supersededBackends.forget(backend);
     cookies.remove(backend);
     states.forget(backend);
     coldAdmission.forget(backend);
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -1,4 +1,4 @@
-/** Wires a cookie forwarder. Owns the order in which the parts are created: each after those that it needs. */
+/** Creates a cookie forwarder and its components, in dependency order. */
 import type { Clock } from '../../common/clock.js';
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
@@ -37,7 +37,7 @@
 import { FlowCache } from './flow-cache.js';
 import { FlowExpiry } from './flow-expiry.js';
 import { FlowFailures } from './flow-failures.js';
-import { FlowFollower } from './flow-follower.js';
+import { FlowTracker } from './flow-tracker.js';
 import { FlowsInProgress } from './flows-in-progress.js';
 import { HeldOpenings } from './held-openings.js';
 import { Housekeeping } from './housekeeping.js';
@@ -46,98 +46,103 @@
 import { OpeningLog } from './opening-log.js';
 import { PacketSender } from './packet-sender.js';
 
-/** What a cookie forwarder needs. */
+/** Dependencies and settings of a cookie forwarder. */
 interface CookieForwarderEnvironment {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly events: EventLog;
   readonly knowledge: RoutingKnowledge;
   readonly edge: CookieEdgePort;
-  /** Ticked by the forwarder every `HOUSEKEEPING_TICK_MS`. */
+  /** The forwarder reports a tick every `HOUSEKEEPING_TICK_MS`. */
   readonly pauses: PauseDetector;
   readonly zone: string;
-  /** Flows for each unit of capacity that a back end of another zone must have less. */
+  /** A back end of another zone must have this many fewer flows per unit of capacity to be preferred. */
   readonly zoneMargin: number;
-  /** Factor of the load of back ends of other zones, 1 or more. */
+  /** Multiplier, 1 or more, for the load of back ends in other zones. */
   readonly zoneLoadFactor: number;
-  /** Region of a zone; undefined when it is not configured. */
+  /** Returns the region of a zone, or undefined if none is configured. */
   readonly regionOf: (zone: string) => string | undefined;
-  /** Number of daemons, this one included; undefined while unknown. Nothing yields unless it is given. */
+  /**
+   * Returns the number of daemons, including this one, or undefined while unknown. Without this function no opening
+   * yields.
+   */
   readonly fleetSize?: () => number | undefined;
-  /** False while peers are known to remember more of back ends than this daemon has been told; true unless given. */
+  /**
+   * Returns false while peers are known to hold data about back ends that this daemon has not received. Default: true.
+   */
   readonly hasLearntFromPeers?: () => boolean;
-  /** Whether the list of back ends is to be believed; always unless given. */
+  /** Whether the list of back ends is considered complete. Default: always complete. */
   readonly settlement?: Settlement;
   readonly cold: ColdAdmissionOptions;
-  /** Opens a connection to a back end to test whether it listens. */
+  /** Opens a connection to a back end to test whether it is listening. */
   readonly probe: ConnectProbe;
-  /** Longest life of a flow, in ms. */
+  /** Maximum lifetime of a flow, in ms. */
   readonly maxFlowAgeMs: number;
-  /** Flows that are remembered at once. */
+  /** Returns the maximum number of cached flows. */
   readonly maxFlows: () => number;
-  /** Load reports of other balancers; none unless given. */
+  /** Load reports of peers. Default: none. */
   readonly loads?: LoadLevels;
-  /** Mechanisms that are on; all unless given. */
+  /** Returns true for each enabled mechanism. Default: all are enabled. */
   readonly isOn?: MechanismCheck;
-  /** Names this balancer in its reports. */
+  /** Identifies this daemon in its reports. */
   readonly observer?: number;
   readonly outliers?: OutlierOptions;
-  /** Called with each bad answer that this balancer noticed, to gossip it. */
+  /** Gossips a bad answer that this daemon detected. */
   readonly onBadAnswer?: (report: BadAnswerReport) => void;
-  /** Called with each back end that is ejected, found dead or in doubt, to gossip it. */
+  /** Gossips that this daemon ejected a back end, found it dead or suspects it. */
   readonly onEject?: (backendId: string, nowMs: number) => void;
 }
 
-/** What forwarding needs of the state of the list. */
+/** The part of `BackendSettlement` that forwarding uses. */
 type Settlement = Pick<BackendSettlement, 'state' | 'isKnownEmpty' | 'subscribe'>;
 
-/** A list that is always believed. */
+/** Treats the list of back ends as always complete. */
 const ALWAYS_SETTLED: Settlement = {
   state: 'settled',
   isKnownEmpty: () => false,
   subscribe: () => undefined,
 };
 
-/** The parts that several others share. */
+/** Components that several others share. */
 interface SharedParts {
   readonly isOn: MechanismCheck;
   readonly statistics: CookieStatistics;
   readonly cookies: CookieRegistry;
   readonly cache: FlowCache;
   readonly states: LocalBackendStates;
-  readonly dead: DeadBackends;
-  readonly superseded: SupersededBackends;
-  readonly pending: PendingOpenings;
-  readonly answers: AnswerTracker;
+  readonly deadBackends: DeadBackends;
+  readonly supersededBackends: SupersededBackends;
+  readonly pendingOpenings: PendingOpenings;
+  readonly answerTracker: AnswerTracker;
   readonly outliers: OutlierDetector;
   readonly failures: FlowFailures;
   readonly sender: PacketSender;
   readonly coldAdmission: ColdAdmission;
   readonly settlement: Settlement;
-  readonly held: HeldOpenings;
-  readonly inProgress: FlowsInProgress;
+  readonly heldOpenings: HeldOpenings;
+  readonly flowsInProgress: FlowsInProgress;
 }
 
-/** Creates a forwarder; it handles packets at once, and its timer begins with `start`. */
+/** Creates a forwarder. It can handle packets immediately; its timer starts with `start`. */
 export function createCookieForwarder(environment: CookieForwarderEnvironment): CookieForwarder {
   const { clock, events, knowledge, pauses } = environment;
   const shared = createSharedParts(environment);
-  const { cache, states, superseded, pending, answers, outliers, failures } = shared;
+  const { cache, states, supersededBackends, pendingOpenings, answerTracker, outliers, failures } = shared;
   return new CookieForwarder({
     ...shared,
     clock,
     pauses,
     knowledge,
-    openings: createOpeningHandler(environment, shared),
-    midFlow: createMidFlowHandler(environment, shared),
+    openingHandler: createOpeningHandler(environment, shared),
+    midFlowHandler: createMidFlowHandler(environment, shared),
     housekeeping: new Housekeeping({
       clock,
       events,
       pauses,
-      pending,
-      answers,
+      pendingOpenings,
+      answerTracker,
       states,
-      superseded,
+      supersededBackends,
       outliers,
       failures,
       expiry: new FlowExpiry({ knowledge, cache, maxFlowAgeMs: environment.maxFlowAgeMs }),
@@ -148,8 +153,8 @@
 function createSharedParts(environment: CookieForwarderEnvironment): SharedParts {
   const { clock, events, edge, pauses, probe } = environment;
   const isOn = environment.isOn ?? ALL_MECHANISMS_ON;
-  const settlement = settlementOf(environment, isOn);
-  const gossipEjection = ejectionGossipOf(environment, isOn);
+  const settlement = effectiveSettlement(environment, isOn);
+  const gossipEjection = effectiveEjectionGossip(environment, isOn);
   const statistics = new CookieStatistics();
   const cookies = new CookieRegistry();
   const cache = new FlowCache(environment.maxFlows);
@@ -160,8 +165,8 @@
   );
   const { hasLearntFromPeers = () => true } = environment;
   const resetter = new FlowResetter({ clock, cache, edge, statistics, events });
-  const verdicts = { clock, isOn, states, resetter, events };
-  const dead = new DeadBackends({ ...verdicts, pauses, probe, onDoubt: gossipEjection });
+  const verdictOptions = { clock, isOn, states, resetter, events };
+  const deadBackends = new DeadBackends({ ...verdictOptions, pauses, probe, onDoubt: gossipEjection });
   const outliers = createOutlierDetector(environment);
   return {
     isOn,
@@ -169,27 +174,27 @@
     cookies,
     cache,
     states,
-    dead,
-    superseded: new SupersededBackends({ ...verdicts, hasLearntFromPeers }),
+    deadBackends,
+    supersededBackends: new SupersededBackends({ ...verdictOptions, hasLearntFromPeers }),
     outliers,
-    pending: new PendingOpenings(),
-    answers: createAnswerTracker(environment, outliers),
-    failures: new FlowFailures({ states, dead, isOn }),
+    pendingOpenings: new PendingOpenings(),
+    answerTracker: createAnswerTracker(environment, outliers),
+    failures: new FlowFailures({ states, deadBackends, isOn }),
     sender: new PacketSender({ edge, cookies, statistics }),
     coldAdmission: new ColdAdmission(environment.cold),
     settlement,
-    inProgress: new FlowsInProgress(),
-    held: new HeldOpenings({ clock, events, edge, statistics, settlement }),
+    flowsInProgress: new FlowsInProgress(),
+    heldOpenings: new HeldOpenings({ clock, events, edge, statistics, settlement }),
   };
 }
 
-/** The list is always believed while `unsettled-openings` is switched off. */
-function settlementOf({ settlement }: CookieForwarderEnvironment, isOn: MechanismCheck): Settlement {
+/** Returns the configured settlement, or `ALWAYS_SETTLED` while `unsettled-openings` is switched off. */
+function effectiveSettlement({ settlement }: CookieForwarderEnvironment, isOn: MechanismCheck): Settlement {
   return settlement && isOn('unsettled-openings') ? settlement : ALWAYS_SETTLED;
 }
 
-/** The function that gossips an ejection, a death or a doubt; does nothing while `shared-ejections` is switched off. */
-function ejectionGossipOf(
+/** Returns `onEject`, or a function that does nothing while `shared-ejections` is switched off. */
+function effectiveEjectionGossip(
   { onEject }: CookieForwarderEnvironment,
   isOn: MechanismCheck,
 ): (backendId: string, nowMs: number) => void {
@@ -224,14 +229,14 @@
 
 function createOpeningHandler(environment: CookieForwarderEnvironment, shared: SharedParts): OpeningHandler {
   const { random, events, knowledge, pauses, zone, zoneMargin, zoneLoadFactor, loads } = environment;
-  const { isOn, states, outliers, pending, coldAdmission, settlement } = shared;
+  const { isOn, states, outliers, pendingOpenings, coldAdmission, settlement } = shared;
   const eligibility = new BackendEligibility({
     knowledge,
     coldAdmission,
     regionOf: environment.regionOf,
     stateOf: (backend) => states.of(backend),
   });
-  const newFlows = new NewFlowRule({
+  const newFlowRule = new NewFlowRule({
     knowledge,
     eligibility,
     coldAdmission,
@@ -240,30 +245,31 @@
     placement: new OpeningPlacement({ zone, zoneMargin, zoneLoadFactor, isOn, loads }),
     isOutlier: ({ backend, idHash }, flowHash, nowMs) =>
       outliers.isAvoided(backend.id, idHash, flowHash, nowMs),
-    slowHandshakeMs: () => pending.slowHandshakeMs,
+    slowHandshakeMs: () => pendingOpenings.slowHandshakeMs,
   });
   return new OpeningHandler({
-    newFlows,
+    newFlowRule,
     cache: shared.cache,
-    held: shared.held,
-    inProgress: shared.inProgress,
-    crowd: createCrowdAdmission(environment, shared),
-    pending,
+    heldOpenings: shared.heldOpenings,
+    flowsInProgress: shared.flowsInProgress,
+    crowdAdmission: createCrowdAdmission(environment, shared),
+    pendingOpenings,
     failures: shared.failures,
     sender: shared.sender,
     statistics: shared.statistics,
-    log: new OpeningLog({ events, knowledge, eligibility }),
+    openingLog: new OpeningLog({ events, knowledge, eligibility }),
     mayHaveWaited: (nowMs) => isOn('old-opening-guard') && pauses.mayHaveWaited(nowMs),
   });
 }
 
-/** Undefined where nothing yields. */
+/** Returns undefined if openings never yield. */
 function createCrowdAdmission(
   { knowledge, fleetSize }: CookieForwarderEnvironment,
-  { isOn, inProgress }: SharedParts,
+  { isOn, flowsInProgress }: SharedParts,
 ): CrowdAdmission | undefined {
   if (!fleetSize || !isOn('yielding-openings')) return undefined;
-  const inProgressAt = (service: string, nowMs: number): number => inProgress.countAt(service, nowMs);
+  const inProgressAt = (service: string, nowMs: number): number =>
+    flowsInProgress.countForService(service, nowMs);
   return new CrowdAdmission({ knowledge, fleetSize, inProgressAt });
 }
 
@@ -271,15 +277,24 @@
   { events, knowledge }: CookieForwarderEnvironment,
   shared: SharedParts,
 ): MidFlowHandler {
-  const { isOn, statistics, cookies, cache, states, pending, answers, failures, sender } = shared;
-  const follower = new FlowFollower({ cache, states, pending, answers, failures, statistics, isOn });
+  const { isOn, statistics, cookies, cache, states, pendingOpenings, answerTracker, failures, sender } =
+    shared;
+  const flowTracker = new FlowTracker({
+    cache,
+    states,
+    pendingOpenings,
+    answerTracker,
+    failures,
+    statistics,
+    isOn,
+  });
   return new MidFlowHandler({
     events,
     knowledge,
     cookies,
     states,
     cache,
-    follower,
+    flowTracker,
     sender,
     statistics,
   });
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -1,6 +1,6 @@
 /**
- * The periodic work of forwarding: pauses of the process, unanswered openings, ejections, shared addresses, outliers
- * and expiry. Owns the timer; what is checked belongs to the collaborators.
+ * Periodic work of forwarding: checks for process pauses, unanswered openings, ejections, shared addresses, outliers
+ * and expired flows. Owns only the timer.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { PauseDetector } from '../../common/pause-detector.js';
@@ -12,15 +12,15 @@
 import type { FlowExpiry } from './flow-expiry.js';
 import type { FlowFailures } from './flow-failures.js';
 
-/** What the housekeeping checks. */
+/** Components that housekeeping checks. */
 interface HousekeepingOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   readonly pauses: PauseDetector;
-  readonly pending: PendingOpenings;
-  readonly answers: AnswerTracker;
+  readonly pendingOpenings: PendingOpenings;
+  readonly answerTracker: AnswerTracker;
   readonly states: LocalBackendStates;
-  readonly superseded: SupersededBackends;
+  readonly supersededBackends: SupersededBackends;
   readonly outliers: OutlierDetector;
   readonly failures: FlowFailures;
   readonly expiry: FlowExpiry;
@@ -33,42 +33,45 @@
   /** Runs until `signal` aborts. */
   start(signal: AbortSignal): void {
     let timer: TimerHandle;
-    const arm = (): void => {
+    const scheduleTick = (): void => {
       timer = this.options.clock.schedule(HOUSEKEEPING_TICK_MS, () => {
         this.tick();
-        arm();
+        scheduleTick();
       });
     };
-    arm();
+    scheduleTick();
     signal.addEventListener('abort', () => timer.cancel());
   }
 
   private tick(): void {
-    const { clock, states, superseded, answers, outliers, expiry } = this.options;
+    const { clock, states, supersededBackends, answerTracker, outliers, expiry } = this.options;
     const nowMs = clock.now();
     this.checkPause(nowMs);
-    this.failUnanswered(nowMs);
+    this.reportUnanswered(nowMs);
     states.judgeFailing(nowMs);
-    superseded.reviewAll();
-    answers.check(nowMs);
+    supersededBackends.reviewAll();
+    answerTracker.check(nowMs);
     outliers.check(nowMs);
-    expiry.check(nowMs);
+    expiry.sweepIfDue(nowMs);
   }
 
-  /** Discards pending openings and requests after a pause: with packets unread, answered ones look unanswered. */
+  /**
+   * Detects a pause of the process, and then discards pending openings and requests: their answers may be in packets
+   * not read yet, so answered ones look unanswered.
+   */
   private checkPause(nowMs: number): void {
-    const { pauses, events, pending, answers } = this.options;
+    const { pauses, events, pendingOpenings, answerTracker } = this.options;
     const pausedMs = pauses.recordTick(nowMs);
     if (pausedMs === 0) return;
     events.emit(COOKIE_FLOW_EVENTS.paused, { pausedMs: Math.round(pausedMs) });
-    pending.clear();
-    answers.clear();
+    pendingOpenings.clear();
+    answerTracker.clear();
   }
 
-  private failUnanswered(nowMs: number): void {
-    const { pending, failures } = this.options;
-    for (const flow of pending.takeUnanswered(nowMs)) {
-      pending.settle(flow);
+  private reportUnanswered(nowMs: number): void {
+    const { pendingOpenings, failures } = this.options;
+    for (const flow of pendingOpenings.takeUnanswered(nowMs)) {
+      pendingOpenings.settle(flow);
       failures.report(flow, flow.openedAtMs, nowMs);
     }
   }
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -1,6 +1,7 @@
 /**
- * Handles SYNs: carries out what `syn-rule.ts`, `retransmission-rule.ts` and `placement/new-flow-rule.ts` decide,
- * counts it and has it logged. Owns no state; relies on the flow cache to distinguish retransmissions from new flows.
+ * Handles SYNs: carries out, counts and logs the outcomes of `syn-rule.ts`, `retransmission-rule.ts` and
+ * `placement/new-flow-rule.ts`. Keeps no state of its own. Uses the flow cache to distinguish retransmissions from new
+ * flows.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
 import type { CrowdAdmission } from '../admission/index.js';
@@ -10,39 +11,39 @@
 import type { CookieStatistics } from './cookie-statistics.js';
 import type { Flow, FlowCache } from './flow-cache.js';
 import type { FlowFailures } from './flow-failures.js';
-import { longestHoldMs, type Arrival, type HeldOpenings } from './held-openings.js';
+import { maxHoldMs, type Arrival, type HeldOpenings } from './held-openings.js';
 import type { FlowsInProgress } from './flows-in-progress.js';
 import type { OpeningLog } from './opening-log.js';
 import type { PacketSender } from './packet-sender.js';
 import { decideRetransmission, mayLeaveFirstBackend } from './retransmission-rule.js';
 import { classifySyn } from './syn-rule.js';
-import { isLastCopy, sentAfterMs } from './syn-schedule.js';
+import { isLastTransmission, sinceFirstSynMs } from './syn-schedule.js';
 
-/** What handling SYNs needs. */
+/** Dependencies of `OpeningHandler`. */
 interface OpeningHandlerOptions {
-  readonly newFlows: NewFlowRule;
-  /** True when a packet that is read at this time may have waited through a pause of the process. */
+  readonly newFlowRule: NewFlowRule;
+  /** Returns true if a packet that is read at this time may have waited through a pause of the process. */
   readonly mayHaveWaited: (nowMs: number) => boolean;
   readonly cache: FlowCache;
-  readonly held: HeldOpenings;
-  readonly inProgress: FlowsInProgress;
-  /** Undefined: nothing yields. */
-  readonly crowd?: CrowdAdmission;
-  readonly pending: PendingOpenings;
+  readonly heldOpenings: HeldOpenings;
+  readonly flowsInProgress: FlowsInProgress;
+  /** Decides which openings yield. Undefined if none do. */
+  readonly crowdAdmission?: CrowdAdmission;
+  readonly pendingOpenings: PendingOpenings;
   readonly failures: FlowFailures;
   readonly sender: PacketSender;
   readonly statistics: CookieStatistics;
-  readonly log: OpeningLog;
+  readonly openingLog: OpeningLog;
 }
 
-/** Label of a stale SYN in the metric of dropped packets. */
+/** Label of stale SYNs in the metric of dropped packets. */
 const STALE_SYN_LABEL = 'old-opening';
 
-/** Carries out what the rules decide about SYNs. Times are monotonic ms. */
+/** Applies the rules about SYNs. Times are monotonic ms. */
 export class OpeningHandler {
   constructor(private readonly options: OpeningHandlerOptions) {}
 
-  /** Handles a SYN; `flow` is what is remembered of its addresses. */
+  /** Handles a SYN. `flow` is the cached flow with its addresses, if any. */
   onSyn(packet: CookiePacket, flow: Flow | undefined, arrival: Arrival): void {
     const { nowMs } = arrival;
     const mayHaveWaited = this.options.mayHaveWaited(nowMs);
@@ -50,11 +51,11 @@
     if (kind === 'stale') return this.dropStale(packet);
     if (kind === 'retransmission' && flow) return this.onRetransmission(packet, flow, nowMs);
     if (flow) this.options.cache.remove(flow);
-    const route = this.options.newFlows.routeOf(packet);
+    const route = this.options.newFlowRule.routeOf(packet);
     if (route && this.mustYield(route, packet, arrival)) {
-      return this.options.held.hold(packet, { route, reason: 'yields' }, arrival);
+      return this.options.heldOpenings.hold(packet, { route, reason: 'yields' }, arrival);
     }
-    this.carryOut(this.options.newFlows.decide(packet, nowMs), packet, arrival);
+    this.applyOutcome(this.options.newFlowRule.decide(packet, nowMs), packet, arrival);
   }
 
   private mustYield(
@@ -62,70 +63,74 @@
     { retransmissionCount }: CookiePacket,
     { nowMs, waitedMs }: Arrival,
   ): boolean {
-    const isLastChance = isLastCopy(retransmissionCount) && waitedMs >= longestHoldMs(retransmissionCount);
-    const caller = { waitedMs: waitedMs + sentAfterMs(retransmissionCount), isLastChance };
-    return this.options.crowd?.mustYield(route, caller, nowMs) ?? false;
+    const isLastChance =
+      isLastTransmission(retransmissionCount) && waitedMs >= maxHoldMs(retransmissionCount);
+    const caller = { waitedMs: waitedMs + sinceFirstSynMs(retransmissionCount), isLastChance };
+    return this.options.crowdAdmission?.mustYield(route, caller, nowMs) ?? false;
   }
 
   private dropStale(packet: CookiePacket): void {
     this.options.statistics.countDrop(STALE_SYN_LABEL);
-    this.options.log.droppedStale(packet);
+    this.options.openingLog.logStaleSyn(packet);
   }
 
-  private carryOut(outcome: NewFlowOutcome, packet: CookiePacket, arrival: Arrival): void {
-    const { statistics, sender, log, held } = this.options;
+  private applyOutcome(outcome: NewFlowOutcome, packet: CookiePacket, arrival: Arrival): void {
+    const { statistics, sender, openingLog, heldOpenings } = this.options;
     const { nowMs } = arrival;
     if (outcome.kind === 'hold') {
-      this.options.crowd?.recordReturn(nowMs);
-      return held.hold(packet, { route: outcome.route, reason: 'no-backend' }, arrival);
+      this.options.crowdAdmission?.recordReturn(nowMs);
+      return heldOpenings.hold(packet, { route: outcome.route, reason: 'no-backend' }, arrival);
     }
-    held.forget(packet);
+    heldOpenings.remove(packet);
     if (outcome.kind === 'drop') return statistics.countDrop(outcome.reason);
     if (outcome.kind === 'refuse') {
       statistics.countRefusal(outcome.reason);
-      log.refused(packet, outcome.reason, outcome.route, nowMs);
-      return sender.reset();
+      openingLog.logRefusal(packet, outcome.reason, outcome.route, nowMs);
+      return sender.sendReset();
     }
     const { route, placement } = outcome;
-    this.open(packet, placement, nowMs);
-    log.placed(packet, route, placement);
-    sender.forward(placement.state.backend);
+    this.openFlow(packet, placement, nowMs);
+    openingLog.logPlacement(packet, route, placement);
+    sender.forwardTo(placement.state.backend);
   }
 
-  /** Records a new flow. With a full cache the flow is not remembered, but still forwarded by its cookie. */
-  private open(packet: CookiePacket, placement: Placement, nowMs: number): void {
-    const { newFlows, cache, pending, statistics, crowd, inProgress } = this.options;
-    newFlows.recordPlacement(placement, nowMs);
+  /**
+   * Records a new flow. If the cache is full, the flow is not cached; its packets are still forwarded by their cookie.
+   */
+  private openFlow(packet: CookiePacket, placement: Placement, nowMs: number): void {
+    const { newFlowRule, cache, pendingOpenings, statistics, crowdAdmission, flowsInProgress } = this.options;
+    newFlowRule.recordPlacement(placement, nowMs);
     const flow = cache.add(packet, placement.state, 'opening', nowMs);
-    if (flow) pending.add(flow);
-    if (flow && crowd?.isReturning(nowMs)) inProgress.add(flow);
+    if (flow) pendingOpenings.add(flow);
+    if (flow && crowdAdmission?.isReturning(nowMs)) flowsInProgress.add(flow);
     statistics.opened += 1;
   }
 
   private onRetransmission(packet: CookiePacket, flow: Flow, nowMs: number): void {
-    const { newFlows, pending, failures, sender } = this.options;
+    const { newFlowRule, pendingOpenings, failures, sender } = this.options;
     flow.lastPacketMs = nowMs;
     if (flow.phase === 'opening') {
-      pending.settle(flow);
+      pendingOpenings.settle(flow);
       failures.report(flow, flow.openedAtMs, nowMs);
     }
     if (mayLeaveFirstBackend(flow.phase, flow.state.liveness(nowMs))) {
-      const alternative = newFlows.chooseAgain(packet, nowMs);
-      if (alternative) newFlows.recordPlacement(alternative, nowMs);
+      const alternative = newFlowRule.chooseAgain(packet, nowMs);
+      if (alternative) newFlowRule.recordPlacement(alternative, nowMs);
       const target = decideRetransmission(flow.state, alternative);
-      if (alternative && target === 'another-back-end') this.placeAnew(packet, flow, alternative, nowMs);
+      if (alternative && target === 'another-back-end')
+        this.moveToAlternative(packet, flow, alternative, nowMs);
     }
-    sender.forward(flow.state.backend);
+    sender.forwardTo(flow.state.backend);
   }
 
-  private placeAnew(packet: CookiePacket, flow: Flow, placement: Placement, nowMs: number): void {
-    const { log, statistics, pending, cache } = this.options;
-    log.placedAnew(packet, flow, placement);
+  private moveToAlternative(packet: CookiePacket, flow: Flow, placement: Placement, nowMs: number): void {
+    const { openingLog, statistics, pendingOpenings, cache } = this.options;
+    openingLog.logMove(packet, flow, placement);
     statistics.placedAnew += 1;
-    pending.settle(flow);
-    cache.move(flow, placement.state);
+    pendingOpenings.settle(flow);
+    cache.moveToBackend(flow, placement.state);
     flow.openedAtMs = nowMs;
     flow.isFailureCounted = false;
-    pending.add(flow);
+    pendingOpenings.add(flow);
   }
 }
