--- a/src/cookie-edge/spreading/address-history.test.ts
+++ b/src/cookie-edge/spreading/address-history.test.ts
@@ -1,4 +1,7 @@
-/** No open flow at a back end that serves is reset, in whatever order a new balancer learns of those at its address. */
+/**
+ * Guards against resets of open flows at a live back end: a new balancer receives the records of the back ends at one
+ * address from several sources, in any order, and must not conclude that the live one is gone.
+ */
 import test from 'ava';
 import fc from 'fast-check';
 import { VirtualClock } from '../../common/clock.js';
@@ -16,7 +19,10 @@
 const FIRST_REVISION = 10;
 const REQUEST = { payloadBytes: 100, sequence: 500 };
 
-/** `x` ends and `y` starts at its address. A record may vanish and be written again at any time, also a late one. */
+/**
+ * `x` ends and `y` starts at the same address. At any time a record may vanish and be written again, even after its
+ * end.
+ */
 const STEPS = [
   'remove-x',
   'write-x',
@@ -28,17 +34,17 @@
 ] as const;
 type Step = (typeof STEPS)[number];
 
-/** What a new balancer learns from. */
-const LESSONS = ['list', 'peer', 'roster', 'changes', 'time'] as const;
-type Lesson = (typeof LESSONS)[number];
+/** Sources from which a new balancer receives records; `time` lets 3 s pass. */
+const INPUTS = ['list', 'peer', 'roster', 'changes', 'time'] as const;
+type Input = (typeof INPUTS)[number];
 
-/** The records of the source after each change, and a balancer that has followed all of them. */
+/** Records in the source after each change, and a peer that has applied all of the changes. */
 class History {
   readonly records = new Map<string, RoutedBackend>();
   readonly changes: RoutingUpdate[] = [];
   readonly lists: RoutedBackend[][] = [];
   readonly peer: RoutingKnowledge;
-  live = 'x';
+  liveId = 'x';
 
   constructor(clock: VirtualClock) {
     this.peer = new RoutingKnowledge({ clock, events: SILENT_EVENT_LOG, retentionMs: 60_000 });
@@ -52,13 +58,13 @@
     return FIRST_REVISION + this.changes.length;
   }
 
-  take(step: Step): void {
+  applyStep(step: Step): void {
     const [action, id = 'x', lapsed] = step.split('-');
     if (action === 'start') {
-      if (this.live === 'y') return;
-      this.live = 'y';
+      if (this.liveId === 'y') return;
+      this.liveId = 'y';
     }
-    if (id === 'y' && this.live === 'x') return;
+    if (id === 'y' && this.liveId === 'x') return;
     if (action === 'remove') this.remove(id, lapsed !== undefined);
     else this.write(id);
   }
@@ -87,74 +93,76 @@
   }
 }
 
-/** Joined as a reader's watch or a peer's log joins them. */
-function joined(changes: readonly RoutingUpdate[], revision: number): RoutingUpdate {
-  const last = new Map(changes.flatMap(({ backends }) => backends).map((record) => [record.id, record]));
+/** Joins changes into one update, as a watch of the source or the update log of a peer does. */
+function joinChanges(changes: readonly RoutingUpdate[], revision: number): RoutingUpdate {
+  const latestRecords = new Map(
+    changes.flatMap(({ backends }) => backends).map((record) => [record.id, record]),
+  );
   const removals = changes.flatMap((change) => change.removals);
-  return updateAt(revision, { backends: [...last.values()], removals });
+  return updateAt(revision, { backends: [...latestRecords.values()], removals });
 }
 
-function learn(harness: ForwarderHarness, history: History, lesson: Lesson, age: number): void {
+function applyInput(harness: ForwarderHarness, history: History, input: Input, listAge: number): void {
   const { knowledge, clock } = harness;
   const apply = (update: RoutingUpdate, since: number): void =>
     void knowledge.apply('backends', update, { since, confirmedAtMs: clock.now(), mayHaveLapsed: false });
-  const listed = Math.max(0, history.lists.length - 1 - age);
-  if (lesson === 'time') clock.advance(3_000);
-  if (lesson === 'list') {
-    const update = { complete: true, backends: history.lists[listed] };
-    apply(updateAt(FIRST_REVISION + listed, update), -1);
+  const listIndex = Math.max(0, history.lists.length - 1 - listAge);
+  if (input === 'time') clock.advance(3_000);
+  if (input === 'list') {
+    const update = { complete: true, backends: history.lists[listIndex] };
+    apply(updateAt(FIRST_REVISION + listIndex, update), -1);
   }
-  if (lesson === 'peer') {
-    const whole = completeUpdate(history.peer, 'backends');
-    if (whole) apply(whole.update, -1);
+  if (input === 'peer') {
+    const complete = completeUpdate(history.peer, 'backends');
+    if (complete) apply(complete.update, -1);
   }
-  if (lesson === 'roster' && knowledge.revisionOf('backends') >= 0) {
+  if (input === 'roster' && knowledge.revisionOf('backends') >= 0) {
     for (const { record, departed } of history.peer.backends.all()) {
       knowledge.backends.putRemembered(record, departed);
     }
   }
-  if (lesson === 'changes') {
-    const known = knowledge.revisionOf('backends');
-    const first = known - FIRST_REVISION;
-    if (known >= 0 && first < history.changes.length) {
-      apply(joined(history.changes.slice(first), history.revision), known);
+  if (input === 'changes') {
+    const knownRevision = knowledge.revisionOf('backends');
+    const firstMissing = knownRevision - FIRST_REVISION;
+    if (knownRevision >= 0 && firstMissing < history.changes.length) {
+      apply(joinChanges(history.changes.slice(firstMissing), history.revision), knownRevision);
     }
   }
 }
 
-/** The first lesson after which a packet of a flow at the live back end is answered with a reset. */
-function firstReset(steps: readonly Step[], lessons: readonly Lesson[], age: number): string | undefined {
+/** Returns the first input after which the balancer resets a flow at the live back end; undefined if there is none. */
+function firstReset(steps: readonly Step[], inputs: readonly Input[], listAge: number): string | undefined {
   const clock = new VirtualClock();
   const history = new History(clock);
-  for (const step of steps) history.take(step);
+  for (const step of steps) history.applyStep(step);
   let hasLearntFromPeers = false;
   const harness = new ForwarderHarness(clock, 1, [], { hasLearntFromPeers: () => hasLearntFromPeers });
   const routes = updateAt(1, { complete: true, routes: [tableAt(1, { services: SERVICES })] });
   harness.knowledge.apply('routes', routes, { since: -1, confirmedAtMs: 0, mayHaveLapsed: false });
-  for (const [index, lesson] of lessons.entries()) {
-    learn(harness, history, lesson, age);
-    hasLearntFromPeers ||= lesson === 'peer';
-    const sent = harness.goOn(41_000 + index, hashString(history.live), REQUEST);
-    if (sent && sent.backend === undefined) return lesson;
+  for (const [index, input] of inputs.entries()) {
+    applyInput(harness, history, input, listAge);
+    hasLearntFromPeers ||= input === 'peer';
+    const result = harness.goOn(41_000 + index, hashString(history.liveId), REQUEST);
+    if (result && result.backend === undefined) return input;
     clock.advance(100);
-    const later = harness.goOn(42_000 + index, hashString(history.live), REQUEST);
-    if (later && later.backend === undefined) return `after ${lesson}`;
+    const laterResult = harness.goOn(42_000 + index, hashString(history.liveId), REQUEST);
+    if (laterResult && laterResult.backend === undefined) return `after ${input}`;
   }
   harness.stop();
   return harness.resets.length > 0 ? 'reset without a packet' : undefined;
 }
 
 const steps = fc.array(fc.constantFrom(...STEPS), { minLength: 1, maxLength: 8 });
-const lessons = fc.array(fc.constantFrom(...LESSONS), { minLength: 1, maxLength: 6 });
+const inputs = fc.array(fc.constantFrom(...INPUTS), { minLength: 1, maxLength: 6 });
 
 for (const maxAge of [0, 6]) {
-  test(`no flow at a back end that serves is reset, lists up to ${maxAge} changes old`, (t) => {
+  test(`open flows at a live back end are not reset when lists are up to ${maxAge} changes old`, (t) => {
     const age = fc.integer({ min: 0, max: maxAge });
     const property = fc.property(
       steps,
-      lessons,
+      inputs,
       age,
-      (taken, learned, changesOld) => firstReset(taken, learned, changesOld) === undefined,
+      (stepsTaken, receivedInputs, listAge) => firstReset(stepsTaken, receivedInputs, listAge) === undefined,
     );
     fc.assert(property, { seed: SEED, numRuns: CASES });
     t.pass();
--- a/src/cookie-edge/spreading/bad-answer-outbox.ts
+++ b/src/cookie-edge/spreading/bad-answer-outbox.ts
@@ -1,20 +1,21 @@
 /**
- * Queue of the bad answers to be gossiped. Each daemon sends each report that is new to it in `BAD_ANSWER_PUSHES`
- * pushes, which reaches a whole fleet. Reports that do not fit into one message wait for the next, the newest first, so
- * that the bytes are bounded at any rate of reports. Owns the queue; `gossip-rule.ts` orders it.
+ * Queue of bad-answer reports that wait to be gossiped. A daemon sends each report that is new to it in
+ * `BAD_ANSWER_PUSHES` pushes, which is enough to reach the whole fleet. Reports that do not fit into one message wait
+ * for the next one, newest first, so the traffic stays bounded at any rate of reports. `gossip-rule.ts` defines the
+ * order.
  */
 import type { BadAnswerReport } from '../outliers/index.js';
 import { BAD_ANSWERS_PER_MESSAGE, BAD_ANSWER_GOSSIP_MS, BAD_ANSWER_PUSHES } from './constants.js';
 import { newestReports } from './gossip-rule.js';
 
-/** A report with the pushes that may still carry it. */
+/** A queued report and the number of pushes that will still carry it. */
 interface QueuedReport {
   readonly report: BadAnswerReport;
   readonly atMs: number;
   pushesLeft: number;
 }
 
-/** Queue of reports that wait for a push. Times are monotonic ms. */
+/** Bad-answer reports that wait for a push. Times are monotonic ms. */
 export class BadAnswerOutbox {
   private queue: QueuedReport[] = [];
 
@@ -27,12 +28,12 @@
     return this.queue.length === 0;
   }
 
-  /** Removes expired reports and returns those that the next push carries. */
-  takeForPush(nowMs: number): BadAnswerReport[] {
+  /** Discards expired reports and returns the reports for the next push. */
+  dequeueForPush(nowMs: number): BadAnswerReport[] {
     this.queue = this.queue.filter(({ atMs }) => nowMs - atMs < BAD_ANSWER_GOSSIP_MS);
-    const taken = newestReports(this.queue, BAD_ANSWERS_PER_MESSAGE);
-    for (const queued of taken) queued.pushesLeft -= 1;
+    const batch = newestReports(this.queue, BAD_ANSWERS_PER_MESSAGE);
+    for (const queued of batch) queued.pushesLeft -= 1;
     this.queue = this.queue.filter(({ pushesLeft }) => pushesLeft > 0);
-    return taken.map(({ report }) => report);
+    return batch.map(({ report }) => report);
   }
 }
--- a/src/cookie-edge/spreading/bad-answers.test.ts
+++ b/src/cookie-edge/spreading/bad-answers.test.ts
@@ -1,83 +1,88 @@
-/** How bad answers reach the fleet, and what that costs at the most. */
+/** How bad answers reach the fleet, and the maximum traffic that they cause. */
 import test from 'ava';
 import { BadAnswerOutbox } from './bad-answer-outbox.js';
 import {
   MAX_DATAGRAM_BYTES,
-  BAD_ANSWER_GATHER_MS,
+  BAD_ANSWER_BATCH_MS,
   BAD_ANSWERS_PER_MESSAGE,
   BAD_ANSWER_GOSSIP_MS,
 } from './constants.js';
 import { encodePeerMessage, decodePeerMessage } from './message-codec.js';
-import { settled, type SpreadingCluster } from './spreading-test-support.js';
+import { startSettledCluster, type SpreadingCluster } from './spreading-test-support.js';
 import type { PeerMessage } from './types.js';
 
-/** Time for a report to cross a fleet. */
+/** Time in ms in which a report must reach the fleet. */
 const SPREAD_MS = 1_000;
 
-function tell(cluster: SpreadingCluster, daemon: number, backendId: string, observer = daemon): void {
+function reportBadAnswer(
+  cluster: SpreadingCluster,
+  daemon: number,
+  backendId: string,
+  observer = daemon,
+): void {
   cluster.daemons[daemon]!.spreader.gossipBadAnswer({ backendId, observer, atMs: cluster.clock.now() });
 }
 
-function heardShare(cluster: SpreadingCluster, key: string): number {
-  const heard = cluster.daemons.filter(({ badAnswers }) => badAnswers.has(key)).length;
-  return heard / (cluster.daemons.length - 1);
+function shareOfReceivers(cluster: SpreadingCluster, key: string): number {
+  const receivers = cluster.daemons.filter(({ badAnswerArrivals }) => badAnswerArrivals.has(key)).length;
+  return receivers / (cluster.daemons.length - 1);
 }
 
 for (const size of [7, 30, 146]) {
   test(`a bad answer reaches nearly all of ${size} daemons within a second`, async (t) => {
-    const cluster = await settled(size);
-    tell(cluster, 0, 'b1');
+    const cluster = await startSettledCluster(size);
+    reportBadAnswer(cluster, 0, 'b1');
     await cluster.clock.advanceAsync(SPREAD_MS, 10);
-    t.true(heardShare(cluster, 'b1 0') >= 0.95, `${heardShare(cluster, 'b1 0')}`);
+    t.true(shareOfReceivers(cluster, 'b1 0') >= 0.95, `${shareOfReceivers(cluster, 'b1 0')}`);
   });
 }
 
-test('the teller may be killed right after it has told', async (t) => {
-  const cluster = await settled(30);
-  tell(cluster, 3, 'b1');
-  await cluster.clock.advanceAsync(BAD_ANSWER_GATHER_MS + 20, 10);
+test('a bad answer reaches the fleet although its observer is killed right after the first push', async (t) => {
+  const cluster = await startSettledCluster(30);
+  reportBadAnswer(cluster, 3, 'b1');
+  await cluster.clock.advanceAsync(BAD_ANSWER_BATCH_MS + 20, 10);
   cluster.daemons[3]!.kill(cluster.network);
   await cluster.clock.advanceAsync(SPREAD_MS, 10);
-  t.true(heardShare(cluster, 'b1 3') >= 0.9, `${heardShare(cluster, 'b1 3')}`);
+  t.true(shareOfReceivers(cluster, 'b1 3') >= 0.9, `${shareOfReceivers(cluster, 'b1 3')}`);
 });
 
-test('however many bad answers there are, a daemon sends a bounded number of bytes for them', async (t) => {
-  const cluster = await settled(30);
+test('the bytes that a daemon sends for bad answers are bounded at any rate of reports', async (t) => {
+  const cluster = await startSettledCluster(30);
   const seconds = 4;
-  const quiet = cluster.daemons[5]!.spreader.statistics.bytesSent;
+  const initialBytes = cluster.daemons[5]!.spreader.statistics.bytesSent;
   await cluster.clock.advanceAsync(seconds * 1_000, 10);
-  const before = cluster.daemons[5]!.spreader.statistics.bytesSent;
+  const bytesBefore = cluster.daemons[5]!.spreader.statistics.bytesSent;
   for (let step = 0; step < seconds * 10; step += 1) {
     for (let index = 0; index < 20; index += 1)
-      tell(cluster, (step + index) % 30, `b${index}`, step * 100 + index);
+      reportBadAnswer(cluster, (step + index) % 30, `b${index}`, step * 100 + index);
     await cluster.clock.advanceAsync(100, 10);
   }
-  const after = cluster.daemons[5]!.spreader.statistics.bytesSent;
-  const bytesASecond = (after - before - (before - quiet)) / seconds;
-  t.log({ bytesASecond });
-  t.true(bytesASecond <= 8_000, `${bytesASecond} bytes a second above the usual`);
+  const bytesAfter = cluster.daemons[5]!.spreader.statistics.bytesSent;
+  const bytesPerSecond = (bytesAfter - bytesBefore - (bytesBefore - initialBytes)) / seconds;
+  t.log({ bytesPerSecond });
+  t.true(bytesPerSecond <= 8_000, `${bytesPerSecond} bytes a second above the usual`);
 });
 
-test('the newest go first, each in a few pushes, and old ones not at all', (t) => {
+test('the outbox sends the newest reports first, each in two pushes, and discards expired ones', (t) => {
   const outbox = new BadAnswerOutbox();
   for (let index = 0; index < BAD_ANSWERS_PER_MESSAGE + 4; index += 1) {
     outbox.add({ backendId: `b${index}`, observer: 1, atMs: index });
   }
-  const first = outbox.takeForPush(100).map(({ backendId }) => backendId);
+  const first = outbox.dequeueForPush(100).map(({ backendId }) => backendId);
   t.is(first.length, BAD_ANSWERS_PER_MESSAGE);
   t.is(first[0], `b${BAD_ANSWERS_PER_MESSAGE + 3}`);
   t.deepEqual(
-    outbox.takeForPush(101).map(({ backendId }) => backendId),
+    outbox.dequeueForPush(101).map(({ backendId }) => backendId),
     first,
   );
-  t.is(outbox.takeForPush(102).length, 4);
+  t.is(outbox.dequeueForPush(102).length, 4);
   t.false(outbox.isEmpty);
-  t.deepEqual(outbox.takeForPush(100 + BAD_ANSWER_GOSSIP_MS), []);
+  t.deepEqual(outbox.dequeueForPush(100 + BAD_ANSWER_GOSSIP_MS), []);
   t.true(outbox.isEmpty);
 });
 
-test('a message of bad answers is small, and its ages arrive', async (t) => {
-  const cluster = await settled(7);
+test('a message of bad answers is small and preserves their ages', async (t) => {
+  const cluster = await startSettledCluster(7);
   const nowMs = cluster.clock.now();
   const badAnswers = Array.from({ length: BAD_ANSWERS_PER_MESSAGE }, (_unused, index) => ({
     backendId: `i-012345678${index}`,
@@ -110,8 +115,8 @@
   t.true(decoded.every(({ atMs }, index) => Math.abs(atMs - badAnswers[index]!.atMs) <= 10));
 });
 
-test('an older daemon passes over bad answers, and a newer one over what it does not know', async (t) => {
-  const cluster = await settled(7);
+test('a message without bad answers and one with an unknown field are decoded', async (t) => {
+  const cluster = await startSettledCluster(7);
   const nowMs = cluster.clock.now();
   const message: PeerMessage = {
     type: 'news',
@@ -129,9 +134,9 @@
     tableRevision: -1,
     badAnswers: [],
   };
-  const old = encodePeerMessage(message, nowMs);
-  t.deepEqual(decodePeerMessage(old, nowMs)?.badAnswers, [], 'a message without the field');
+  const withoutField = encodePeerMessage(message, nowMs);
+  t.deepEqual(decodePeerMessage(withoutField, nowMs)?.badAnswers, [], 'a message without the field');
   const unknownField = Uint8Array.of(0xfa, 0x06, 0x02, 0x08, 0x01);
-  const newer = decodePeerMessage(Buffer.concat([old, unknownField]), nowMs);
-  t.is(newer?.senderId, 'a', 'a message with field 111, which nobody knows yet');
+  const decoded = decodePeerMessage(Buffer.concat([withoutField, unknownField]), nowMs);
+  t.is(decoded?.senderId, 'a', 'a message with the unknown field 111');
 });
--- a/src/cookie-edge/spreading/cordons.test.ts
+++ b/src/cookie-edge/spreading/cordons.test.ts
@@ -1,24 +1,26 @@
-/** Cordons reach every daemon in time, whatever happens to the source, to its readers and between daemons. */
+/**
+ * Cordons reach every daemon in time despite faults of the source, of its readers and of the network between daemons.
+ */
 import test from 'ava';
 import {
-  faultReaders,
-  settled,
+  injectReaderFault,
+  startSettledCluster,
   type ClusterOptions,
   type SimulatedDaemon,
   type SpreadingCluster,
 } from './spreading-test-support.js';
 
-/** The clusters' bound for a change is 3 s; a cordon is to be in force everywhere within 0.6 of it. */
+/** The bound for a change is 3 s; a cordon must be in force everywhere within 0.6 of it. In ms. */
 const WITHIN_MS = 1_800;
 
-/** With a fault of the source or of its readers, well within the bound. */
-const WITHIN_IN_TROUBLE_MS = 2_900;
+/** Bound in ms with a fault, just below the 3 s. */
+const WITHIN_WITH_FAULT_MS = 2_900;
 
 const ZONE = 'zone-a';
 
 const CORDONS = { followsCordons: true };
 
-function timeOfCordon(
+function timeUntilCordon(
   cluster: SpreadingCluster,
   isCordoned: boolean,
   daemons: readonly SimulatedDaemon[] = cluster.daemons,
@@ -28,29 +30,29 @@
 }
 
 for (const size of [1, 7, 74, 300]) {
-  test(`${size} daemons: a cordon and its removal are everywhere soon`, async (t) => {
-    const cluster = await settled(size, 1, CORDONS);
+  test(`${size} daemons: a cordon and its removal are soon in force everywhere`, async (t) => {
+    const cluster = await startSettledCluster(size, 1, CORDONS);
     for (let round = 0; round < 3; round += 1) {
       cluster.source.cordon(ZONE);
-      const cordonedMs = await timeOfCordon(cluster, true);
+      const cordonedMs = await timeUntilCordon(cluster, true);
       t.true(cordonedMs <= WITHIN_MS, `cordoned after ${cordonedMs} ms`);
       cluster.source.uncordon(ZONE);
-      const uncordonedMs = await timeOfCordon(cluster, false);
+      const uncordonedMs = await timeUntilCordon(cluster, false);
       t.true(uncordonedMs <= WITHIN_MS, `uncordoned after ${uncordonedMs} ms`);
     }
   });
 }
 
-/** What happens just before a zone is cordoned. */
+/** Faults that occur just before a zone is cordoned. */
 const FAULTS: readonly (readonly [string, (cluster: SpreadingCluster) => void])[] = [
-  ['both readers are killed', (cluster) => cluster.readers().forEach((reader) => cluster.kill(reader))],
-  ['the source refuses the readers', (cluster) => faultReaders(cluster, 'refuse')],
-  ['the source throttles the readers', (cluster) => faultReaders(cluster, 'throttle')],
-  ['the source falls silent for the readers', (cluster) => faultReaders(cluster, 'silent')],
+  ['both readers are killed', (cluster) => cluster.readers().forEach((reader) => cluster.killDaemon(reader))],
+  ['the source refuses the readers', (cluster) => injectReaderFault(cluster, 'refuse')],
+  ['the source throttles the readers', (cluster) => injectReaderFault(cluster, 'throttle')],
+  ['the source falls silent for the readers', (cluster) => injectReaderFault(cluster, 'silent')],
   ['the source refuses a third of the daemons', refuseThird],
-  ['the source forgets its history', (cluster) => cluster.source.forgetHistory()],
+  ['the source discards its history', (cluster) => cluster.source.discardHistory()],
   ['a third of the datagrams is lost', (cluster) => (cluster.network.lossRate = 1 / 3)],
-  ['back ends change all the time', churn],
+  ['back ends change all the time', churnBackends],
 ];
 
 function refuseThird({ source, daemons }: SpreadingCluster): void {
@@ -59,76 +61,79 @@
   });
 }
 
-function churn({ source, clock }: SpreadingCluster): void {
+function churnBackends({ source, clock }: SpreadingCluster): void {
   for (let change = 0; change < 100; change += 1) {
     clock.schedule(change * 50, () => void source.changeBackend(`b-${change % 7}`));
   }
 }
 
-for (const [name, strike] of FAULTS) {
+for (const [name, injectFault] of FAULTS) {
   for (const seed of [1, 2, 3]) {
-    test(`a zone cordoned right after it is cordoned everywhere in time: ${name}, seed ${seed}`, async (t) => {
-      const cluster = await settled(30, seed, CORDONS);
-      strike(cluster);
+    test(`a cordon is in force everywhere in time although ${name}, seed ${seed}`, async (t) => {
+      const cluster = await startSettledCluster(30, seed, CORDONS);
+      injectFault(cluster);
       cluster.source.cordon(ZONE);
-      const tookMs = await timeOfCordon(cluster, true);
-      t.true(tookMs <= WITHIN_IN_TROUBLE_MS, `${tookMs} ms`);
+      const cordonedMs = await timeUntilCordon(cluster, true);
+      t.true(cordonedMs <= WITHIN_WITH_FAULT_MS, `${cordonedMs} ms`);
       cluster.source.uncordon(ZONE);
-      const backMs = await timeOfCordon(cluster, false);
-      t.true(backMs <= WITHIN_IN_TROUBLE_MS, `${backMs} ms`);
+      const uncordonedMs = await timeUntilCordon(cluster, false);
+      t.true(uncordonedMs <= WITHIN_WITH_FAULT_MS, `${uncordonedMs} ms`);
     });
   }
 }
 
-test('a daemon that starts while a zone is cordoned, and one that starts after it, know what is in force', async (t) => {
-  const cluster = await settled(9, 1, CORDONS);
+test('a daemon that starts during a cordon knows it, and one that starts after its removal does not', async (t) => {
+  const cluster = await startSettledCluster(9, 1, CORDONS);
   cluster.source.cordon(ZONE);
-  await timeOfCordon(cluster, true);
-  const during = cluster.add();
-  await cluster.timeUntil(() => during.knowledge.isComplete(), 2_000);
-  t.true(during.knowledge.cordons.has(ZONE));
+  await timeUntilCordon(cluster, true);
+  const startedDuring = cluster.startDaemon();
+  await cluster.timeUntil(() => startedDuring.knowledge.isComplete(), 2_000);
+  t.true(startedDuring.knowledge.cordons.has(ZONE));
   cluster.source.uncordon(ZONE);
-  await timeOfCordon(cluster, false);
-  const after = cluster.add();
-  await cluster.timeUntil(() => after.knowledge.isComplete(), 2_000);
-  t.false(after.knowledge.cordons.has(ZONE));
+  await timeUntilCordon(cluster, false);
+  const startedAfter = cluster.startDaemon();
+  await cluster.timeUntil(() => startedAfter.knowledge.isComplete(), 2_000);
+  t.false(startedAfter.knowledge.cordons.has(ZONE));
 });
 
-test('daemons that all restart while a zone is cordoned place nothing before they know of it', async (t) => {
-  const cluster = await settled(20, 2, CORDONS);
+test('daemons that all restart during a cordon are not complete before they know it', async (t) => {
+  const cluster = await startSettledCluster(20, 2, CORDONS);
   cluster.source.cordon(ZONE);
-  await timeOfCordon(cluster, true);
-  for (const daemon of [...cluster.daemons]) cluster.kill(daemon);
-  for (let index = 0; index < 20; index += 1) cluster.add();
-  const isWrong = ({ knowledge }: SimulatedDaemon): boolean =>
+  await timeUntilCordon(cluster, true);
+  for (const daemon of [...cluster.daemons]) cluster.killDaemon(daemon);
+  for (let index = 0; index < 20; index += 1) cluster.startDaemon();
+  const lacksCordon = ({ knowledge }: SimulatedDaemon): boolean =>
     knowledge.isComplete() && !knowledge.cordons.has(ZONE);
-  const wrongMs = await cluster.timeUntil(() => cluster.daemons.some(isWrong), 4_000);
-  t.is(wrongMs, Number.POSITIVE_INFINITY);
+  const lackingMs = await cluster.timeUntil(() => cluster.daemons.some(lacksCordon), 4_000);
+  t.is(lackingMs, Number.POSITIVE_INFINITY);
   t.true(cluster.daemons.every(({ knowledge }) => knowledge.isComplete()));
 });
 
-test('a zone that is uncordoned and cordoned again at once stays cordoned', async (t) => {
-  const cluster = await settled(30, 3, CORDONS);
+test('a zone that is uncordoned and immediately cordoned again stays cordoned', async (t) => {
+  const cluster = await startSettledCluster(30, 3, CORDONS);
   cluster.source.cordon(ZONE);
-  await timeOfCordon(cluster, true);
+  await timeUntilCordon(cluster, true);
   cluster.source.uncordon(ZONE);
   cluster.source.cordon(ZONE);
   await cluster.clock.advanceAsync(5_000, 10);
   t.true(cluster.daemons.every(({ knowledge }) => knowledge.cordons.has(ZONE)));
 });
 
-/** Calls in a minute of 30 settled daemons. */
+/** Returns the calls to the source by a settled cluster of 30 daemons in a minute. */
 async function callsOf(options: ClusterOptions): Promise<number> {
-  const cluster = await settled(30, 1, options);
-  const before = cluster.source.calls;
+  const cluster = await startSettledCluster(30, 1, options);
+  const callsBefore = cluster.source.calls;
   await cluster.clock.advanceAsync(60_000, 10);
-  return cluster.source.calls - before;
+  return cluster.source.calls - callsBefore;
 }
 
-test('while nothing changes, to follow cordons costs at most 15% more calls than not to', async (t) => {
-  const without = await callsOf({});
-  const withThem = await callsOf(CORDONS);
-  const alike = await callsOf({ ...CORDONS, usesLongWatches: false });
-  t.true(withThem <= 1.15 * without, `${withThem} and ${without}`);
-  t.true(alike >= 1.4 * without, `${alike} without long watches, which shows that the measure can fail`);
+test('following cordons costs at most 15% more calls while nothing changes', async (t) => {
+  const withoutCordons = await callsOf({});
+  const withCordons = await callsOf(CORDONS);
+  const withoutLongWatches = await callsOf({ ...CORDONS, usesLongWatches: false });
+  t.true(withCordons <= 1.15 * withoutCordons, `${withCordons} and ${withoutCordons}`);
+  t.true(
+    withoutLongWatches >= 1.4 * withoutCordons,
+    `${withoutLongWatches} without long watches, so the bound above can fail`,
+  );
 });
--- a/src/cookie-edge/spreading/errors.ts
+++ b/src/cookie-edge/spreading/errors.ts
@@ -1,9 +1,9 @@
-/** Errors of gossip: a socket that cannot be bound, a state that cannot be fetched. */
+/** Errors of gossip: a socket cannot be bound, or the state of a peer cannot be fetched. */
 import { formatEndpoint, SailquayError, type Endpoint } from '../../common/types.js';
 
 type SpreadingErrorKind = 'spreading.bind' | 'spreading.fetch';
 
-/** A socket could not be bound, or a peer could not be read. */
+/** A socket could not be bound, or a fetch from a peer failed. */
 export class SpreadingError extends SailquayError {
   constructor(
     readonly kind: SpreadingErrorKind,
@@ -27,8 +27,8 @@
 export function fetchError(peer: Endpoint, cause: unknown): SpreadingError {
   return new SpreadingError(
     'spreading.fetch',
-    `the peer ${formatEndpoint(peer)} could not be read: ${(cause as Error).message}`,
-    'Nothing to do: another peer is asked',
+    `the fetch from peer ${formatEndpoint(peer)} failed: ${(cause as Error).message}`,
+    'Nothing to do: the daemon retries with another peer',
     { cause },
   );
 }
--- a/src/cookie-edge/spreading/events.ts
+++ b/src/cookie-edge/spreading/events.ts
@@ -5,19 +5,19 @@
   reading: {
     number: 2200,
     level: 'info',
-    message: 'This daemon starts watching the source of routes and back ends',
+    message: 'This daemon starts reading the source of routes and back ends',
     action: 'none',
   },
   standingDown: {
     number: 2201,
     level: 'info',
-    message: 'This daemon stops watching the source; enough other daemons do',
+    message: 'This daemon stops reading the source; enough other daemons read it',
     action: 'none',
   },
   overdue: {
     number: 2202,
     level: 'warn',
-    message: 'No freshness confirmation of routes and back ends for too long; asking peers',
+    message: 'No freshness confirmation of routes and back ends for too long; pulling from peers',
     action: 'Check the source, and the network between daemons',
   },
   currentAgain: {
@@ -31,7 +31,7 @@
     number: 2205,
     level: 'info',
     message: 'Peer removed: no message from it or about it for 15 s',
-    action: 'none when it was stopped',
+    action: 'none if that daemon was stopped',
   },
   malformedMessage: {
     number: 2206,
@@ -49,7 +49,7 @@
     number: 2208,
     level: 'warn',
     message: 'Fetching missing routes or back ends from a peer failed',
-    action: 'none when it is rare; other peers are asked',
+    action: 'none when it is rare; the daemon retries with other peers',
   },
   socketFailed: {
     number: 2209,
--- a/src/cookie-edge/spreading/gossip-rule.ts
+++ b/src/cookie-edge/spreading/gossip-rule.ts
@@ -1,56 +1,59 @@
 /**
- * Rule: what is gossiped, how soon, and to how many peers. Does no input or output; `UpdateSender` keeps the timers,
+ * Rule: what is gossiped, how soon, and to how many peers. Does no input or output; `UpdateSender` owns the timers,
  * `MessageComposer` fills the messages.
  *
- * Prevents two failures: changes and reports that reach the fleet too late, and a fleet whose messages grow with the
- * number of events. A simulated daemon that finds 100 back ends dead within 2 s sends at most 33 messages more than in
- * a calm time, against 96 without the gather time of ejections.
+ * Prevents two failures: changes and reports that reach the fleet too late, and message rates that grow with the number
+ * of events. A daemon that detects 100 dead back ends within 2 s sends at most 33 additional messages; without the
+ * batching delay of ejections it would send 96.
  *
- * Each trigger has its own delay. A change is sent at once unless another one was sent a moment ago; it must be in
- * force everywhere within the freshness bound. Confirmations are sent again after a change, since a peer that a push
- * missed pulls the change when it hears of the newer revision. The first ejection goes out with the next confirmation,
- * further ones are gathered. Bad answers travel in messages of their own. A load report causes no push: the next one
- * without changes carries it, since it may be late.
+ * Each trigger has its own delay:
+ * - A change is sent at once, unless another change was sent a moment ago: it must be in force everywhere within the
+ *   freshness bound.
+ * - Confirmations are repeated after a change, since a peer that missed the push pulls the change when it sees the
+ *   newer revision.
+ * - The first ejection is sent as soon as a confirmation would be; further ones are batched.
+ * - Bad answers are sent in messages of their own.
+ * - A load report triggers no push. The next push without changes carries it, since a delay does no harm.
  *
- * Among reports that do not fit into a message the newest go first; reports of equal age keep their order of arrival. A
- * report whose lifetime has passed is not gossiped, since receivers would not act on it.
+ * If a message cannot hold all reports, the newest go first; reports of equal age keep their order of arrival. Expired
+ * reports are not gossiped, since receivers would ignore them.
  */
 import {
-  BAD_ANSWER_GATHER_MS,
-  CHANGE_GATHER_MS,
-  CONFIRMATION_GATHER_MS,
-  CONFIRMATION_STEP_MS,
-  EJECTION_GATHER_MS,
+  BAD_ANSWER_BATCH_MS,
+  CHANGE_BATCH_MS,
+  CONFIRMATION_BATCH_MS,
+  MIN_CONFIRMATION_ADVANCE_MS,
+  EJECTION_BATCH_MS,
   REPEAT_CONFIRMATION_MS,
 } from './constants.js';
 
-/** Something that other daemons should learn, and that causes a push. */
+/** Event that causes a push to other daemons. */
 export type GossipTrigger = 'change' | 'confirmation' | 'repeated-confirmation' | 'ejection' | 'bad-answer';
 
 /**
- * Returns the delay in ms after which the push that carries it is sent; 0 for at once.
+ * Returns the delay in ms before the push; 0 sends it at once.
  *
  * @param nowMs monotonic ms
- * @param lastPushMs when the last push for the same trigger was sent; minus infinity when there was none
+ * @param lastPushMs monotonic ms of the last push for the same trigger; minus infinity if there was none
  */
 export function pushDelayMs(trigger: GossipTrigger, nowMs: number, lastPushMs: number): number {
   switch (trigger) {
     case 'change':
-      return Math.max(0, lastPushMs + CHANGE_GATHER_MS - nowMs);
+      return Math.max(0, lastPushMs + CHANGE_BATCH_MS - nowMs);
     case 'confirmation':
-      return CONFIRMATION_GATHER_MS;
+      return CONFIRMATION_BATCH_MS;
     case 'repeated-confirmation':
       return REPEAT_CONFIRMATION_MS;
     case 'ejection':
-      return Math.max(CONFIRMATION_GATHER_MS, lastPushMs + EJECTION_GATHER_MS - nowMs);
+      return Math.max(CONFIRMATION_BATCH_MS, lastPushMs + EJECTION_BATCH_MS - nowMs);
     case 'bad-answer':
-      return BAD_ANSWER_GATHER_MS;
+      return BAD_ANSWER_BATCH_MS;
   }
 }
 
-/** Returns whether a received confirmation is so much newer than the known one that it is passed on; ages in ms. */
-export function isConfirmationStep(ageBeforeMs: number, ageAfterMs: number): boolean {
-  return ageBeforeMs - ageAfterMs >= CONFIRMATION_STEP_MS;
+/** Returns whether a received confirmation is enough newer than the previous one to be forwarded; ages in ms. */
+export function shouldForwardConfirmation(previousAgeMs: number, newAgeMs: number): boolean {
+  return previousAgeMs - newAgeMs >= MIN_CONFIRMATION_ADVANCE_MS;
 }
 
 /** Selects up to `limit` reports for a message, the newest first. */
--- a/src/cookie-edge/spreading/index.ts
+++ b/src/cookie-edge/spreading/index.ts
@@ -1,12 +1,12 @@
 /**
- * Gossip between daemons: spreads routes, back ends, cordons and freshness confirmations, so that few daemons read the
- * source. Owns the reader role, the view of peers and the update log; relies on `routing` for knowledge and on a
- * transport for datagrams.
+ * Gossip between daemons: distributes routes, back ends, cordons and freshness confirmations, so that only a few
+ * daemons need to read the source. Owns the reader role, the view of peers and the update log; relies on `routing` for
+ * the knowledge and on a transport for the datagrams.
  *
  * ```ts
  * const transport = await NetworkTransport.open(control, events);
- * const surroundings = { transport, knowledge, clock, random, events };
- * const spreader = new Spreader({ selfId, zone, seeds, ...surroundings, timings, setReading, recordArrival });
+ * const dependencies = { transport, knowledge, clock, random, events };
+ * const spreader = new Spreader({ selfId, zone, seeds, ...dependencies, timings, setReading, recordArrival });
  * spreader.start(signal);
  * ```
  */
--- a/src/cookie-edge/spreading/load-report-size.test.ts
+++ b/src/cookie-edge/spreading/load-report-size.test.ts
@@ -10,10 +10,10 @@
 import { encodePeerMessage } from './message-codec.js';
 import type { PeerMessage } from './types.js';
 
-/** Room for what the message below leaves out: five peers and two confirmations. */
-const REST_BYTES = 200;
+/** Bytes reserved for the fields that the message below omits: five peers and two confirmations. */
+const OTHER_FIELDS_BYTES = 200;
 
-test('the largest report leaves room for the rest of its message', (t) => {
+test('the largest load report leaves room for the other fields of its message', (t) => {
   const message: PeerMessage = {
     type: 'news',
     senderId: 'frontend-halle-mitte-100',
@@ -48,5 +48,5 @@
     ],
   };
   const { length } = encodePeerMessage(message, 60_000);
-  t.true(length <= MAX_DATAGRAM_BYTES - REST_BYTES, `${length} bytes`);
+  t.true(length <= MAX_DATAGRAM_BYTES - OTHER_FIELDS_BYTES, `${length} bytes`);
 });
--- a/src/cookie-edge/spreading/message-channel.ts
+++ b/src/cookie-edge/spreading/message-channel.ts
@@ -1,6 +1,6 @@
 /**
- * Sends and receives messages between daemons: encodes, decodes, bounds the size of datagrams, and counts. Owns the
- * counters; relies on the transport for the sockets.
+ * Sends and receives messages between daemons: encodes and decodes them, limits the size of datagrams, and counts. Owns
+ * the counters; relies on the transport for the sockets.
  */
 import type { Clock } from '../../common/clock.js';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
@@ -10,7 +10,6 @@
 import { decodePeerMessage, encodePeerMessage } from './message-codec.js';
 import type { KnownRevisions, PeerMessage, PeerTransport } from './types.js';
 
-/** Collaborators of a channel. */
 interface MessageChannelOptions {
   readonly transport: PeerTransport;
   readonly clock: Clock;
@@ -25,13 +24,13 @@
   messagesReceived: number;
   bytesSent: number;
   bytesReceived: number;
-  /** Pull requests sent, greetings of seeds apart. */
+  /** Pull requests sent, except the periodic ones to seeds. */
   pulls: number;
   /** Received messages that could not be decoded. */
   malformed: number;
 }
 
-/** Messages of one daemon. Call `serve` once. */
+/** Message channel of one daemon. Call `serve` once. */
 export class MessageChannel {
   readonly counts: MessageCounts = {
     messagesSent: 0,
@@ -44,7 +43,7 @@
 
   constructor(private readonly options: MessageChannelOptions) {}
 
-  /** Registers the receiver of messages, and the composer of the state that peers fetch. */
+  /** Registers the handler of received messages, and the function that composes the state for fetches of peers. */
   serve(
     receive: (message: PeerMessage, from: Endpoint, nowMs: number) => void,
     composeState: (known: KnownRevisions) => PeerMessage,
@@ -61,8 +60,8 @@
   }
 
   /**
-   * Sends a message to each of some peers; encoded once, which takes longer than sending. Updates that do not fit are
-   * left out.
+   * Sends a message to several peers. Encodes it only once, since encoding takes longer than sending. If the message
+   * exceeds a datagram, it is sent without its updates.
    */
   send(to: readonly Endpoint[], message: PeerMessage): void {
     const nowMs = this.options.clock.now();
--- a/src/cookie-edge/spreading/message-codec.test.ts
+++ b/src/cookie-edge/spreading/message-codec.test.ts
@@ -1,6 +1,4 @@
-/**
- * Round trips of message fields: regions of routes, rates of cold back ends, cordons and their removals.
- */
+/** Encoding and decoding preserve regions of routes, rates of cold back ends, cordons and their removals. */
 import test from 'ava';
 import type { RouteTable, RoutingUpdate } from '../routing/index.js';
 import { applyTableChange, compareTables } from '../routing/route-table-change.js';
@@ -29,8 +27,8 @@
   };
 }
 
-/** An update after a way through the codec. */
-function received(update: SpreadUpdate): RoutingUpdate | undefined {
+/** Encodes and decodes an update. */
+function throughCodec(update: SpreadUpdate): RoutingUpdate | undefined {
   return decodePeerMessage(encodePeerMessage(messageWith(update), NOW_MS), NOW_MS)?.updates[0]?.update;
 }
 
@@ -42,58 +40,58 @@
   ],
 });
 
-test('regions of routes and rates of cold back ends arrive', (t) => {
+test('regions of routes and rates of cold back ends are preserved', (t) => {
   const update = updateAt(5, { complete: true, routes: [limited] });
-  t.deepEqual(received({ topic: 'routes', since: -1, update })?.routes, [limited]);
+  t.deepEqual(throughCodec({ topic: 'routes', since: -1, update })?.routes, [limited]);
 });
 
-test('the urgency of routes arrives, and its change is a change of the route', (t) => {
+test('the priority of routes is preserved, and its change is a change of the route', (t) => {
   const [route] = tableAt(5).routes;
-  const urgent = tableAt(6, { routes: [{ ...route!, priority: 0, targetLatencyMs: 261 }] });
-  const update = updateAt(6, { complete: true, routes: [urgent] });
-  t.deepEqual(received({ topic: 'routes', since: -1, update })?.routes, [urgent]);
-  t.is(compareTables(tableAt(5), urgent).routes.length, 1);
+  const prioritized = tableAt(6, { routes: [{ ...route!, priority: 0, targetLatencyMs: 261 }] });
+  const update = updateAt(6, { complete: true, routes: [prioritized] });
+  t.deepEqual(throughCodec({ topic: 'routes', since: -1, update })?.routes, [prioritized]);
+  t.is(compareTables(tableAt(5), prioritized).routes.length, 1);
 });
 
-test('whether a departed back end may only have lapsed arrives', (t) => {
+test('the lapsed flag of departed back ends is preserved', (t) => {
   const departed = [
     { record: backendAt('a', 5), departedAtMs: NOW_MS - 1_000, lapsed: true },
     { record: backendAt('b', 6), departedAtMs: NOW_MS - 1_000 },
   ];
-  const arrived = received({
+  const decoded = throughCodec({
     topic: 'backends',
     since: -1,
     update: updateAt(7, { complete: true, departed }),
   });
   t.deepEqual(
-    arrived?.departed?.map(({ lapsed }) => lapsed),
+    decoded?.departed?.map(({ lapsed }) => lapsed),
     [true, undefined],
   );
 });
 
-test('whether the sender believes its list arrives; one that does not say believes it', (t) => {
+test('the unsettled flag of the sender is preserved, and a missing flag means settled', (t) => {
   const message = messageWith({ topic: 'backends', since: 5, update: updateAt(6) });
-  const arrived = (unsettled: boolean) =>
+  const decodedFlag = (unsettled: boolean) =>
     decodePeerMessage(encodePeerMessage({ ...message, unsettled }, NOW_MS), NOW_MS)?.unsettled;
-  t.true(arrived(true));
-  t.false(arrived(false));
+  t.true(decodedFlag(true));
+  t.false(decodedFlag(false));
 });
 
-test('cordons and their removals arrive', (t) => {
+test('cordons and their removals are preserved', (t) => {
   const update = updateAt(9, {
     cordons: [{ zone: 'north', revision: 8 }],
     cordonRemovals: [{ zone: 'south', revision: 9 }],
   });
-  const { cordons, cordonRemovals } = received({ topic: 'cordons', since: 7, update }) ?? {};
+  const { cordons, cordonRemovals } = throughCodec({ topic: 'cordons', since: 7, update }) ?? {};
   t.deepEqual(cordons, update.cordons);
   t.deepEqual(cordonRemovals, update.cordonRemovals);
 });
 
-test('a change of nothing but the regions of a route is a change, and leads to the table that it should', (t) => {
+test('a change of only the regions of a route is encoded and leads to the new table', (t) => {
   const after = { ...limited, revision: 6, routes: tableAt(6).routes };
   const change = compareTables(limited, after);
   t.is(change.routes.length, 1);
   const update = updateAt(6, { routeChange: change });
-  const arrived = received({ topic: 'routes', since: 5, update })?.routeChange;
-  t.deepEqual(applyTableChange(limited, arrived!), after);
+  const decoded = throughCodec({ topic: 'routes', since: 5, update })?.routeChange;
+  t.deepEqual(applyTableChange(limited, decoded!), after);
 });
--- a/src/cookie-edge/spreading/message-codec.ts
+++ b/src/cookie-edge/spreading/message-codec.ts
@@ -1,11 +1,11 @@
 /**
- * Encodes and decodes messages between daemons. Relies on `update-codec.ts` for the updates in them. A field that is
- * missing on the wire gets the default of its type, since a sender may be older than this build.
+ * Encodes and decodes messages between daemons. Relies on `update-codec.ts` for the updates in them. A missing field
+ * decodes to the default of its type, since the sender may run an older version.
  */
 import type { LoadReport } from '../load/index.js';
 import type { BadAnswerReport } from '../outliers/index.js';
 import type { RoutingTopic, TopicConfirmation } from '../routing/index.js';
-import { NOTHING_KNOWN, TRANSIT_MS } from './constants.js';
+import { NOTHING_KNOWN, ASSUMED_NETWORK_DELAY_MS } from './constants.js';
 import { sailquay } from './pb/spreading.js';
 import type { EjectionReport, Peer, PeerMessage, ReaderSighting } from './types.js';
 import { decodeUpdate, encodeUpdate } from './update-codec.js';
@@ -15,7 +15,7 @@
   decodeEpoch,
   encodeEndpoint,
   encodeEpoch,
-  keyOf,
+  findKeyByNumber,
   MAX_AGE_MS,
   timeOfAge,
   TOPIC_NUMBERS,
@@ -31,10 +31,10 @@
   state: wire.MessageType.STATE,
 } as const;
 
-/** Levels of load travel as whole sixteenths. */
-const LEVEL_PARTS = 16;
+/** Load levels are encoded as integers, in sixteenths. */
+const LOAD_LEVEL_SCALE = 16;
 
-/** Encodes a message as of `nowMs`. */
+/** Encodes a message that is sent at `nowMs`. */
 export function encodePeerMessage(message: PeerMessage, nowMs: number): Uint8Array {
   const confirmations = Object.entries(message.confirmations) as [RoutingTopic, TopicConfirmation][];
   return wire.PeerMessage.encode({
@@ -69,21 +69,21 @@
   }).finish();
 }
 
-/** Decodes a message that arrived at `nowMs`; undefined when it is malformed, which the caller counts and logs. */
+/** Decodes a message received at `nowMs`. Returns undefined for a malformed one; the caller counts and logs it. */
 export function decodePeerMessage(bytes: Uint8Array, nowMs: number): PeerMessage | undefined {
   try {
-    return fromWire(wire.PeerMessage.decode(bytes), nowMs);
+    return decodeWireMessage(wire.PeerMessage.decode(bytes), nowMs);
   } catch {
-    // Bytes that are no message come from anywhere; the parser's error says no more than that.
+    // Any host may send arbitrary bytes; the parser error carries no further information.
     return undefined;
   }
 }
 
-function fromWire(message: WireMessage, nowMs: number): PeerMessage | undefined {
-  const type = keyOf(TYPE_NUMBERS, message.type);
+function decodeWireMessage(message: WireMessage, nowMs: number): PeerMessage | undefined {
+  const type = findKeyByNumber(TYPE_NUMBERS, message.type);
   const { senderId } = message;
   if (!type || !senderId) return undefined;
-  const sentMs = nowMs - TRANSIT_MS;
+  const sentMs = nowMs - ASSUMED_NETWORK_DELAY_MS;
   return {
     type,
     senderId,
@@ -94,7 +94,7 @@
     unsettled: message.unsettled ?? false,
     confirmations: decodeConfirmations(message, sentMs),
     updates: (message.updates ?? []).flatMap((update) => decodeUpdate(update, sentMs) ?? []),
-    ...decodeFleet(message, sentMs),
+    ...decodeReadersAndPeers(message, sentMs),
     ...decodeReports(message, sentMs),
   };
 }
@@ -102,7 +102,7 @@
 function decodeConfirmations({ proofs }: WireMessage, sentMs: number): PeerMessage['confirmations'] {
   const confirmations: Partial<Record<RoutingTopic, TopicConfirmation>> = {};
   for (const { topic, revision, changedRevision, ageMs, epoch } of proofs ?? []) {
-    const name = keyOf(TOPIC_NUMBERS, topic);
+    const name = findKeyByNumber(TOPIC_NUMBERS, topic);
     if (!name) continue;
     const confirmedAtMs = ageMs === MAX_AGE_MS ? Number.NEGATIVE_INFINITY : timeOfAge(ageMs, sentMs);
     confirmations[name] = {
@@ -115,8 +115,8 @@
   return confirmations;
 }
 
-/** Daemons that a message names. */
-function decodeFleet(
+/** Decodes the readers and peers in a message. */
+function decodeReadersAndPeers(
   { readers, peers }: WireMessage,
   sentMs: number,
 ): Pick<PeerMessage, 'readers' | 'peers'> {
@@ -133,7 +133,7 @@
   };
 }
 
-/** Reports about back ends in a message. */
+/** Decodes the reports about back ends in a message. */
 function decodeReports(
   { suspicions, loads, badAnswers }: WireMessage,
   sentMs: number,
@@ -158,7 +158,7 @@
     ageMs: ageOf(nowMs, measuredAtMs),
     validMs,
     tags: busy.map(({ tag }) => tag),
-    sixteenths: busy.map(({ level }) => Math.round(level * LEVEL_PARTS)),
+    sixteenths: busy.map(({ level }) => Math.round(level * LOAD_LEVEL_SCALE)),
   };
 }
 
@@ -167,6 +167,6 @@
     page: page ?? 0,
     measuredAtMs: timeOfAge(ageMs, sentMs),
     validMs: validMs ?? 0,
-    busy: (tags ?? []).map((tag, index) => ({ tag, level: (sixteenths?.[index] ?? 0) / LEVEL_PARTS })),
+    busy: (tags ?? []).map((tag, index) => ({ tag, level: (sixteenths?.[index] ?? 0) / LOAD_LEVEL_SCALE })),
   };
 }
--- a/src/cookie-edge/spreading/message-composer.ts
+++ b/src/cookie-edge/spreading/message-composer.ts
@@ -1,6 +1,7 @@
 /**
- * Composes gossip messages: revisions and their freshness, changes, readers of the source, peers, ejections, load and
- * bad answers. Owns the reports that wait for a push; reads everything else from the parts that own it.
+ * Composes gossip messages: revisions and their freshness, changes, readers of the source, peers, ejections, load
+ * reports and bad answers. Owns the load reports and bad answers that wait for a push; reads everything else from its
+ * owners.
  */
 import type { Clock } from '../../common/clock.js';
 import type { LoadReport } from '../load/index.js';
@@ -18,7 +19,6 @@
 import type { KnownRevisions, KnownTopic, PeerMessage, SpreadUpdate } from './types.js';
 import { completeUpdate, type UpdateLog } from './update-log.js';
 
-/** Collaborators of a composer. */
 interface MessageComposerOptions {
   readonly selfId: string;
   readonly zone: string;
@@ -28,73 +28,75 @@
   readonly role: ReaderRole;
   readonly log: UpdateLog;
   readonly ejections: RecentEjections;
-  /** True while back ends that live may be missing from the list. */
+  /** True while live back ends may be missing from the list of this daemon. */
   readonly isUnsettled: () => boolean;
 }
 
 /** Composes the messages of one daemon. */
 export class MessageComposer {
-  /** Monotonic ms of the last confirmation that this daemon read itself. */
+  /** Monotonic ms of the last confirmation that this daemon read from the source itself. */
   private ownConfirmationMs = Number.NEGATIVE_INFINITY;
   /** Load reports that wait for a push. */
-  private loads: readonly LoadReport[] = [];
+  private pendingLoadReports: readonly LoadReport[] = [];
   /** Bad answers that wait for a push. */
-  readonly badAnswers = new BadAnswerOutbox();
+  readonly badAnswerOutbox = new BadAnswerOutbox();
 
   constructor(private readonly options: MessageComposerOptions) {}
 
-  /** Records that the source just confirmed something to this daemon. */
+  /** Records that this daemon just received a confirmation from the source. */
   recordOwnConfirmation(): void {
     this.ownConfirmationMs = this.options.clock.now();
   }
 
-  /** What this daemon knows, with the changes in `updates`. */
+  /** Composes a push or a pull response: the known revisions, and the changes in `updates`. */
   updateMessage(updates: readonly SpreadUpdate[] = []): PeerMessage {
-    return this.message('news', updates);
+    return this.composeMessage('news', updates);
   }
 
-  /** Requests what this daemon lacks. */
+  /** Composes a request for the changes that this daemon lacks. */
   pullRequest(): PeerMessage {
-    return this.message('pull', []);
+    return this.composeMessage('pull', []);
   }
 
-  /** Announces that this daemon stops. */
-  farewell(): PeerMessage {
+  /** Composes the announcement that this daemon stops. */
+  leaveMessage(): PeerMessage {
     return { ...this.updateMessage(), leaving: true };
   }
 
-  /** The changes that the requester lacks, as far as the log reaches back; what it does not cover is left out. */
+  /**
+   * Composes the response to a pull request: the changes that the requester lacks, without topics that the log misses.
+   */
   pullResponse(request: PeerMessage): PeerMessage {
     const { knowledge, log } = this.options;
     const updates = knowledge.topics.flatMap((topic) => {
       const { epoch, revision } = request.confirmations[topic] ?? { revision: NOTHING_KNOWN };
       const known = { epoch, revision, table: request.tableRevision };
-      return lacks(knowledge, topic, known) ? (log.since(topic, known) ?? []) : [];
+      return hasChangesSince(knowledge, topic, known) ? (log.since(topic, known) ?? []) : [];
     });
     return this.updateMessage(updates);
   }
 
-  /** Everything beyond `known`: the changes of topics that the log covers, the whole of the others. */
-  state(known: KnownRevisions): PeerMessage {
+  /** Composes the response to a fetch: the changes after `known` where the log covers them, else the complete topic. */
+  stateMessage(known: KnownRevisions): PeerMessage {
     const { knowledge, log } = this.options;
     const updates = knowledge.topics.flatMap((topic) => {
       const knownTopic = { epoch: known.epoch, revision: known[topic], table: known.table };
-      if (!lacks(knowledge, topic, knownTopic)) return [];
+      if (!hasChangesSince(knowledge, topic, knownTopic)) return [];
       return log.since(topic, knownTopic) ?? completeUpdate(knowledge, topic) ?? [];
     });
-    return this.message('state', updates);
+    return this.composeMessage('state', updates);
   }
 
-  /** A push without changes. Carries waiting load reports, each once from each daemon. */
+  /** Composes a push without changes. It carries the pending load reports; each daemon sends each of them once. */
   confirmationMessage(): PeerMessage {
-    const { loads } = this;
-    this.loads = [];
-    return { ...this.updateMessage(), loads };
+    const { pendingLoadReports } = this;
+    this.pendingLoadReports = [];
+    return { ...this.updateMessage(), loads: pendingLoadReports };
   }
 
   /**
-   * Bad answers and nothing else: there may be several such messages a second, and decoding a full message takes
-   * about as long as forwarding ten packets.
+   * Composes a push that carries only bad answers. A daemon may send several of them a second, and decoding a full
+   * message takes about as long as forwarding ten packets.
    */
   badAnswerMessage(): PeerMessage {
     const { selfId, zone, clock } = this.options;
@@ -112,20 +114,23 @@
       departedCount: 0,
       tableRevision: NOTHING_KNOWN,
       unsettled: false,
-      badAnswers: this.badAnswers.takeForPush(clock.now()),
+      badAnswers: this.badAnswerOutbox.dequeueForPush(clock.now()),
     };
   }
 
-  /** Adds a report to the next push without changes, replacing an older one of its page. */
+  /** Adds a report to the next push without changes. It replaces a pending report of the same page. */
   addLoadReport(report: LoadReport): void {
-    this.loads = [...this.loads.filter(({ page }) => page !== report.page), report].slice(-LOADS_PER_MESSAGE);
+    this.pendingLoadReports = [
+      ...this.pendingLoadReports.filter(({ page }) => page !== report.page),
+      report,
+    ].slice(-LOADS_PER_MESSAGE);
   }
 
-  private message(type: PeerMessage['type'], updates: readonly SpreadUpdate[]): PeerMessage {
+  private composeMessage(type: PeerMessage['type'], updates: readonly SpreadUpdate[]): PeerMessage {
     const { selfId, zone, knowledge, clock, role, peers, ejections, isUnsettled } = this.options;
     const nowMs = clock.now();
     const hasConfirmed = role.isReading && Number.isFinite(this.ownConfirmationMs);
-    const self = hasConfirmed ? [{ id: selfId, confirmedAtMs: this.ownConfirmationMs }] : [];
+    const ownReader = hasConfirmed ? [{ id: selfId, confirmedAtMs: this.ownConfirmationMs }] : [];
     return {
       type,
       senderId: selfId,
@@ -139,13 +144,13 @@
       departedCount: knowledge.backends.departedCount,
       tableRevision: knowledge.tableRevision,
       unsettled: isUnsettled(),
-      readers: [...self, ...role.leadingReaders(nowMs, READERS_PER_MESSAGE)],
-      peers: peers.introduce(PEERS_PER_MESSAGE),
+      readers: [...ownReader, ...role.leadingReaders(nowMs, READERS_PER_MESSAGE)],
+      peers: peers.peersToAdvertise(PEERS_PER_MESSAGE),
     };
   }
 }
 
-/** Revisions up to which each topic is known, in the latest epoch of any. */
+/** Returns the known revision of each topic in the latest known epoch, -1 for a topic known in earlier epochs only. */
 export function knownRevisionsOf(knowledge: RoutingKnowledge): KnownRevisions {
   const epoch = Math.max(...knowledge.topics.map((topic) => knowledge.epochOf(topic)));
   const revisionOf = (topic: RoutingTopic): number =>
@@ -159,8 +164,8 @@
   };
 }
 
-/** True when `knowledge` has changes of a topic that whoever knows `known` lacks. */
-function lacks(knowledge: RoutingKnowledge, topic: RoutingTopic, known: KnownTopic): boolean {
+/** Returns whether `knowledge` has changes of a topic that are newer than `known`. */
+function hasChangesSince(knowledge: RoutingKnowledge, topic: RoutingTopic, known: KnownTopic): boolean {
   const { epoch, changedRevision } = knowledge.confirmationOf(topic);
   return isBefore(known, { epoch, revision: changedRevision });
 }
--- a/src/cookie-edge/spreading/minimum-retry-delay.test.ts
+++ b/src/cookie-edge/spreading/minimum-retry-delay.test.ts
@@ -14,12 +14,12 @@
   { name: 'an outage of the whole fleet', change: {}, delayMs: 10_000 },
   { name: 'few daemons', change: { daemons: READS_PER_SECOND }, delayMs: 0 },
   { name: 'pacing switched off', change: { isPaced: false }, delayMs: 0 },
-  { name: 'nothing to serve with yet', change: { isComplete: false }, delayMs: 0 },
+  { name: 'no complete data yet', change: { isComplete: false }, delayMs: 0 },
   { name: 'a current confirmation', change: { ageMs: 1_799 }, delayMs: 0 },
 ];
 
 for (const { name, change, delayMs } of CASES) {
-  test(`${name}: ${delayMs} ms at the least before the next call`, (t) => {
+  test(`${name}: the next call is at least ${delayMs} ms later`, (t) => {
     t.is(minimumRetryDelayMs({ ...OUTAGE, ...change }), delayMs);
   });
 }
--- a/src/cookie-edge/spreading/network-transport.ts
+++ b/src/cookie-edge/spreading/network-transport.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between daemons over the network: datagrams over UDP, the whole state over HTTP at the same port. Owns
- * both sockets; relies on its user to encode and decode.
+ * Network transport between daemons: datagrams over UDP, the state over HTTP on the same port number. Owns both
+ * sockets; its caller encodes and decodes.
  */
 import { createSocket, type Socket } from 'node:dgram';
 import { createServer, get as httpGet, type IncomingMessage, type Server } from 'node:http';
@@ -13,18 +13,18 @@
 import { SPREADING_EVENTS } from './events.js';
 import type { DatagramReceiver, KnownRevisions, PeerTransport, StateProvider } from './types.js';
 
-/** Path of the state; the query names the revisions that the requester knows. */
+/** HTTP path of the state. The query carries the revisions that the requester knows. */
 const STATE_PATH = '/state';
 const CONTENT_TYPE = 'application/x-protobuf';
 
-/** Largest state in bytes that is read. Bounds memory. */
+/** Maximum size in bytes of a fetched state. Bounds memory. */
 const MAX_STATE_BYTES = 16_777_216;
 
-/** Transport of one daemon. */
+/** UDP and HTTP sockets of one daemon. */
 export class NetworkTransport implements PeerTransport {
   private receive: DatagramReceiver = () => undefined;
   private provideState: StateProvider = () => new Uint8Array();
-  private closed = false;
+  private isClosed = false;
 
   private constructor(
     private readonly socket: Socket,
@@ -33,7 +33,7 @@
     private readonly events: EventLog,
   ) {
     socket.on('message', (bytes, remote) => this.receive(bytes, { host: remote.address, port: remote.port }));
-    socket.on('error', (error) => this.report(error));
+    socket.on('error', (error) => this.reportSocketError(error));
     server.on('request', (request, response) => {
       const known = request.method === 'GET' ? parseStatePath(request.url ?? '') : undefined;
       response.writeHead(known ? 200 : 404, { 'content-type': CONTENT_TYPE, connection: 'close' });
@@ -41,7 +41,7 @@
     });
   }
 
-  /** Binds both sockets; port 0 lets the kernel choose. Throws `spreading.bind`. */
+  /** Binds both sockets; with port 0 the kernel assigns a port. Throws `spreading.bind`. */
   static async open(address: Endpoint, events: EventLog): Promise<NetworkTransport> {
     const server = createServer();
     server.requestTimeout = FETCH_TIMEOUT_MS;
@@ -72,9 +72,9 @@
   }
 
   send(to: Endpoint, bytes: Uint8Array): void {
-    if (this.closed) return;
+    if (this.isClosed) return;
     this.socket.send(bytes, to.port, to.host, (error) => {
-      if (error) this.report(error);
+      if (error) this.reportSocketError(error);
     });
   }
 
@@ -93,7 +93,7 @@
   }
 
   async close(): Promise<void> {
-    this.closed = true;
+    this.isClosed = true;
     this.server.closeAllConnections();
     await Promise.all([
       new Promise<void>((resolve) => this.server.close(() => resolve())),
@@ -101,7 +101,7 @@
     ]);
   }
 
-  private report(error: Error): void {
+  private reportSocketError(error: Error): void {
     this.events.emit(SPREADING_EVENTS.socketFailed, { error: error.message });
   }
 }
@@ -111,28 +111,28 @@
   return `${STATE_PATH}?${revisions}&epoch=${epoch}`;
 }
 
-/** Revisions that a requester knows; undefined for another path. A revision that is not named counts as unknown. */
+/** Parses the revisions that a requester knows; undefined for any other path. Missing revisions count as unknown. */
 function parseStatePath(path: string): KnownRevisions | undefined {
   const [name, query] = path.split('?');
   if (name !== STATE_PATH) return undefined;
   const parameters = new URLSearchParams(query);
-  const revision = (topic: string): number => Number(parameters.get(topic) ?? NOTHING_KNOWN);
+  const revisionOf = (topic: string): number => Number(parameters.get(topic) ?? NOTHING_KNOWN);
   return {
     epoch: Number(parameters.get('epoch') ?? 0),
-    routes: revision('routes'),
-    backends: revision('backends'),
-    cordons: revision('cordons'),
-    table: revision('table'),
+    routes: revisionOf('routes'),
+    backends: revisionOf('backends'),
+    cordons: revisionOf('cordons'),
+    table: revisionOf('table'),
   };
 }
 
 async function readBody(response: IncomingMessage): Promise<Uint8Array> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let bytes = 0;
-  for await (const part of response as AsyncIterable<Buffer>) {
-    bytes += part.length;
+  for await (const chunk of response as AsyncIterable<Buffer>) {
+    bytes += chunk.length;
     if (bytes > MAX_STATE_BYTES) throw new RangeError(`the state is longer than ${MAX_STATE_BYTES} bytes`);
-    parts.push(part);
+    chunks.push(chunk);
   }
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
--- a/src/cookie-edge/spreading/owners.test.ts
+++ b/src/cookie-edge/spreading/owners.test.ts
@@ -1,4 +1,4 @@
-/** Which daemons own a key: those that know the same peers agree. */
+/** Daemons that know the same peers agree on the owners of a key. */
 import test from 'ava';
 import { seededRandom } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
@@ -12,7 +12,7 @@
   return { host: `10.${index >> 14}.${(index >> 6) & 0xff}.${(index & 0x3f) + 1}`, port: 7_720 };
 }
 
-/** The views of `size` daemons that have all heard of each other. */
+/** Returns the views of `size` daemons, each of which has recorded all others. */
 function viewsOf(size: number): PeerView[] {
   const addresses = Array.from({ length: size }, (_unused, index) => addressOf(index));
   return addresses.map((self, index) => {
@@ -24,12 +24,15 @@
 }
 
 for (const size of [1, 2, 7, 74, 300, 600]) {
-  test(`${size} daemons: each key has ${Math.min(size, OWNERS)} owners, and keys are spread`, (t) => {
+  test(`${size} daemons: each key has ${Math.min(size, OWNERS)} owners, and keys are distributed evenly`, (t) => {
     const views = viewsOf(size);
-    const owned = views.map((view) => KEYS.filter((key) => view.isOwner(key, OWNERS)).length);
-    const perKey = KEYS.map((key) => views.filter((view) => view.isOwner(key, OWNERS)).length);
-    t.deepEqual(new Set(perKey), new Set([Math.min(size, OWNERS)]));
-    const holders = Math.min(size, size <= 128 ? size : 32);
-    t.true(Math.max(...owned) <= (4 * OWNERS * KEYS.length) / holders + 4, `${Math.max(...owned)}`);
+    const keysPerDaemon = views.map((view) => KEYS.filter((key) => view.isOwner(key, OWNERS)).length);
+    const ownersPerKey = KEYS.map((key) => views.filter((view) => view.isOwner(key, OWNERS)).length);
+    t.deepEqual(new Set(ownersPerKey), new Set([Math.min(size, OWNERS)]));
+    const ownerCandidates = Math.min(size, size <= 128 ? size : 32);
+    t.true(
+      Math.max(...keysPerDaemon) <= (4 * OWNERS * KEYS.length) / ownerCandidates + 4,
+      `${Math.max(...keysPerDaemon)}`,
+    );
   });
 }
--- a/src/cookie-edge/spreading/peer-choice.ts
+++ b/src/cookie-edge/spreading/peer-choice.ts
@@ -1,49 +1,50 @@
 /**
- * Rule: which peers get a push, and which daemons own a key. Does no input or output; `PeerView` keeps the peers and
- * their turns.
+ * Rule: which peers receive a push, and which daemons own a key. Does no input or output; `PeerView` stores the peers
+ * and their turns.
  *
- * Prevents pushes that miss the same peers again and again, as random choices do, and a daemon alone in its zone that
- * gets few messages. Bytes between zones cost more than others, so most of a push stays in the zone.
+ * Pushes take turns among the peers: random choices could miss the same peers repeatedly, and a daemon alone in its
+ * zone would receive few messages. Traffic between zones is expensive, so most messages of a push stay in the zone.
  *
- * Order of a push: the peers of the own zone first, then those of other zones, who also get the places that the own
- * zone leaves empty; within each, the peers that were not chosen for longest. Equal turns do not occur, since each has
- * a random part. Without any peer the push goes to none.
+ * Order of a push: first peers of the same zone, then peers of other zones, which also get the slots that the own zone
+ * cannot fill. Within each group the peers that were chosen least recently go first. Equal turns do not occur, since
+ * each turn has a random part. Without peers a push goes to nobody.
  *
- * Ownership is by rendezvous hashing: daemons that know the same peers agree without a message. Equal ranks do not
- * outrank each other, so that both own the key. A daemon that is no candidate itself owns nothing.
+ * Ownership uses rendezvous hashing: daemons that know the same peers agree on it without messages. Daemons of equal
+ * rank do not outrank each other, so that both own the key. A daemon that is not a candidate owns nothing.
  */
 import { combine32 } from '../../common/hash.js';
 import type { Peer } from './types.js';
 
-/** A peer with its turn: the lowest turn gets the next push. */
+/** A peer with its turn: the peers with the lowest turns receive the next push. */
 export interface PeerWithTurn extends Peer {
   turn: number;
 }
 
 /**
- * Up to `inZone` peers of the zone and `elsewhere` of any other, more where the zone has too few.
+ * Returns up to `sameZoneCount` peers of `zone` and `otherZonesCount` of other zones, more of these if the zone has too
+ * few.
  *
  * @param zone zone of this daemon
  */
-export function choosePeersOfPush<Listed extends PeerWithTurn>(
-  peers: Iterable<Listed>,
+export function choosePushTargets<PeerType extends PeerWithTurn>(
+  peers: Iterable<PeerType>,
   zone: string,
-  inZone: number,
-  elsewhere: number,
-): Listed[] {
-  const near: Listed[] = [];
-  const far: Listed[] = [];
-  for (const peer of peers) (peer.zone === zone ? near : far).push(peer);
-  const chosen = lowestTurns(near, inZone);
-  return [...chosen, ...lowestTurns(far, elsewhere + inZone - chosen.length)];
+  sameZoneCount: number,
+  otherZonesCount: number,
+): PeerType[] {
+  const sameZone: PeerType[] = [];
+  const otherZones: PeerType[] = [];
+  for (const peer of peers) (peer.zone === zone ? sameZone : otherZones).push(peer);
+  const chosen = lowestTurns(sameZone, sameZoneCount);
+  return [...chosen, ...lowestTurns(otherZones, otherZonesCount + sameZoneCount - chosen.length)];
 }
 
 /**
- * True when fewer than `count` candidates outrank this daemon for a key.
+ * Returns whether fewer than `count` candidates outrank this daemon for a key.
  *
  * @param keyHash 32-bit hash of the key
  * @param selfHash 32-bit hash of this daemon
- * @param others the other candidates; undefined when this daemon is no candidate
+ * @param others the other candidates; undefined if this daemon is not a candidate
  */
 export function isAmongOwners(
   keyHash: number,
@@ -52,15 +53,15 @@
   count: number,
 ): boolean {
   if (!others) return false;
-  const own = combine32(keyHash, selfHash);
-  let higherRanked = 0;
+  const ownRank = combine32(keyHash, selfHash);
+  let higherRankedCount = 0;
   for (const { hash } of others) {
-    if (combine32(keyHash, hash) > own) higherRanked += 1;
-    if (higherRanked >= count) return false;
+    if (combine32(keyHash, hash) > ownRank) higherRankedCount += 1;
+    if (higherRankedCount >= count) return false;
   }
   return true;
 }
 
-function lowestTurns<Listed extends PeerWithTurn>(peers: readonly Listed[], count: number): Listed[] {
+function lowestTurns<PeerType extends PeerWithTurn>(peers: readonly PeerType[], count: number): PeerType[] {
   return [...peers].sort((left, right) => left.turn - right.turn).slice(0, count);
 }
--- a/src/cookie-edge/spreading/peer-view.test.ts
+++ b/src/cookie-edge/spreading/peer-view.test.ts
@@ -1,4 +1,4 @@
-/** The view of the peers, and the estimate of the fleet's size where not all of them are remembered. */
+/** The view of the peers, and the estimate of the fleet size while not all peers are remembered. */
 import test from 'ava';
 import { seededRandom } from '../../common/random.js';
 import type { Endpoint } from '../../common/types.js';
@@ -6,15 +6,15 @@
   READS_PER_SECOND,
   MAX_PEERS,
   PEERS_PER_MESSAGE,
-  PEER_FORGET_MS,
-  SIZE_SAMPLE_FORGET_MS,
+  PEER_TTL_MS,
+  SKETCH_ENTRY_TTL_MS,
 } from './constants.js';
 import { PeerView } from './peer-view.js';
 import { readBackoffMs } from './source-read-pacing.js';
 
 const SILENT_EVENTS = { emit: () => undefined };
 const PORT = 7_500;
-const MS_A_SECOND = 1_000;
+const MS_PER_SECOND = 1_000;
 
 function endpointOf(index: number): Endpoint {
   return { host: `10.${1 + (index >> 16)}.${(index >> 8) & 255}.${index & 255}`, port: PORT };
@@ -29,61 +29,67 @@
   });
 }
 
-/** A view that heard of every one of `daemons`, several times, in random order. */
-function viewThatHeardOf(daemons: number): PeerView {
+/** Returns a view that has recorded random peers out of `daemons` peers, about eight times each. */
+function viewOfFleet(daemons: number): PeerView {
   const view = viewOf(0);
   const random = seededRandom(daemons);
-  for (let heard = 0; heard < daemons * 8; heard += 1) {
+  for (let recorded = 0; recorded < daemons * 8; recorded += 1) {
     view.record(endpointOf(Math.floor(random() * daemons)), 'a', 0);
   }
-  view.recordDirect(endpointOf(1), 'a', 0);
+  view.recordDirectMessage(endpointOf(1), 'a', 0);
   return view;
 }
 
 test('a small fleet is counted exactly', (t) => {
   const view = viewOf(0);
-  for (let index = 0; index < 30; index += 1) view.recordDirect(endpointOf(index), 'a', 0);
+  for (let index = 0; index < 30; index += 1) view.recordDirectMessage(endpointOf(index), 'a', 0);
   t.is(view.fleetSize, 30);
   t.is(view.reachableDaemons(0), 30);
 });
 
 for (const daemons of [200, 1_000, 2_400]) {
-  test(`${daemons} daemons are estimated though only ${MAX_PEERS} are remembered`, (t) => {
-    const view = viewThatHeardOf(daemons);
+  test(`the size of a fleet of ${daemons} is estimated although only ${MAX_PEERS} peers are remembered`, (t) => {
+    const view = viewOfFleet(daemons);
     t.is(view.size, MAX_PEERS);
     t.true(view.fleetSize > daemons * 0.6 && view.fleetSize < daemons * 1.6, String(view.fleetSize));
   });
 
-  test(`${daemons} daemons without a confirmation together keep to the pace of asks`, (t) => {
-    const view = viewThatHeardOf(daemons);
-    const asksASecond = (daemons * MS_A_SECOND) / readBackoffMs(view.reachableDaemons(0));
-    t.true(asksASecond < READS_PER_SECOND * 1.7, String(asksASecond));
+  test(`${daemons} daemons without a confirmation together keep to the rate limit of reads`, (t) => {
+    const view = viewOfFleet(daemons);
+    const readsPerSecond = (daemons * MS_PER_SECOND) / readBackoffMs(view.reachableDaemons(0));
+    t.true(readsPerSecond < READS_PER_SECOND * 1.7, String(readsPerSecond));
   });
 }
 
-/** Daemons that everybody knows from the start, and part of the messages that go to them. */
+/** Number of seeds, which all daemons know from the start, and the share of messages that go to seeds. */
 const SEEDS = 3;
-const SEED_SHARE = 0.1;
+const SEED_MESSAGE_SHARE = 0.1;
 
-/** `rounds` in each of which every daemon asks a random peer or a seed, which answers, 500 ms apart. */
+/** Runs rounds, 500 ms apart, in which every daemon exchanges messages with a random peer or a seed. */
 function gossip(views: readonly PeerView[], rounds: number): void {
   const random = seededRandom(7);
   for (let round = 0; round < rounds; round += 1) {
     const nowMs = round * 500;
     views.forEach((view, index) => {
       view.prune(nowMs);
-      const [target] = random() < SEED_SHARE ? [] : view.sample(1);
+      const [target] = random() < SEED_MESSAGE_SHARE ? [] : view.randomPeers(1);
       const other = target ? indexOf(target.endpoint) : Math.floor(random() * SEEDS);
-      tell(view, index, views[other], nowMs);
-      tell(views[other], other, view, nowMs);
+      deliverMessage(view, index, views[other], nowMs);
+      deliverMessage(views[other], other, view, nowMs);
     });
   }
 }
 
-/** One message from the daemon of `index` to another. */
-function tell(from: PeerView | undefined, index: number, to: PeerView | undefined, nowMs: number): void {
-  to?.recordDirect(endpointOf(index), 'a', nowMs);
-  for (const peer of from?.introduce(PEERS_PER_MESSAGE) ?? []) to?.record(peer.endpoint, 'a', peer.heardAtMs);
+/** Delivers a message from the daemon `index` to another one. */
+function deliverMessage(
+  from: PeerView | undefined,
+  index: number,
+  to: PeerView | undefined,
+  nowMs: number,
+): void {
+  to?.recordDirectMessage(endpointOf(index), 'a', nowMs);
+  for (const peer of from?.peersToAdvertise(PEERS_PER_MESSAGE) ?? [])
+    to?.record(peer.endpoint, 'a', peer.heardAtMs);
 }
 
 function indexOf({ host }: Endpoint): number {
@@ -91,7 +97,7 @@
   return (((high ?? 1) - 1) << 16) | ((middle ?? 0) << 8) | (low ?? 0);
 }
 
-test('600 daemons that talk to each other agree on their number', (t) => {
+test('600 daemons that gossip agree on the fleet size', (t) => {
   const views = Array.from({ length: 600 }, (_, index) => viewOf(index));
   gossip(views, 40);
   const estimates = views.map((view) => view.fleetSize).sort((left, right) => left - right);
@@ -99,17 +105,17 @@
   t.true((estimates[570] ?? 0) < 960, `high ${estimates[570]}`);
 });
 
-test('a daemon of which nobody heard for long no longer counts', (t) => {
-  const view = viewThatHeardOf(1_000);
-  view.prune(PEER_FORGET_MS);
+test('a daemon that no message mentions for the TTL no longer counts', (t) => {
+  const view = viewOfFleet(1_000);
+  view.prune(PEER_TTL_MS);
   t.is(view.size, 0);
-  view.prune(SIZE_SAMPLE_FORGET_MS);
+  view.prune(SKETCH_ENTRY_TTL_MS);
   t.is(view.fleetSize, 1);
 });
 
-test('a daemon that says that it stops no longer counts', (t) => {
+test('a daemon that announces its stop no longer counts', (t) => {
   const view = viewOf(0);
-  for (const index of [1, 2]) view.recordDirect(endpointOf(index), 'a', 0);
+  for (const index of [1, 2]) view.recordDirectMessage(endpointOf(index), 'a', 0);
   view.remove(endpointOf(1));
   t.is(view.fleetSize, 2);
 });
--- a/src/cookie-edge/spreading/reader-role.ts
+++ b/src/cookie-edge/spreading/reader-role.ts
@@ -1,41 +1,40 @@
 /**
- * Role of this daemon towards the source. Carries out the rule in `reader-rule.ts`: owns the sightings of other
- * readers, the rank and the random positions. Relies on `Spreader` to call it at each tick and to start or
- * stop the calls.
+ * Role of this daemon towards the source: reader or not. Applies the rule in `reader-rule.ts`. Owns the sightings of
+ * other readers, the own rank and the random positions. `Spreader` calls it at each tick and starts or stops reading.
  */
 import { hashString } from '../../common/hash.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { RandomSource } from '../../common/random.js';
 import type { FreshnessTimings } from '../routing/index.js';
-import { decideReader, type ReaderOutcome, type ReaderSituation } from './reader-rule.js';
+import { decideReaderRole, type ReaderOutcome, type ReaderSituation } from './reader-rule.js';
 import type { ReaderSighting } from './types.js';
 
-/** Ranks are 32-bit hashes. */
-const RANKS = 2 ** 32;
+/** Number of ranks: ranks are 32-bit hashes. */
+const RANK_SPACE = 2 ** 32;
 
 /**
- * Random part of a delay, 0 to 1, so that daemons of nearly equal rank do not keep acting at the same time. Rank must
- * still dominate.
+ * Random share of a delay, 0 to 1. It keeps daemons of nearly equal rank from repeatedly acting at the same time. It is
+ * small, so that the rank dominates.
  */
 const POSITION_RANDOM_SHARE = 0.1;
 
 /** Why a daemon starts or stops reading. */
 export type RoleReason = 'too-few-readers' | 'overdue' | 'enough-readers';
 
-/** Knowledge at the time of a decision. */
+/** Inputs of a decision. */
 interface RoleInputs {
   readonly nowMs: number;
-  /** Milliseconds since routes and back ends were last confirmed to be current. */
+  /** Time in ms since routes and back ends were last confirmed to be current. */
   readonly ageMs: number;
   /** Whether routes and back ends have both been received. */
   readonly isComplete: boolean;
   /** Whether the source has answered for both topics, even with an empty list. */
   readonly hasBeenRead: boolean;
-  /** Estimated number of daemons that take this decision, this one included. */
+  /** Estimated number of daemons that make this decision, including this one. */
   readonly daemons: number;
 }
 
-/** A reader with its rank: among readers, the highest ranks stay. */
+/** A reader with its rank: the readers of the highest ranks keep reading. */
 interface RankedSighting extends ReaderSighting {
   readonly rank: number;
 }
@@ -44,7 +43,7 @@
   return hashString(id);
 }
 
-/** Knows the other readers and whether this daemon is one. Times are monotonic ms. */
+/** Tracks the other readers, and whether this daemon is a reader. Times are monotonic ms. */
 export class ReaderRole {
   private readonly sightings = new Map<string, RankedSighting>();
   private readonly rank: number;
@@ -53,7 +52,7 @@
   private overduePosition: number;
   private reading = false;
   private startedAtMs: number | undefined;
-  private hasHeardOfReaders = false;
+  private hasSeenOtherReaders = false;
 
   constructor(
     private readonly selfId: string,
@@ -65,26 +64,26 @@
     this.overduePosition = random();
   }
 
-  /** True while this daemon reads. */
+  /** True while this daemon reads the source. */
   get isReading(): boolean {
     return this.reading;
   }
 
-  /** True for the reader of highest rank among those that confirmed something recently. */
+  /** Returns whether this daemon has the highest rank among the readers with a recent confirmation. */
   isLeading(nowMs: number): boolean {
-    return this.reading && this.freshSuperiors(this.otherReaders(nowMs), nowMs) === 0;
+    return this.reading && this.countFreshHigherRanked(this.otherReaders(nowMs), nowMs) === 0;
   }
 
-  /** Records that another daemon is a reader. */
+  /** Records a sighting of another reader. */
   record({ id, confirmedAtMs }: ReaderSighting): void {
     if (id === this.selfId) return;
-    this.hasHeardOfReaders = true;
+    this.hasSeenOtherReaders = true;
     const known = this.sightings.get(id);
     const newestMs = Math.max(known?.confirmedAtMs ?? Number.NEGATIVE_INFINITY, confirmedAtMs);
     this.sightings.set(id, { id, confirmedAtMs: newestMs, rank: known?.rank ?? rankOf(id) });
   }
 
-  /** Other readers whose last confirmation is recent enough. */
+  /** Returns the other readers that confirmed something within `readerMissedMs`; removes the rest. */
   otherReaders(nowMs: number): RankedSighting[] {
     for (const { id, confirmedAtMs } of this.sightings.values()) {
       if (nowMs - confirmedAtMs >= this.timings.readerMissedMs) this.sightings.delete(id);
@@ -93,8 +92,8 @@
   }
 
   /**
-   * Up to `count` other readers to include in a message: highest ranks first, because a reader stops only when it
-   * hears of readers of higher rank; readers without a recent confirmation come last.
+   * Returns up to `count` other readers to include in a message. The highest ranks come first, because a reader stops
+   * only when it knows of readers of higher rank. Readers without a recent confirmation come last.
    */
   leadingReaders(nowMs: number, count: number): ReaderSighting[] {
     const isFresh = ({ confirmedAtMs }: ReaderSighting): boolean =>
@@ -104,7 +103,7 @@
     return [...byRank.filter(isFresh), ...stale].slice(0, count);
   }
 
-  /** Starts or stops reading if needed; returns the reason, or undefined when nothing changes. */
+  /** Starts or stops reading if the rule says so; returns the reason, or undefined if nothing changes. */
   decide({ nowMs, ageMs, isComplete, hasBeenRead, daemons }: RoleInputs): RoleReason | undefined {
     const others = this.otherReaders(nowMs);
     this.startedAtMs ??= nowMs;
@@ -115,17 +114,17 @@
       isComplete,
       hasBeenRead,
       otherReaders: others.length,
-      freshSuperiors: this.freshSuperiors(others, nowMs),
-      hasHeardOfReaders: this.hasHeardOfReaders,
+      freshHigherRanked: this.countFreshHigherRanked(others, nowMs),
+      hasSeenOtherReaders: this.hasSeenOtherReaders,
       overduePosition: this.overduePosition,
       daemons,
-      mayStandDown: this.isOn('standing-down'),
+      canStandDown: this.isOn('standing-down'),
       isPaced: this.isOn('asking-turns'),
     };
-    return this.carryOut(decideReader(situation, this.timings), nowMs);
+    return this.applyOutcome(decideReaderRole(situation, this.timings), nowMs);
   }
 
-  private carryOut(outcome: ReaderOutcome, nowMs: number): RoleReason | undefined {
+  private applyOutcome(outcome: ReaderOutcome, nowMs: number): RoleReason | undefined {
     switch (outcome.kind) {
       case 'stand-down':
         this.reading = false;
@@ -149,7 +148,7 @@
     }
   }
 
-  private freshSuperiors(others: readonly RankedSighting[], nowMs: number): number {
+  private countFreshHigherRanked(others: readonly RankedSighting[], nowMs: number): number {
     const { readerFreshMs } = this.timings;
     return others.filter(
       ({ rank, confirmedAtMs }) => rank > this.rank && nowMs - confirmedAtMs < readerFreshMs,
@@ -161,8 +160,8 @@
     return reason;
   }
 
-  /** Delay as a part of the spread, 0 to 1: higher ranks act first. */
+  /** Delay as a fraction of the spread, 0 to 1: higher ranks act first. */
   private volunteerPosition(): number {
-    return (1 - POSITION_RANDOM_SHARE) * (1 - this.rank / RANKS) + POSITION_RANDOM_SHARE * this.random();
+    return (1 - POSITION_RANDOM_SHARE) * (1 - this.rank / RANK_SPACE) + POSITION_RANDOM_SHARE * this.random();
   }
 }
--- a/src/cookie-edge/spreading/reader-rule.test.ts
+++ b/src/cookie-edge/spreading/reader-rule.test.ts
@@ -2,11 +2,11 @@
 import { freshnessTimings } from '../routing/index.js';
 import {
   TARGET_READERS,
-  VOLUNTEER_ALONE_MS,
+  VOLUNTEER_NO_READER_MS,
   VOLUNTEER_AT_START_MS,
-  VOLUNTEER_SECOND_MS,
+  VOLUNTEER_ONE_READER_MS,
 } from './constants.js';
-import { decideReader, type ReaderOutcome, type ReaderSituation } from './reader-rule.js';
+import { decideReaderRole, type ReaderOutcome, type ReaderSituation } from './reader-rule.js';
 
 const TIMINGS = freshnessTimings(3_000);
 const CURRENT: ReaderSituation = {
@@ -16,11 +16,11 @@
   isComplete: true,
   hasBeenRead: true,
   otherReaders: TARGET_READERS,
-  freshSuperiors: TARGET_READERS,
-  hasHeardOfReaders: true,
+  freshHigherRanked: TARGET_READERS,
+  hasSeenOtherReaders: true,
   overduePosition: 1,
   daemons: 1,
-  mayStandDown: true,
+  canStandDown: true,
   isPaced: true,
 };
 const READER: Partial<ReaderSituation> = { isReading: true };
@@ -31,13 +31,13 @@
   ['a reader that enough fresh readers outrank', READER, { kind: 'stand-down' }],
   [
     'a reader that too few outrank',
-    { ...READER, freshSuperiors: TARGET_READERS - 1 },
+    { ...READER, freshHigherRanked: TARGET_READERS - 1 },
     { kind: 'keep-reading' },
   ],
   ['a reader that is not current', { ...READER, ageMs: TIMINGS.pullAfterMs }, { kind: 'keep-reading' }],
-  ['a reader without all lists', { ...READER, isComplete: false }, { kind: 'keep-reading' }],
-  ['a reader that may not stand down', { ...READER, mayStandDown: false }, { kind: 'keep-reading' }],
-  ['others read', {}, { kind: 'leave-to-others' }],
+  ['a reader without both lists', { ...READER, isComplete: false }, { kind: 'keep-reading' }],
+  ['a reader with standing down switched off', { ...READER, canStandDown: false }, { kind: 'keep-reading' }],
+  ['enough other daemons read', {}, { kind: 'leave-to-others' }],
   ['the first lists are missing', { hasBeenRead: false, otherReaders: 0 }, { kind: 'await-first-lists' }],
   ['overdue, first of many', { ...OVERDUE, overduePosition: 0, daemons: 1_000 }, { kind: 'read-overdue' }],
   [
@@ -57,21 +57,21 @@
     { kind: 'read-overdue' },
   ],
   [
-    'old knowledge just after the start',
+    'outdated data just after the start',
     { ageMs: Number.POSITIVE_INFINITY, unconfirmedMs: 0 },
     { kind: 'leave-to-others' },
   ],
-  ['one reader is left', { otherReaders: 1 }, { kind: 'volunteer', withinMs: VOLUNTEER_SECOND_MS }],
-  ['no reader is left', { otherReaders: 0 }, { kind: 'volunteer', withinMs: VOLUNTEER_ALONE_MS }],
+  ['one reader is left', { otherReaders: 1 }, { kind: 'volunteer', withinMs: VOLUNTEER_ONE_READER_MS }],
+  ['no reader is left', { otherReaders: 0 }, { kind: 'volunteer', withinMs: VOLUNTEER_NO_READER_MS }],
   [
-    'no reader was heard of yet',
-    { otherReaders: 0, hasHeardOfReaders: false },
+    'no reader has been seen yet',
+    { otherReaders: 0, hasSeenOtherReaders: false },
     { kind: 'volunteer', withinMs: VOLUNTEER_AT_START_MS },
   ],
 ];
 
 for (const [name, change, outcome] of CASES) {
   test(`${name}: ${outcome.kind}`, (t) => {
-    t.deepEqual(decideReader({ ...CURRENT, ...change }, TIMINGS), outcome);
+    t.deepEqual(decideReaderRole({ ...CURRENT, ...change }, TIMINGS), outcome);
   });
 }
--- a/src/cookie-edge/spreading/reader-rule.ts
+++ b/src/cookie-edge/spreading/reader-rule.ts
@@ -1,28 +1,30 @@
 /**
- * Rule: whether this daemon reads the source ("is a reader"). Does no input or output; `ReaderRole` keeps the state and
- * draws the random numbers.
+ * Rule: whether this daemon reads the source, that is, whether it is a reader. Does no input or output; `ReaderRole`
+ * keeps the state and draws the random numbers.
  *
- * Prevents a load on the source that grows with the fleet, and a fleet that no daemon keeps current. There is no
- * election: extra readers only cost calls, so no agreement is needed.
+ * Prevents a load on the source that grows with the fleet, and a fleet without any reader. There is no election: too
+ * many readers only cost additional calls, so daemons need not agree.
  *
- * A reader stands down only while its own knowledge is current and enough fresh readers outrank it. Staleness is tested
- * before rank, because the readers that it hears of may be the ones that the source does not answer.
+ * A reader stands down only while its own data is current and enough fresh readers of higher rank exist. Staleness is
+ * checked before rank, because the source may not respond to exactly those other readers.
  *
- * For a daemon that does not read, an overdue confirmation comes first: it reads whatever readers exist, after a delay
- * that depends on the fleet's size alone, so that a source that refuses some daemons is tried by others. Next, a daemon
- * that has not received both lists yet is reading them already; following them as well would only add calls, since all
- * daemons that started with it are in the same state. Last comes the number of readers: below the target it volunteers
- * after a delay that is shorter the higher its rank.
+ * For a daemon that does not read, the conditions are checked in this order:
+ * - An overdue confirmation comes first. The daemon reads even if there are readers, after a delay that depends only on
+ *   the fleet size and its random position: if the source refuses some daemons, others still try.
+ * - A daemon that has not received both lists yet is already reading them. It does not follow the source as well: that
+ *   would only add calls, since all daemons that started at the same time are in the same state.
+ * - The number of readers comes last. Below the target the daemon volunteers after a delay, which is shorter for a
+ *   higher rank.
  *
- * Equal ranks do not outrank each other, so that both keep reading. Readers not heard of count as absent; a daemon that
- * has heard of none since its start waits longer, because all daemons may have started together.
+ * Daemons of equal rank do not outrank each other, so both keep reading. Unknown readers count as absent. A daemon that
+ * has seen no reader since its start waits longer, because all daemons may have started together.
  */
 import type { FreshnessTimings } from '../routing/index.js';
 import {
   TARGET_READERS,
-  VOLUNTEER_ALONE_MS,
+  VOLUNTEER_NO_READER_MS,
   VOLUNTEER_AT_START_MS,
-  VOLUNTEER_SECOND_MS,
+  VOLUNTEER_ONE_READER_MS,
 } from './constants.js';
 import { readDelayMs } from './source-read-pacing.js';
 
@@ -31,45 +33,46 @@
   readonly isReading: boolean;
   /** Time since routes and back ends were last confirmed to be current. */
   readonly ageMs: number;
-  /** The same, but no longer than since the first decision of this daemon. */
+  /** The same, but at most the time since the first decision of this daemon. */
   readonly unconfirmedMs: number;
   /** Routes and back ends have both been received. */
   readonly isComplete: boolean;
   /** The source has answered for both topics, even with an empty list. */
   readonly hasBeenRead: boolean;
-  /** Other readers heard of within `readerMissedMs`. */
+  /** Number of other readers that confirmed something within `readerMissedMs`. */
   readonly otherReaders: number;
-  /** Those of a higher rank that confirmed something within `readerFreshMs`. */
-  readonly freshSuperiors: number;
-  /** Some other reader was heard of since the start. */
-  readonly hasHeardOfReaders: boolean;
+  /** Number of other readers of higher rank that confirmed something within `readerFreshMs`. */
+  readonly freshHigherRanked: number;
+  /** This daemon has seen another reader since its start. */
+  readonly hasSeenOtherReaders: boolean;
   /** Random position among the daemons that lack a confirmation, from 0 (first) to 1. */
   readonly overduePosition: number;
-  /** Estimated number of daemons that take this decision, this one included. */
+  /** Estimated number of daemons that make this decision, including this one. */
   readonly daemons: number;
   /** The mechanism `standing-down` is on. */
-  readonly mayStandDown: boolean;
+  readonly canStandDown: boolean;
   /** The mechanism `asking-turns` is on. */
   readonly isPaced: boolean;
 }
 
-/** What a daemon does until its next decision. */
+/** Outcome of the rule, valid until the next decision. */
 export type ReaderOutcome =
   | { readonly kind: 'keep-reading' | 'stand-down' }
-  /** Starts reading at once, because its confirmation is overdue. */
+  /** Starts reading at once, since the confirmation is overdue. */
   | { readonly kind: 'read-overdue' }
-  /** Overdue, but others read first. */
+  /** Waits, although the confirmation is overdue: other daemons read first. */
   | { readonly kind: 'await-overdue-turn' }
-  /** The first lists are still being read. */
+  /** Waits for the first lists, which are being read. */
   | { readonly kind: 'await-first-lists' }
-  /** Others read; a planned start is dropped. */
+  /** Enough others read; a scheduled start is cancelled. */
   | { readonly kind: 'leave-to-others' }
-  /** Too few readers: starts within `withinMs`, sooner the higher its rank, unless readers turn up. */
+  /** Too few readers: starts within `withinMs`, earlier with a higher rank, unless enough readers appear before. */
   | { readonly kind: 'volunteer'; readonly withinMs: number };
 
-/** Decides on the role until the next tick. */
-export function decideReader(situation: ReaderSituation, timings: FreshnessTimings): ReaderOutcome {
-  if (situation.isReading) return { kind: mustStandDown(situation, timings) ? 'stand-down' : 'keep-reading' };
+/** Decides on the role until the next tick. See the head of this file for the order of the conditions. */
+export function decideReaderRole(situation: ReaderSituation, timings: FreshnessTimings): ReaderOutcome {
+  if (situation.isReading)
+    return { kind: shouldStandDown(situation, timings) ? 'stand-down' : 'keep-reading' };
   if (situation.unconfirmedMs >= timings.readAfterMs) {
     const isDue = situation.unconfirmedMs >= timings.readAfterMs + overdueDelayMs(situation, timings);
     return { kind: isDue ? 'read-overdue' : 'await-overdue-turn' };
@@ -79,10 +82,10 @@
   return { kind: 'volunteer', withinMs: volunteerSpreadMs(situation) };
 }
 
-function mustStandDown(situation: ReaderSituation, { pullAfterMs }: FreshnessTimings): boolean {
-  const { mayStandDown, isComplete, ageMs, freshSuperiors } = situation;
+function shouldStandDown(situation: ReaderSituation, { pullAfterMs }: FreshnessTimings): boolean {
+  const { canStandDown, isComplete, ageMs, freshHigherRanked } = situation;
   const isCurrent = isComplete && ageMs < pullAfterMs;
-  return mayStandDown && isCurrent && freshSuperiors >= TARGET_READERS;
+  return canStandDown && isCurrent && freshHigherRanked >= TARGET_READERS;
 }
 
 function overdueDelayMs(
@@ -92,7 +95,7 @@
   return isPaced ? readDelayMs(overduePosition, daemons, readSpreadMs) : overduePosition * readSpreadMs;
 }
 
-function volunteerSpreadMs({ otherReaders, hasHeardOfReaders }: ReaderSituation): number {
-  if (otherReaders > 0) return VOLUNTEER_SECOND_MS;
-  return hasHeardOfReaders ? VOLUNTEER_ALONE_MS : VOLUNTEER_AT_START_MS;
+function volunteerSpreadMs({ otherReaders, hasSeenOtherReaders }: ReaderSituation): number {
+  if (otherReaders > 0) return VOLUNTEER_ONE_READER_MS;
+  return hasSeenOtherReaders ? VOLUNTEER_NO_READER_MS : VOLUNTEER_AT_START_MS;
 }
--- a/src/cookie-edge/spreading/recent-ejections.ts
+++ b/src/cookie-edge/spreading/recent-ejections.ts
@@ -1,6 +1,6 @@
 /**
- * Ejection reports of the last moments, of this daemon and of others. Every message carries them while other daemons
- * act on them, for daemons that missed the first push or have just started. Owns the newest report of each back end.
+ * Recent ejection reports, of this daemon and of others. Messages repeat them for as long as receivers act on them, for
+ * daemons that missed the first push or have just started. Owns the newest report of each back end.
  */
 import { EJECTIONS_PER_MESSAGE, EJECTION_GOSSIP_MS } from './constants.js';
 import { newestReports } from './gossip-rule.js';
@@ -8,7 +8,7 @@
 
 /** Ejection reports of the last `EJECTION_GOSSIP_MS`. Times are monotonic ms. */
 export class RecentEjections {
-  /** The newest report of each back end. */
+  /** Newest report of each back end, by its id. */
   private readonly byBackend = new Map<string, EjectionReport>();
 
   record(report: EjectionReport): void {
@@ -16,7 +16,7 @@
     if (!known || known.atMs < report.atMs) this.byBackend.set(report.backendId, report);
   }
 
-  /** Removes expired reports and returns the newest of the rest, as many as fit into a message. */
+  /** Discards expired reports and returns the newest of the others, at most as many as a message carries. */
   recent(nowMs: number): EjectionReport[] {
     for (const { backendId, atMs } of this.byBackend.values()) {
       if (nowMs - atMs >= EJECTION_GOSSIP_MS) this.byBackend.delete(backendId);
--- a/src/cookie-edge/spreading/restored-history.test.ts
+++ b/src/cookie-edge/spreading/restored-history.test.ts
@@ -1,4 +1,7 @@
-/** Whatever is restored, read and told in whatever order, no table goes back and all end with what the source has. */
+/**
+ * Guards against route tables that go back, and daemons that miss the current state, when the source is restored from
+ * an older snapshot: for any order of changes, restores, reads and gossip.
+ */
 import test from 'ava';
 import fc from 'fast-check';
 import { VirtualClock } from '../../common/clock.js';
@@ -15,58 +18,58 @@
 type Step =
   | { readonly kind: 'routes' }
   | { readonly kind: 'backend'; readonly id: string; readonly isRemoved: boolean }
-  | { readonly kind: 'copy' }
+  | { readonly kind: 'snapshot' }
   | { readonly kind: 'restore' }
   | { readonly kind: 'read'; readonly daemon: number }
-  | { readonly kind: 'tell'; readonly from: number; readonly to: number };
+  | { readonly kind: 'gossip'; readonly from: number; readonly to: number };
 
 const daemonIndex = fc.nat(DAEMONS - 1);
-const step: fc.Arbitrary<Step> = fc.oneof(
+const anyStep: fc.Arbitrary<Step> = fc.oneof(
   fc.constant<Step>({ kind: 'routes' }),
   fc
     .record({ id: fc.constantFrom(...IDS), isRemoved: fc.boolean() })
     .map((change): Step => ({ kind: 'backend', ...change })),
-  fc.constantFrom<Step>({ kind: 'copy' }, { kind: 'restore' }),
+  fc.constantFrom<Step>({ kind: 'snapshot' }, { kind: 'restore' }),
   daemonIndex.map((daemon): Step => ({ kind: 'read', daemon })),
-  fc.record({ from: daemonIndex, to: daemonIndex }).map((told): Step => ({ kind: 'tell', ...told })),
+  fc.record({ from: daemonIndex, to: daemonIndex }).map((ends): Step => ({ kind: 'gossip', ...ends })),
 );
 
-/** A source that its operator writes to, and that is restored from time to time. */
+/** A source that its operator changes, and that is sometimes restored from a snapshot. */
 class RestoredSource {
   readonly source: SimulatedSource;
   private version = 2;
-  private copy: ReturnType<SimulatedSource['copy']>;
+  private snapshot: ReturnType<SimulatedSource['takeSnapshot']>;
 
   constructor(private readonly clock: VirtualClock) {
     this.source = new SimulatedSource(clock);
-    this.copy = this.source.copy();
+    this.snapshot = this.source.takeSnapshot();
   }
 
-  take(taken: Step): void {
-    if (taken.kind === 'routes') this.source.changeRoutes({ version: (this.version += 1) });
-    if (taken.kind === 'copy') this.copy = this.source.copy();
-    if (taken.kind === 'restore') this.restore();
-    if (taken.kind !== 'backend') return;
-    if (taken.isRemoved) this.source.removeBackend(taken.id);
-    else this.source.changeBackend(taken.id);
+  applyStep(step: Step): void {
+    if (step.kind === 'routes') this.source.changeRoutes({ version: (this.version += 1) });
+    if (step.kind === 'snapshot') this.snapshot = this.source.takeSnapshot();
+    if (step.kind === 'restore') this.restore();
+    if (step.kind !== 'backend') return;
+    if (step.isRemoved) this.source.removeBackend(step.id);
+    else this.source.changeBackend(step.id);
   }
 
-  /** The operator writes the newest version again. */
+  /** Restores the snapshot; the operator then writes the newest version again. */
   private restore(): void {
-    this.source.restore(this.copy);
+    this.source.restore(this.snapshot);
     this.source.changeRoutes({ version: this.version });
   }
 
   async read(topic: RoutingTopic): Promise<RoutingUpdate> {
-    const answer = this.source.for('reader').read(topic, 'current', new AbortController().signal);
+    const response = this.source.asSeenBy('reader').read(topic, 'current', new AbortController().signal);
     await this.clock.advanceAsync(10, 10);
-    return (await answer).unwrapOrElse((error) => {
+    return (await response).unwrapOrElse((error) => {
       throw error;
     });
   }
 }
 
-class TellingDaemon {
+class GossipingDaemon {
   readonly knowledge: RoutingKnowledge;
   private readonly log = new UpdateLog();
 
@@ -81,12 +84,12 @@
     for (const topic of TOPICS) this.apply(topic, -1, await source.read(topic));
   }
 
-  tell(other: TellingDaemon): void {
+  gossipTo(other: GossipingDaemon): void {
     for (const topic of TOPICS) {
       const { epoch, revision } = other.knowledge.confirmationOf(topic);
       const known = { epoch, revision, table: other.knowledge.tableRevision };
-      const told = this.log.since(topic, known) ?? completeUpdate(this.knowledge, topic);
-      if (told) other.apply(topic, told.since, told.update);
+      const missing = this.log.since(topic, known) ?? completeUpdate(this.knowledge, topic);
+      if (missing) other.apply(topic, missing.since, missing.update);
     }
   }
 
@@ -98,32 +101,32 @@
     return this.knowledge.routes()?.table.version ?? 0;
   }
 
-  get present(): string[] {
+  get presentIds(): string[] {
     const all = [...this.knowledge.backends.all()];
     return all.filter(({ departed, restored }) => !departed || restored).map(({ id }) => id);
   }
 }
 
-test('through restores no table goes back, and all end with the back ends and the table of the source', async (t) => {
+test('despite restores no route table goes back, and all daemons end with the state of the source', async (t) => {
   await fc.assert(
-    fc.asyncProperty(fc.array(step, { minLength: 10, maxLength: 40 }), async (steps) => {
+    fc.asyncProperty(fc.array(anyStep, { minLength: 10, maxLength: 40 }), async (steps) => {
       const clock = new VirtualClock();
       const source = new RestoredSource(clock);
-      const daemons = Array.from({ length: DAEMONS }, () => new TellingDaemon(clock));
-      for (const taken of steps) {
-        const before = daemons.map(({ version }) => version);
-        if (taken.kind === 'read') await daemons[taken.daemon]!.read(source);
-        else if (taken.kind === 'tell') daemons[taken.from]!.tell(daemons[taken.to]!);
-        else source.take(taken);
-        daemons.forEach(({ version }, index) => t.true(version >= (before[index] ?? 0)));
+      const daemons = Array.from({ length: DAEMONS }, () => new GossipingDaemon(clock));
+      for (const step of steps) {
+        const versionsBefore = daemons.map(({ version }) => version);
+        if (step.kind === 'read') await daemons[step.daemon]!.read(source);
+        else if (step.kind === 'gossip') daemons[step.from]!.gossipTo(daemons[step.to]!);
+        else source.applyStep(step);
+        daemons.forEach(({ version }, index) => t.true(version >= (versionsBefore[index] ?? 0)));
       }
       const [first, ...others] = daemons;
       await first!.read(source);
-      for (const other of others) first!.tell(other);
+      for (const other of others) first!.gossipTo(other);
       const expected = (await source.read('backends')).backends.map(({ id }) => id).sort();
       const [table] = (await source.read('routes')).routes;
       for (const daemon of daemons) {
-        t.deepEqual(daemon.present.sort(), expected);
+        t.deepEqual(daemon.presentIds.sort(), expected);
         t.is(daemon.version, table?.version ?? 0);
         t.is(daemon.knowledge.epochOf('backends'), source.source.epoch);
       }
--- a/src/cookie-edge/spreading/settled-peers.test.ts
+++ b/src/cookie-edge/spreading/settled-peers.test.ts
@@ -1,18 +1,18 @@
-/** How daemons that start learn from their peers whether the list of back ends is to be believed. */
+/** How starting daemons find out from their peers whether their list of back ends is complete. */
 import test from 'ava';
-import { settled, SpreadingCluster } from './spreading-test-support.js';
+import { startSettledCluster, SpreadingCluster } from './spreading-test-support.js';
 
 const SIZE = 12;
 
-test('a daemon that starts among settled ones believes its list at once', async (t) => {
-  const cluster = await settled(SIZE);
+test('a daemon that starts among settled daemons is soon settled', async (t) => {
+  const cluster = await startSettledCluster(SIZE);
   t.true(cluster.daemons.every(({ settlement }) => settlement.state === 'settled'));
-  const started = cluster.add();
-  const tookMs = await cluster.timeUntil(() => started.settlement.state === 'settled', 5_000);
+  const newDaemon = cluster.startDaemon();
+  const tookMs = await cluster.timeUntil(() => newDaemon.settlement.state === 'settled', 5_000);
   t.true(tookMs < 500, `${tookMs} ms`);
 });
 
-test('daemons that all start together do not settle each other before the time', async (t) => {
+test('daemons that all start together do not settle each other too early', async (t) => {
   const cluster = new SpreadingCluster(SIZE);
   const isAnySettled = (): boolean =>
     cluster.daemons.some(({ settlement }) => settlement.state === 'settled');
@@ -20,19 +20,22 @@
   t.true(tookMs >= 2_500, `${tookMs} ms`);
 });
 
-test('one settled daemon settles those that start beside it; without gossip they settle by time', async (t) => {
-  const cluster = await settled(SIZE);
-  for (const daemon of cluster.daemons.slice(1)) cluster.kill(daemon);
-  const started = Array.from({ length: SIZE }, () => cluster.add());
-  const areSettled = (): boolean => started.every(({ settlement }) => settlement.state === 'settled');
+test('a single settled daemon settles starting daemons; a daemon without peers settles after some time', async (t) => {
+  const cluster = await startSettledCluster(SIZE);
+  for (const daemon of cluster.daemons.slice(1)) cluster.killDaemon(daemon);
+  const newDaemons = Array.from({ length: SIZE }, () => cluster.startDaemon());
+  const areSettled = (): boolean => newDaemons.every(({ settlement }) => settlement.state === 'settled');
   t.true((await cluster.timeUntil(areSettled, 5_000)) < 2_500);
-  const alone = new SpreadingCluster(1);
-  await alone.timeUntil(() => alone.daemons[0]?.settlement.state === 'settled', 5_000);
-  t.is(alone.daemons[0]?.settlement.state, 'settled');
+  const singleDaemonCluster = new SpreadingCluster(1);
+  await singleDaemonCluster.timeUntil(
+    () => singleDaemonCluster.daemons[0]?.settlement.state === 'settled',
+    5_000,
+  );
+  t.is(singleDaemonCluster.daemons[0]?.settlement.state, 'settled');
 });
 
-test('a daemon whose peers believe their lists believes its own, though the source refuses it alone', async (t) => {
-  const cluster = await settled(SIZE);
+test('a daemon stays settled among settled peers although the source refuses it', async (t) => {
+  const cluster = await startSettledCluster(SIZE);
   const [refused] = cluster.daemons;
   cluster.source.faults.set(refused!.id, 'refuse');
   await cluster.clock.advanceAsync(6_000, 10);
--- a/src/cookie-edge/spreading/simulated-peer-network.ts
+++ b/src/cookie-edge/spreading/simulated-peer-network.ts
@@ -1,4 +1,4 @@
-/** Simulates the network between daemons on a virtual clock, for tests: delays, losses and cuts. */
+/** Simulated network between daemons on a virtual clock, for tests: delays, losses and isolated daemons. */
 import Result from 'true-myth/result';
 import type { Clock } from '../../common/clock.js';
 import type { RandomSource } from '../../common/random.js';
@@ -8,13 +8,13 @@
 
 const HOP_MS = 2;
 
-/** Transports between daemons, with loss, and cuts between two groups. */
+/** Creates the transports of daemons, and delays or drops their messages. */
 export class SimulatedPeerNetwork {
   lossRate = 0;
-  /** Daemons (`host:port`) that are cut off from all others. */
-  readonly cut = new Set<string>();
-  bytes = 0;
-  /** Bytes of states that were fetched. */
+  /** Daemons (`host:port`) that are isolated from all others. */
+  readonly isolatedDaemons = new Set<string>();
+  bytesSent = 0;
+  /** Total size of the fetched states. */
   fetchedBytes = 0;
   fetchedBytesBetweenZones = 0;
   private readonly nodes = new Map<string, { receive: DatagramReceiver; provideState: StateProvider }>();
@@ -24,7 +24,7 @@
     private readonly random: RandomSource,
   ) {}
 
-  open(endpoint: Endpoint): PeerTransport {
+  openTransport(endpoint: Endpoint): PeerTransport {
     const self = formatEndpoint(endpoint);
     return {
       endpoint,
@@ -38,15 +38,15 @@
     };
   }
 
-  close(endpoint: Endpoint): void {
+  removeNode(endpoint: Endpoint): void {
     this.nodes.delete(formatEndpoint(endpoint));
   }
 
   private deliver(self: string, from: Endpoint, to: string, bytes: Uint8Array): void {
-    this.bytes += bytes.length;
-    if (!this.reaches(self, to) || this.random() < this.lossRate) return;
+    this.bytesSent += bytes.length;
+    if (!this.canReach(self, to) || this.random() < this.lossRate) return;
     this.clock.schedule(HOP_MS * (0.5 + this.random()), () => {
-      if (this.reaches(self, to)) this.nodes.get(to)?.receive(bytes, from);
+      if (this.canReach(self, to)) this.nodes.get(to)?.receive(bytes, from);
     });
   }
 
@@ -57,7 +57,7 @@
   ): Promise<Result<Uint8Array, SpreadingError>> {
     const to = formatEndpoint(from);
     await new Promise<void>((resolve) => void this.clock.schedule(2 * HOP_MS, resolve));
-    const node = this.reaches(self, to) ? this.nodes.get(to) : undefined;
+    const node = this.canReach(self, to) ? this.nodes.get(to) : undefined;
     if (!node) return Result.err(fetchError(from, new Error('simulated')));
     const bytes = node.provideState(known);
     this.fetchedBytes += bytes.length;
@@ -65,12 +65,12 @@
     return Result.ok(bytes);
   }
 
-  private reaches(self: string, to: string): boolean {
-    return !this.cut.has(self) && !this.cut.has(to);
+  private canReach(self: string, to: string): boolean {
+    return !this.isolatedDaemons.has(self) && !this.isolatedDaemons.has(to);
   }
 }
 
-/** The zone of a daemon, by its `host:port`. */
+/** Returns the zone of the daemon at `host:port`. */
 export function zoneOf(endpoint: string): string {
   const host = endpoint.split(':')[0] ?? '';
   return `zone-${Number(host.split('.').at(-1)) % 3}`;
--- a/src/cookie-edge/spreading/simulated-source.ts
+++ b/src/cookie-edge/spreading/simulated-source.ts
@@ -1,6 +1,6 @@
 /**
- * Simulates a source of routes, back ends and cordons on a virtual clock, for tests: one counter of revisions, watches,
- * faults, and restores from an older copy.
+ * Simulated source of routes, back ends and cordons on a virtual clock, for tests. Supports watches, faults for
+ * individual daemons, a discarded history, and restores from an older snapshot.
  */
 import Result from 'true-myth/result';
 import type { Clock } from '../../common/clock.js';
@@ -18,7 +18,7 @@
 const RESPONSE_MS = 4;
 const CALL_TIMEOUT_MS = 1_000;
 
-/** How the source treats a daemon. */
+/** Fault in the responses to a daemon. `silent`: no response until the call times out. */
 export type SourceFault = 'refuse' | 'throttle' | 'silent';
 
 interface LoggedChange {
@@ -30,8 +30,8 @@
   readonly uncordoned?: string;
 }
 
-/** What the source held at some time. */
-interface SourceCopy {
+/** State of the source at some time. */
+interface SourceSnapshot {
   readonly revision: number;
   readonly table: RouteTable | undefined;
   readonly backends: ReadonlyMap<string, RoutedBackend>;
@@ -39,29 +39,29 @@
   readonly changes: readonly LoggedChange[];
 }
 
-/** A source with one counter of revisions, watches, a history that may be lost, and faults for some daemons. */
+/** Simulated source with a single revision counter for all topics. */
 export class SimulatedSource {
   revision = 2;
-  /** Restores so far. */
+  /** Number of restores so far. */
   epoch = 0;
   calls = 0;
-  /** Faults by daemon; `*` is for all. */
+  /** Faults by daemon id; `*` applies to all daemons. */
   readonly faults = new Map<string, SourceFault>();
   private table: RouteTable | undefined = tableAt(2);
   private backends = new Map<string, RoutedBackend>([['a', backendAt('a', 1)]]);
   private cordons = new Map<string, number>();
   private changes: LoggedChange[] = [];
-  private historyFrom = 0;
-  private readonly waiters = new Set<() => void>();
+  private historyStartRevision = 0;
+  private readonly changeListeners = new Set<() => void>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Removes the routes, as before the operator has written any. */
-  withoutRoutes(): void {
+  /** Removes the routes, as before the operator has written any. Does not count as a change. */
+  removeRoutes(): void {
     this.table = undefined;
   }
 
-  /** Puts a new table in force; its version is its revision. */
+  /** Replaces the route table; its version equals its revision unless `content` sets another one. */
   changeRoutes(content: Partial<RouteTable> = {}): number {
     this.revision += 1;
     this.table = tableAt(this.revision, content);
@@ -88,21 +88,21 @@
     return this.recordChange({ revision: this.revision, topic: 'cordons', cordoned: zone });
   }
 
-  /** Takes a cordon back. */
+  /** Removes the cordon of a zone. */
   uncordon(zone: string): number {
     this.revision += 1;
     this.cordons.delete(zone);
     return this.recordChange({ revision: this.revision, topic: 'cordons', uncordoned: zone });
   }
 
-  /** Forgets every change so far; watches from an earlier revision fail with `history-gone`. */
-  forgetHistory(): void {
-    this.historyFrom = this.revision;
+  /** Discards the change history; watches from an earlier revision fail with `history-gone`. */
+  discardHistory(): void {
+    this.historyStartRevision = this.revision;
     this.changes = [];
   }
 
-  /** A copy of everything, from which the source may be restored. */
-  copy(): SourceCopy {
+  /** Returns a snapshot of the state, which `restore` accepts. */
+  takeSnapshot(): SourceSnapshot {
     return {
       revision: this.revision,
       table: this.table,
@@ -112,21 +112,22 @@
     };
   }
 
-  /** Goes back to a copy: its revisions go back as well and are given out again, and waiting watches end. */
-  restore({ revision, table, backends, cordons, changes }: SourceCopy): void {
+  /** Restores a snapshot: revisions go back and are assigned again, and pending watches end. */
+  restore({ revision, table, backends, cordons, changes }: SourceSnapshot): void {
     this.epoch += 1;
     this.revision = revision;
     this.table = table;
     this.backends = new Map(backends);
     this.cordons = new Map(cordons);
     this.changes = [...changes];
-    for (const wake of [...this.waiters]) wake();
+    for (const onChange of [...this.changeListeners]) onChange();
   }
 
-  /** The source as the daemon `id` sees it. */
-  for(id: string): RoutingSource {
+  /** Returns the source as the daemon `id` sees it, with the faults of that daemon. */
+  asSeenBy(id: string): RoutingSource {
     return {
-      read: (topic, _freshness, signal) => this.call(id, signal, () => Promise.resolve(this.snapshot(topic))),
+      read: (topic, _freshness, signal) =>
+        this.call(id, signal, () => Promise.resolve(this.completeUpdateOf(topic))),
       watch: (topic, revision, waitMs, signal) =>
         this.call(id, signal, () => this.waitForChange(topic, revision, waitMs, signal)),
     };
@@ -134,7 +135,7 @@
 
   private recordChange(change: LoggedChange): number {
     this.changes.push(change);
-    for (const wake of [...this.waiters]) wake();
+    for (const onChange of [...this.changeListeners]) onChange();
     return change.revision;
   }
 
@@ -150,8 +151,9 @@
     if (fault === 'throttle') return failure('routing.throttled');
     if (fault !== 'silent') {
       const update = await respond();
-      const faultNow = this.faultOf(id);
-      if (faultNow !== 'silent') return update ? Result.ok(update) : failure('routing.history-gone');
+      const faultAfterResponse = this.faultOf(id);
+      if (faultAfterResponse !== 'silent')
+        return update ? Result.ok(update) : failure('routing.history-gone');
     }
     await this.sleep(CALL_TIMEOUT_MS, signal);
     return failure('routing.timeout');
@@ -161,7 +163,7 @@
     return this.faults.get(id) ?? this.faults.get('*');
   }
 
-  private snapshot(topic: RoutingTopic): RoutingUpdate {
+  private completeUpdateOf(topic: RoutingTopic): RoutingUpdate {
     const { epoch, revision } = this;
     if (topic === 'routes') return updateAt(revision, { epoch, complete: true, routes: this.tables() });
     if (topic === 'cordons') {
@@ -181,11 +183,11 @@
     waitMs: number,
     signal: AbortSignal,
   ): Promise<RoutingUpdate | undefined> {
-    const hasHistory = (): boolean => since >= this.historyFrom && since <= this.revision;
-    const changed = (): boolean =>
+    const hasHistory = (): boolean => since >= this.historyStartRevision && since <= this.revision;
+    const hasChanged = (): boolean =>
       this.changes.some((change) => change.topic === topic && change.revision > since);
     if (!hasHistory()) return undefined;
-    if (!changed()) await this.waitUntil(() => changed() || !hasHistory(), waitMs, signal);
+    if (!hasChanged()) await this.waitUntil(() => hasChanged() || !hasHistory(), waitMs, signal);
     if (!hasHistory()) return undefined;
     const changes = this.changes.filter((change) => change.topic === topic && change.revision > since);
     return updateAt(this.revision, {
@@ -203,17 +205,17 @@
   private waitUntil(condition: () => boolean, waitMs: number, signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
       const timer = this.clock.schedule(waitMs, done);
-      const wake = (): void => {
+      const onChange = (): void => {
         if (condition()) done();
       };
-      const { waiters } = this;
+      const { changeListeners } = this;
       function done(): void {
         timer.cancel();
-        waiters.delete(wake);
+        changeListeners.delete(onChange);
         signal.removeEventListener('abort', done);
         resolve();
       }
-      waiters.add(wake);
+      changeListeners.add(onChange);
       signal.addEventListener('abort', done);
     });
   }
--- a/src/cookie-edge/spreading/source-read-pacing.ts
+++ b/src/cookie-edge/spreading/source-read-pacing.ts
@@ -1,34 +1,35 @@
 /**
- * Rule: how soon, and how often, a daemon without a confirmation calls the source. Does no input or output.
+ * Rule: how soon and how often a daemon without a confirmation calls the source. Does no input or output.
  *
- * Prevents an outage in which every daemon calls the source at once and keeps calling it. One response is enough,
- * because it is gossiped to all. So a few daemons read first, more follow while there is no response, and after
- * `FIRST_READS` the rest follow at a constant rate: the load on the source in an outage does not grow with the fleet.
- * Measured: in an outage of 6 s 150 simulated daemons made 1,469 calls without this rule and 168 with it.
+ * Prevents a thundering herd in an outage, in which every daemon calls the source at once and keeps calling. A single
+ * response is enough, because it is gossiped to all daemons. So a few daemons read first, more follow while there is no
+ * response, and after `FIRST_READS` daemons the rest follow at a constant rate: the load on the source does not grow
+ * with the fleet. In an outage of 6 s, 150 daemons make 168 calls; without this rule they make 1,469.
  *
- * Without knowledge of peers the fleet counts as one daemon, which reads without a delay.
+ * While no peer is known, the fleet counts as one daemon, which reads without a delay.
  */
 import { FIRST_READS, READS_PER_SECOND } from './constants.js';
 
 const MS_PER_SECOND = 1_000;
 
 /**
- * Delay in ms before this daemon reads the source.
+ * Returns the delay in ms before this daemon reads the source.
  *
- * @param position its random position among all, from 0 (first) to 1 (last)
- * @param daemons estimated number of daemons that need a response, this one included
- * @param spreadMs time in ms within which the first `FIRST_READS` read
+ * @param position random position of this daemon among all, from 0 (first) to 1 (last)
+ * @param daemons estimated number of daemons that need a response, including this one
+ * @param spreadMs time in ms within which the first `FIRST_READS` daemons read
  */
 export function readDelayMs(position: number, daemons: number, spreadMs: number): number {
-  const earlier = Math.max(0, position * daemons - 1);
-  const paced = Math.min(daemons, FIRST_READS);
-  if (earlier > paced) return spreadMs + ((earlier - paced) / READS_PER_SECOND) * MS_PER_SECOND;
-  return spreadMs * Math.min(1, Math.log2(1 + earlier) / Math.log2(1 + paced));
+  const earlierDaemons = Math.max(0, position * daemons - 1);
+  const initialReads = Math.min(daemons, FIRST_READS);
+  if (earlierDaemons > initialReads)
+    return spreadMs + ((earlierDaemons - initialReads) / READS_PER_SECOND) * MS_PER_SECOND;
+  return spreadMs * Math.min(1, Math.log2(1 + earlierDaemons) / Math.log2(1 + initialReads));
 }
 
 /**
- * Backoff between two reads of one daemon, in ms, at which all `daemons` together read `READS_PER_SECOND` times a
- * second; 0 where they are too few to read more often than that.
+ * Returns the backoff in ms between two reads of one daemon with which all `daemons` together read `READS_PER_SECOND`
+ * times a second; 0 for so few daemons that no backoff is needed.
  */
 export function readBackoffMs(daemons: number): number {
   return daemons <= READS_PER_SECOND ? 0 : (daemons / READS_PER_SECOND) * MS_PER_SECOND;
@@ -44,14 +45,14 @@
   readonly ageMs: number;
   /** Age from which a confirmation is overdue. */
   readonly pullAfterMs: number;
-  /** Estimated number of daemons that lack a confirmation as this one does. */
+  /** Estimated number of daemons that lack a confirmation, including this one. */
   readonly daemons: number;
 }
 
 /**
- * Shortest backoff before the next call to a source that does not respond, in ms. A daemon without routes or back
- * ends cannot serve and does not wait for others; one with a current confirmation is not part of an outage of the
- * whole fleet.
+ * Returns the minimum backoff in ms before the next call to a source that does not respond. A daemon without routes or
+ * back ends cannot serve and does not wait for others. If the confirmation is current, the outage does not affect the
+ * whole fleet, and no backoff is needed.
  */
 export function minimumRetryDelayMs(situation: RetrySituation): number {
   const { isPaced, isComplete, ageMs, pullAfterMs, daemons } = situation;
--- a/src/cookie-edge/spreading/source-restored.test.ts
+++ b/src/cookie-edge/spreading/source-restored.test.ts
@@ -1,102 +1,99 @@
 /**
- * The source of routes and back ends was away for two seconds and came back from a copy some seconds old. Its revisions
- * went back and were given out again, while the daemons ordered everything by revision: what was new had a lower
- * revision than what was known, and was taken for old until the source had counted past that. The two readers wrote
+ * Guards against daemons that ignore a source restored from an older snapshot. Its revisions go back and are assigned
+ * again. While daemons ordered everything by revision alone, new changes had lower revisions than known ones, and
+ * daemons ignored them until the source had passed the known revision:
  *
- *     SQ2000 New route table in force. version=24 revision=21
- *     SQ2006 Source of routes and back ends available again. silentMs=3291
- *     SQ2203 Routes and back ends are confirmed to be current again. ageMs=53
- *     SQ2008 Ignored a route table older than the one in force. version=27 revision=19 inForce=24
- *
- * the last one 591 times, and made about 100 calls a second each, since a watch from revision 21 was refused and a read
- * brought a lower one. A back end that left was noted by the two readers and by nobody else, and got requests 3.4 s
- * later; 3.0 s are allowed.
+ * - After an outage of two seconds the two readers ignored the current route table 591 times as older than the one in
+ *   force (SQ2008: version 27 with revision 19, while version 24 with revision 21 was in force).
+ * - Each of them made about 100 calls a second: a watch from revision 21 was refused, and a read returned a lower
+ *   revision.
+ * - Only they noticed that a back end was draining. It still received requests 3.4 s later; the bound is 3.0 s.
  */
 import test from 'ava';
-import { settled, type SpreadingCluster } from './spreading-test-support.js';
+import { startSettledCluster, type SpreadingCluster } from './spreading-test-support.js';
 
-/** Time within which a change is to be in force on every daemon. */
+/** Time in ms within which a change must be in force on every daemon. */
 const BOUND_MS = 3_000;
 
-/** Version that is in force when the source goes away. */
+/** Versions in force before the outage of the source, and after the next change. */
 const VERSION_BEFORE = 24;
 const VERSION_AFTER = 27;
 
-/** How long the source is away, and how much later the operator makes the next change. */
-const AWAY_MS = 2_000;
-const CALM_MS = 4_000;
+/** Duration of the outage in ms, and time in ms between it and the next change. */
+const OUTAGE_MS = 2_000;
+const PAUSE_MS = 4_000;
 
 const SEEDS = [1, 2, 3];
 
-/** Seven daemons that know revision 11; the copy holds revision 6. */
-async function knowingMoreThanTheCopy(seed: number) {
-  const cluster = await settled(7, seed);
+/** Starts seven daemons that know revision 11, and returns a snapshot of the source at revision 6. */
+async function clusterAheadOfSnapshot(seed: number) {
+  const cluster = await startSettledCluster(7, seed);
   const { source, clock } = cluster;
   for (const id of ['b', 'c', 'd']) source.changeBackend(id);
   source.changeRoutes({ version: 16 });
-  const copy = source.copy();
+  const snapshot = source.takeSnapshot();
   for (const version of [18, 19, 20, 22, VERSION_BEFORE]) source.changeRoutes({ version });
-  await clock.advanceAsync(CALM_MS, 10);
-  return { cluster, source, clock, copy };
+  await clock.advanceAsync(PAUSE_MS, 10);
+  return { cluster, source, clock, snapshot };
 }
 
-function allHave(cluster: SpreadingCluster, version: number): () => boolean {
+function allHaveVersion(cluster: SpreadingCluster, version: number): () => boolean {
   return () => cluster.daemons.every((daemon) => daemon.version === version);
 }
 
-function allKnowThatLeaves(cluster: SpreadingCluster, id: string): () => boolean {
+function allKnowDraining(cluster: SpreadingCluster, id: string): () => boolean {
   return () => cluster.daemons.every(({ knowledge }) => knowledge.backends.get(id)?.record.draining);
 }
 
-test('after the source came back from an older copy, changes and leaves are known to all in time', async (t) => {
+test('after a restore from an older snapshot, changes and drains reach all daemons in time', async (t) => {
   for (const seed of SEEDS) {
-    const { cluster, source, clock, copy } = await knowingMoreThanTheCopy(seed);
+    const { cluster, source, clock, snapshot } = await clusterAheadOfSnapshot(seed);
     source.faults.set('*', 'refuse');
-    await clock.advanceAsync(AWAY_MS, 10);
-    source.restore(copy);
+    await clock.advanceAsync(OUTAGE_MS, 10);
+    source.restore(snapshot);
     source.changeRoutes({ version: VERSION_BEFORE });
     source.faults.clear();
-    await clock.advanceAsync(CALM_MS, 10);
-    t.true(allHave(cluster, VERSION_BEFORE)(), `seed ${seed}: what was in force stays`);
+    await clock.advanceAsync(PAUSE_MS, 10);
+    t.true(allHaveVersion(cluster, VERSION_BEFORE)(), `seed ${seed}: the table in force stays`);
     source.changeRoutes({ version: VERSION_AFTER });
     source.changeBackend('a', { draining: true });
-    const changeMs = await cluster.timeUntil(allHave(cluster, VERSION_AFTER), BOUND_MS);
+    const changeMs = await cluster.timeUntil(allHaveVersion(cluster, VERSION_AFTER), BOUND_MS);
     t.true(changeMs <= BOUND_MS, `seed ${seed}: the change took ${changeMs} ms`);
-    const leaveMs = await cluster.timeUntil(allKnowThatLeaves(cluster, 'a'), BOUND_MS - changeMs);
-    t.true(leaveMs <= BOUND_MS, `seed ${seed}: the leave took ${leaveMs} ms`);
+    const drainMs = await cluster.timeUntil(allKnowDraining(cluster, 'a'), BOUND_MS - changeMs);
+    t.true(drainMs <= BOUND_MS, `seed ${seed}: the drain took ${drainMs} ms`);
   }
 });
 
-test('changes are not missed when the restored source has counted past the known revision meanwhile', async (t) => {
+test('changes are not missed when the restored source has passed the known revision', async (t) => {
   for (const seed of SEEDS) {
-    const { cluster, source, clock, copy } = await knowingMoreThanTheCopy(seed);
+    const { cluster, source, clock, snapshot } = await clusterAheadOfSnapshot(seed);
     source.faults.set('*', 'silent');
-    await clock.advanceAsync(AWAY_MS, 10);
-    source.restore(copy);
+    await clock.advanceAsync(OUTAGE_MS, 10);
+    source.restore(snapshot);
     source.changeRoutes({ version: VERSION_AFTER });
     source.changeBackend('a', { draining: true });
     for (const id of ['e', 'f', 'g', 'h', 'i', 'j']) source.changeBackend(id);
     source.faults.clear();
-    const changeMs = await cluster.timeUntil(allHave(cluster, VERSION_AFTER), BOUND_MS);
+    const changeMs = await cluster.timeUntil(allHaveVersion(cluster, VERSION_AFTER), BOUND_MS);
     t.true(changeMs <= BOUND_MS, `seed ${seed}: the change took ${changeMs} ms`);
-    const leaveMs = await cluster.timeUntil(allKnowThatLeaves(cluster, 'a'), BOUND_MS);
-    t.true(leaveMs <= BOUND_MS, `seed ${seed}: the leave took ${leaveMs} ms`);
+    const drainMs = await cluster.timeUntil(allKnowDraining(cluster, 'a'), BOUND_MS);
+    t.true(drainMs <= BOUND_MS, `seed ${seed}: the drain took ${drainMs} ms`);
   }
 });
 
-test('a source that came back from an older copy is not called in a loop', async (t) => {
+test('a source restored from an older snapshot is not called in a loop', async (t) => {
   const WATCHED_MS = 5_000;
   for (const seed of SEEDS) {
-    const { cluster, source, clock, copy } = await knowingMoreThanTheCopy(seed);
+    const { cluster, source, clock, snapshot } = await clusterAheadOfSnapshot(seed);
     source.faults.set('*', 'refuse');
-    await clock.advanceAsync(AWAY_MS, 10);
-    source.restore(copy);
+    await clock.advanceAsync(OUTAGE_MS, 10);
+    source.restore(snapshot);
     source.faults.clear();
-    const before = source.calls;
+    const callsBefore = source.calls;
     await clock.advanceAsync(WATCHED_MS, 10);
-    const calls = source.calls - before;
+    const calls = source.calls - callsBefore;
     // Each daemon may read and watch both topics once, and two readers watch both at least every 0.3 s.
-    const most = cluster.daemons.length * 4 + 2 * 2 * (WATCHED_MS / 300);
-    t.true(calls <= most, `seed ${seed}: ${calls} calls, ${Math.round(most)} allowed`);
+    const maxCalls = cluster.daemons.length * 4 + 2 * 2 * (WATCHED_MS / 300);
+    t.true(calls <= maxCalls, `seed ${seed}: ${calls} calls, ${Math.round(maxCalls)} allowed`);
   }
 });
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -1,8 +1,8 @@
 /**
- * Gossip of one daemon: the few readers push changes and freshness confirmations to some peers, which gossip them
- * further. A daemon that lags pulls what it lacks, and one without a confirmation for too long reads the source itself.
- * Owns the tick and the application of messages; the rules stand in `reader-rule.ts`, `gossip-rule.ts`, `pull-rule.ts`
- * and `source-read-pacing.ts`.
+ * Gossip of one daemon. The few readers push changes and freshness confirmations to some peers, which gossip them
+ * further. A daemon that lags pulls what it lacks, and a daemon whose confirmation is overdue for too long reads the
+ * source itself. Owns the tick and applies received messages. The rules are in `reader-rule.ts`, `gossip-rule.ts`,
+ * `pull-rule.ts` and `source-read-pacing.ts`.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
@@ -14,14 +14,14 @@
 import type { FreshnessTimings, RoutingKnowledge } from '../routing/index.js';
 import { CatchUp } from './catch-up.js';
 import {
-  GREETING_JITTER,
-  GREETING_MAX_MS,
-  GREETING_MIN_MS,
+  SEED_PULL_JITTER,
+  SEED_PULL_MAX_MS,
+  SEED_PULL_MIN_MS,
   PULL_FANOUT,
   GOSSIP_TICK_MS,
 } from './constants.js';
 import { SPREADING_EVENTS } from './events.js';
-import { isConfirmationStep } from './gossip-rule.js';
+import { shouldForwardConfirmation } from './gossip-rule.js';
 import { MessageChannel, type MessageCounts } from './message-channel.js';
 import { MessageComposer } from './message-composer.js';
 import { PeerView } from './peer-view.js';
@@ -33,11 +33,10 @@
 import { UpdateLog } from './update-log.js';
 import { UpdateSender } from './update-sender.js';
 
-/** Collaborators of a spreader. */
 interface SpreaderOptions {
   readonly selfId: string;
   readonly zone: string;
-  /** Called at each greeting, since a reread of the configuration may change the seeds. */
+  /** Called before each pull from the seeds, since a reload of the configuration may change them. */
   readonly seeds: () => readonly Endpoint[];
   readonly transport: PeerTransport;
   readonly knowledge: RoutingKnowledge;
@@ -49,27 +48,28 @@
   readonly setReading: (reading: boolean) => void;
   /** Called with each datagram that arrives. */
   readonly recordArrival: () => void;
-  /** True while what arrives may have waited through a pause of this process, so that its age is unknown. */
+  /** True while received messages may have waited during a pause of this process, so that their age is unknown. */
   readonly mayHaveWaited: () => boolean;
-  /** True while records may vanish because their owners cannot write. */
+  /** True while records of back ends may expire only because their owners cannot write to the source. */
   readonly recordsMayLapse: () => boolean;
-  /** True while back ends that live may be missing from the list; never unless given. */
+  /** True while live back ends may be missing from the list. Defaults to never. */
   readonly isUnsettled?: () => boolean;
-  /** Called with each message of a peer that knows back ends and trusts its list. */
+  /** Called for each message of a peer that knows back ends and considers its list complete. */
   readonly onSettledPeer?: () => void;
-  /** Mechanisms that are on; all unless given. */
+  /** Returns whether a mechanism is on. Defaults to all on. */
   readonly isOn?: MechanismCheck;
-  /** Stores a report of the back ends' load; returns true when it is new here and must be gossiped further. */
+  /** Stores a load report of back ends; returns true if it is new to this daemon and must be gossiped further. */
   readonly applyLoadReport?: (report: LoadReport) => boolean;
   /**
-   * Records a bad answer that another daemon noticed; returns true when it is new here and must be gossiped further.
+   * Records a bad answer that another daemon observed; returns true if it is new to this daemon and must be gossiped
+   * further.
    */
   readonly applyBadAnswerReport?: (report: BadAnswerReport) => boolean;
-  /** Records an ejection at another daemon; returns true when it is new here and must be gossiped further. */
+  /** Records an ejection by another daemon; returns true if it is new to this daemon and must be gossiped further. */
   readonly applyEjectionReport?: (report: EjectionReport) => boolean;
 }
 
-/** Spreads what one daemon knows. Call `start` once, and `leave` before the transport closes. */
+/** Gossip of one daemon. Call `start` once, and `leave` before the transport closes. */
 export class Spreader {
   private readonly channel: MessageChannel;
   private readonly peers: PeerView;
@@ -79,11 +79,11 @@
   private readonly composer: MessageComposer;
   private readonly sender: UpdateSender;
   private readonly catchUp: CatchUp;
-  private timer: TimerHandle | undefined;
+  private tickTimer: TimerHandle | undefined;
   private startedAtMs = 0;
   private lastPullMs = Number.NEGATIVE_INFINITY;
-  private nextGreetingMs = 0;
-  private overdue = false;
+  private nextSeedPullMs = 0;
+  private isOverdue = false;
 
   constructor(private readonly options: SpreaderOptions) {
     const { selfId, zone, transport, random, events, knowledge, timings, clock, recordArrival } = options;
@@ -115,12 +115,12 @@
       knowledge,
       transport,
       sendRequest: (peer) => this.sendPullRequest(peer),
-      apply: (message, from) => this.apply(message, from),
+      applyMessage: (message, from) => this.applyMessage(message, from),
     });
-    knowledge.subscribe((applied) => this.sender.onApplied(applied));
+    knowledge.subscribe((applied) => this.sender.onUpdateApplied(applied));
     channel.serve(
       (message, from, nowMs) => this.receive(message, from, nowMs),
-      (known) => composer.state(known),
+      (known) => composer.stateMessage(known),
     );
   }
 
@@ -129,12 +129,12 @@
     return { ...this.channel.counts, fetches: this.catchUp.fetches };
   }
 
-  /** Peers known now. */
+  /** Number of known peers. */
   get peerCount(): number {
     return this.peers.size;
   }
 
-  /** Estimated number of daemons, this one included. */
+  /** Estimated number of daemons, including this one. */
   get fleetSize(): number {
     return this.peers.fleetSize;
   }
@@ -148,17 +148,17 @@
     return this.role.isReading;
   }
 
-  /** False while a peer is known to remember back ends that left, and none has told which. */
+  /** False after a peer reported departed back ends, until a complete list of them has been fetched. */
   get hasLearntDeparted(): boolean {
-    return this.catchUp.hasLearntDeparted;
+    return this.catchUp.hasReceivedDeparted;
   }
 
-  /** True for the one reader that writes what all daemons together must not lose; two may lead for a moment. */
+  /** True for the reader that writes the data which the fleet must not lose. Two readers may lead for a moment. */
   get isLeadingReader(): boolean {
     return this.role.isLeading(this.options.clock.now());
   }
 
-  /** Shortest backoff before the next call to a source that does not respond, in ms. */
+  /** Minimum backoff in ms before the next call to a source that does not respond. */
   minimumRetryDelayMs(): number {
     const { clock, knowledge, timings } = this.options;
     return minimumRetryDelayMs({
@@ -170,19 +170,19 @@
     });
   }
 
-  /** Sends a pull to the seeds and runs until `signal` aborts. */
+  /** Sends a pull to the seeds and then runs until `signal` aborts. */
   start(signal: AbortSignal): void {
     this.startedAtMs = this.options.clock.now();
-    this.greetSeeds(this.startedAtMs);
-    const arm = (): void => {
-      this.timer = this.options.clock.schedule(GOSSIP_TICK_MS, () => {
+    this.pullFromSeeds(this.startedAtMs);
+    const scheduleTick = (): void => {
+      this.tickTimer = this.options.clock.schedule(GOSSIP_TICK_MS, () => {
         this.tick();
-        arm();
+        scheduleTick();
       });
     };
-    arm();
+    scheduleTick();
     signal.addEventListener('abort', () => {
-      this.timer?.cancel();
+      this.tickTimer?.cancel();
       this.sender.stop();
       this.catchUp.stop();
     });
@@ -190,33 +190,33 @@
 
   /** Announces to some peers that this daemon stops. */
   leave(): void {
-    this.sender.push(this.composer.farewell());
+    this.sender.push(this.composer.leaveMessage());
   }
 
   /**
-   * Gossips that a back end was ejected or found dead here. The loss of a zone causes many ejections at once, so
-   * those of a moment share a message.
+   * Gossips that this daemon ejected a back end or detected its death. The loss of a zone causes many ejections at
+   * once, so they are batched.
    */
   gossipEjection(report: EjectionReport): void {
     this.ejections.record(report);
-    this.sender.pushEjections();
+    this.sender.scheduleEjectionPush();
   }
 
-  /** Gossips a bad answer. Those of a moment share a message. */
+  /** Gossips a bad answer. Several within a short time are batched into one message. */
   gossipBadAnswer(report: BadAnswerReport): void {
-    this.composer.badAnswers.add(report);
-    this.sender.pushBadAnswers();
+    this.composer.badAnswerOutbox.add(report);
+    this.sender.scheduleBadAnswerPush();
   }
 
-  /** Applies a report of the back ends' load; the next push without changes carries it if it is new here. */
+  /** Applies a load report of back ends; if it is new to this daemon, the next push without changes carries it. */
   gossipLoad(report: LoadReport): void {
     if (this.options.applyLoadReport?.(report)) this.composer.addLoadReport(report);
   }
 
-  /** Call after each response of the source: gossips the confirmation. */
+  /** Gossips a confirmation by the source. Call after each response of the source. */
   recordOwnConfirmation(): void {
     this.composer.recordOwnConfirmation();
-    this.sender.pushSoon();
+    this.sender.scheduleConfirmationPush();
   }
 
   private tick(): void {
@@ -224,44 +224,47 @@
     const nowMs = clock.now();
     const ageMs = knowledge.age();
     this.peers.prune(nowMs);
-    this.reportAge(ageMs);
+    this.reportOverdueChange(ageMs);
     const unconfirmedMs = Math.min(ageMs, nowMs - this.startedAtMs);
     const { pullAfterMs } = this.options.timings;
-    if (isPullDue(unconfirmedMs, pullAfterMs, nowMs - this.lastPullMs)) this.pull(nowMs);
-    if (nowMs >= this.nextGreetingMs) this.greetSeeds(nowMs);
+    if (isPullDue(unconfirmedMs, pullAfterMs, nowMs - this.lastPullMs)) this.pullFromPeers(nowMs);
+    if (nowMs >= this.nextSeedPullMs) this.pullFromSeeds(nowMs);
     const daemons = this.peers.reachableDaemons(nowMs);
     const known = { isComplete: knowledge.isComplete(), hasBeenRead: knowledge.hasBeenRead() };
     const reason = this.role.decide({ nowMs, ageMs, daemons, ...known });
     if (!reason) return;
     this.options.setReading(this.role.isReading);
-    this.reportRole(reason);
+    this.reportRoleChange(reason);
   }
 
-  /** Seeds may be down or stale at first; later they prevent the fleet from splitting into groups. */
-  private greetSeeds(nowMs: number): void {
+  /**
+   * Sends a pull to all seeds while fewer peers than seeds are known, since some seeds may be down or stale; later to
+   * one random seed, which reunites a fleet after a partition.
+   */
+  private pullFromSeeds(nowMs: number): void {
     const { random } = this.options;
     const seeds = this.options.seeds();
-    const isAlone = this.peers.size < seeds.length;
-    this.nextGreetingMs =
-      nowMs + jitter(isAlone ? GREETING_MIN_MS : GREETING_MAX_MS, GREETING_JITTER, random);
-    const greeted = isAlone || seeds.length === 0 ? seeds : [pick(seeds, random)];
-    this.channel.send(greeted, this.composer.pullRequest());
+    const hasTooFewPeers = this.peers.size < seeds.length;
+    this.nextSeedPullMs =
+      nowMs + jitter(hasTooFewPeers ? SEED_PULL_MIN_MS : SEED_PULL_MAX_MS, SEED_PULL_JITTER, random);
+    const targets = hasTooFewPeers || seeds.length === 0 ? seeds : [pick(seeds, random)];
+    this.channel.send(targets, this.composer.pullRequest());
   }
 
   private receive(message: PeerMessage, from: Endpoint, nowMs: number): void {
     if (message.leaving) this.peers.remove(from);
-    else this.peers.recordDirect(from, message.senderZone, nowMs);
+    else this.peers.recordDirectMessage(from, message.senderZone, nowMs);
     for (const { endpoint, zone, heardAtMs } of message.peers) this.peers.record(endpoint, zone, heardAtMs);
     if (message.type === 'pull') return this.channel.send([from], this.composer.pullResponse(message));
-    this.apply(message, from);
+    this.applyMessage(message, from);
   }
 
-  /** Applies a message; pulls from the sender what is missing. */
-  private apply(message: PeerMessage, from: Endpoint): void {
+  /** Applies a message, and pulls from its sender what this daemon still lacks. */
+  private applyMessage(message: PeerMessage, from: Endpoint): void {
     const { knowledge } = this.options;
     const mayHaveWaited = this.options.mayHaveWaited();
     const mayHaveLapsed = this.options.recordsMayLapse();
-    const ageBeforeMs = knowledge.age();
+    const previousAgeMs = knowledge.age();
     for (const { topic, since, update } of message.updates) {
       knowledge.apply(topic, update, { since, confirmedAtMs: Number.NEGATIVE_INFINITY, mayHaveLapsed });
     }
@@ -275,18 +278,18 @@
       const confirmation = message.confirmations[topic];
       return confirmation !== undefined && !knowledge.applyConfirmation(topic, confirmation);
     });
-    this.catchUp.learnDeparted(from, message.departedCount);
+    this.catchUp.fetchDepartedBackends(from, message.departedCount);
     if (missing.length > 0) return this.catchUp.requestMissing(missing, message, from);
-    this.catchUp.recordNothingMissing(from);
-    if (isConfirmationStep(ageBeforeMs, knowledge.age())) this.sender.pushSoon();
+    this.catchUp.clearPendingRequest(from);
+    if (shouldForwardConfirmation(previousAgeMs, knowledge.age())) this.sender.scheduleConfirmationPush();
   }
 
-  /** Gossips an ejection report that is new here. */
+  /** Applies an ejection report, and gossips it further if it is new to this daemon. */
   private applyEjectionReport(report: EjectionReport): void {
     if (this.options.applyEjectionReport?.(report)) this.gossipEjection(report);
   }
 
-  /** Gossips a bad answer that is new here. */
+  /** Applies a bad-answer report, and gossips it further if it is new to this daemon. */
   private applyBadAnswerReport(report: BadAnswerReport): void {
     if (this.options.applyBadAnswerReport?.(report)) this.gossipBadAnswer(report);
   }
@@ -296,29 +299,29 @@
     this.channel.send([peer], this.composer.pullRequest());
   }
 
-  private pull(nowMs: number): void {
+  private pullFromPeers(nowMs: number): void {
     this.lastPullMs = nowMs;
-    const chosen = this.peers.sample(PULL_FANOUT).map(({ endpoint }) => endpoint);
+    const chosen = this.peers.randomPeers(PULL_FANOUT).map(({ endpoint }) => endpoint);
     for (const endpoint of chosen.length > 0 ? chosen : this.options.seeds()) this.sendPullRequest(endpoint);
   }
 
-  private reportAge(ageMs: number): void {
-    const overdue = ageMs >= this.options.timings.pullAfterMs;
-    if (overdue === this.overdue) return;
-    this.overdue = overdue;
-    const event = overdue ? SPREADING_EVENTS.overdue : SPREADING_EVENTS.currentAgain;
-    this.options.events.emit(event, { ageMs: round(ageMs), peers: this.peers.size });
+  private reportOverdueChange(ageMs: number): void {
+    const isNowOverdue = ageMs >= this.options.timings.pullAfterMs;
+    if (isNowOverdue === this.isOverdue) return;
+    this.isOverdue = isNowOverdue;
+    const event = isNowOverdue ? SPREADING_EVENTS.overdue : SPREADING_EVENTS.currentAgain;
+    this.options.events.emit(event, { ageMs: roundFinite(ageMs), peers: this.peers.size });
   }
 
-  private reportRole(reason: RoleReason): void {
+  private reportRoleChange(reason: RoleReason): void {
     const { clock, knowledge, events } = this.options;
     const event = this.role.isReading ? SPREADING_EVENTS.reading : SPREADING_EVENTS.standingDown;
     const otherReaders = this.role.otherReaders(clock.now()).length;
-    events.emit(event, { reason, otherReaders, ageMs: round(knowledge.age()), peers: this.peers.size });
+    events.emit(event, { reason, otherReaders, ageMs: roundFinite(knowledge.age()), peers: this.peers.size });
   }
 }
 
-/** Whole milliseconds; undefined before the first confirmation. */
-function round(ageMs: number): number | undefined {
+/** Rounds to whole ms; undefined for an infinite age, before the first confirmation. */
+function roundFinite(ageMs: number): number | undefined {
   return Number.isFinite(ageMs) ? Math.round(ageMs) : undefined;
 }
--- a/src/cookie-edge/spreading/spreading-test-support.ts
+++ b/src/cookie-edge/spreading/spreading-test-support.ts
@@ -1,4 +1,4 @@
-/** Daemons that spread knowledge on a virtual clock: a simulated source, a simulated network, and their faults. */
+/** Cluster of daemons that gossip on a virtual clock, with a simulated source and a simulated network. */
 import { VirtualClock } from '../../common/clock.js';
 import { seededRandom } from '../../common/random.js';
 import { formatEndpoint, type Endpoint } from '../../common/types.js';
@@ -21,27 +21,27 @@
 
 export type { SourceFault } from './simulated-source.js';
 
-/** The times of all daemons. */
+/** Freshness timings of all daemons, for a bound of 3 s. */
 export const TIMINGS = freshnessTimings(3_000);
 
-/** One daemon of the cluster. */
+/** One daemon of a simulated cluster. */
 export class SimulatedDaemon {
   readonly knowledge: RoutingKnowledge;
   readonly settlement: BackendSettlement;
   readonly spreader: Spreader;
   readonly endpoint: Endpoint;
-  /** Back ends that others ejected, each once. */
-  readonly suspicions: string[] = [];
-  /** Bad answers that others noticed, each once, with the time at which they arrived. */
-  readonly badAnswers = new Map<string, number>();
-  /** The load of back ends as others reported it. */
+  /** Back ends that other daemons ejected, each once. */
+  readonly ejectionsReceived: string[] = [];
+  /** Arrival times of the bad answers that others observed, by `backendId observer`. */
+  readonly badAnswerArrivals = new Map<string, number>();
+  /** Load of back ends as other daemons reported it. */
   readonly loads = new LoadView();
   private readonly clock: VirtualClock;
   private readonly events = SILENT_EVENT_LOG;
   private readonly availability: SourceAvailability;
   private readonly followers: readonly SourceFollower[];
   private readonly abort = new AbortController();
-  private reading: AbortController | undefined;
+  private readingAbort: AbortController | undefined;
 
   constructor(
     readonly id: string,
@@ -59,13 +59,13 @@
     const { knowledge } = this;
     const recordsMayLapse = (): boolean => this.availability.recordsMayLapse();
     this.settlement = new BackendSettlement({ clock, events, knowledge, recordsMayLapse });
-    this.followers = this.followersOf(cluster);
+    this.followers = this.createFollowers(cluster);
     this.spreader = new Spreader({
       selfId: id,
       zone: zoneOf(formatEndpoint(this.endpoint)),
       seeds: () => cluster.seeds,
       knowledge: this.knowledge,
-      transport: cluster.network.open(this.endpoint),
+      transport: cluster.network.openTransport(this.endpoint),
       clock,
       random,
       events,
@@ -84,23 +84,23 @@
     this.spreader.start(this.abort.signal);
   }
 
-  /** Version of the routes in force; 0 before the first. */
+  /** Version of the route table in force; 0 before the first. */
   get version(): number {
     return this.knowledge.routes()?.table.version ?? 0;
   }
 
-  /** Ends it without a farewell. */
+  /** Stops this daemon without an announcement to its peers. */
   kill(network: SimulatedPeerNetwork): void {
     this.abort.abort();
-    this.reading?.abort();
-    network.close(this.endpoint);
+    this.readingAbort?.abort();
+    network.removeNode(this.endpoint);
   }
 
-  private followersOf({ source, options }: SpreadingCluster): readonly SourceFollower[] {
+  private createFollowers({ source, options }: SpreadingCluster): readonly SourceFollower[] {
     const { clock, knowledge, availability } = this;
     const following = {
       clock,
-      source: source.for(this.id),
+      source: source.asSeenBy(this.id),
       knowledge,
       availability,
       timings: TIMINGS,
@@ -113,41 +113,41 @@
   }
 
   private setReading(isReading: boolean): void {
-    this.reading?.abort();
-    this.reading = isReading ? new AbortController() : undefined;
+    this.readingAbort?.abort();
+    this.readingAbort = isReading ? new AbortController() : undefined;
     if (isReading) this.availability.beginReading();
     else this.availability.endReading();
-    for (const follower of this.followers) if (this.reading) void follower.run(this.reading.signal);
+    for (const follower of this.followers) if (this.readingAbort) void follower.run(this.readingAbort.signal);
   }
 
   private applyBadAnswerReport({ backendId, observer }: BadAnswerReport): boolean {
     const key = `${backendId} ${observer}`;
-    if (this.badAnswers.has(key)) return false;
-    this.badAnswers.set(key, this.clock.now());
+    if (this.badAnswerArrivals.has(key)) return false;
+    this.badAnswerArrivals.set(key, this.clock.now());
     return true;
   }
 
   private applyEjectionReport({ backendId }: EjectionReport): boolean {
-    if (this.suspicions.includes(backendId)) return false;
-    this.suspicions.push(backendId);
+    if (this.ejectionsReceived.includes(backendId)) return false;
+    this.ejectionsReceived.push(backendId);
     return true;
   }
 }
 
-/** What daemons of a cluster do differently; nothing unless given. */
+/** Options of the daemons in a cluster; the defaults are those of `RoutingKnowledge` and `SourceFollower`. */
 export interface ClusterOptions {
   readonly followsCordons?: boolean;
   readonly usesLongWatches?: boolean;
 }
 
-/** A cluster with a source and a network. */
+/** Daemons that share a simulated source and a simulated network. */
 export class SpreadingCluster {
   readonly clock = new VirtualClock();
   readonly source = new SimulatedSource(this.clock);
   readonly network: SimulatedPeerNetwork;
   readonly daemons: SimulatedDaemon[] = [];
   readonly seeds: Endpoint[] = [];
-  private started = 0;
+  private startedCount = 0;
 
   constructor(
     size: number,
@@ -158,18 +158,18 @@
     for (let index = 1; index <= Math.min(3, size); index += 1) {
       this.seeds.push({ host: `10.1.0.${index}`, port: 7_720 });
     }
-    for (let index = 0; index < size; index += 1) this.add();
+    for (let index = 0; index < size; index += 1) this.startDaemon();
   }
 
   /** Starts one more daemon. */
-  add(): SimulatedDaemon {
-    this.started += 1;
-    const daemon = new SimulatedDaemon(`balancer-${this.started}`, this.started, this);
+  startDaemon(): SimulatedDaemon {
+    this.startedCount += 1;
+    const daemon = new SimulatedDaemon(`balancer-${this.startedCount}`, this.startedCount, this);
     this.daemons.push(daemon);
     return daemon;
   }
 
-  kill(daemon: SimulatedDaemon): void {
+  killDaemon(daemon: SimulatedDaemon): void {
     daemon.kill(this.network);
     this.daemons.splice(this.daemons.indexOf(daemon), 1);
   }
@@ -178,27 +178,27 @@
     return this.daemons.filter(({ spreader }) => spreader.isReading);
   }
 
-  /** Runs until `done`; resolves to the ms it took, or Infinity after `limitMs`. */
-  async timeUntil(done: () => boolean, limitMs: number): Promise<number> {
+  /** Runs until `isDone` returns true; resolves to the elapsed ms, or to Infinity after `limitMs`. */
+  async timeUntil(isDone: () => boolean, limitMs: number): Promise<number> {
     const startedMs = this.clock.now();
     while (this.clock.now() - startedMs <= limitMs) {
-      if (done()) return this.clock.now() - startedMs;
+      if (isDone()) return this.clock.now() - startedMs;
       await this.clock.advanceAsync(5, 5);
     }
     return Number.POSITIVE_INFINITY;
   }
 
-  /** Largest age of what any of `daemons` knows. */
+  /** Returns the largest age of the routes and back ends of any of `daemons`, in ms. */
   maxAge(daemons: readonly SimulatedDaemon[] = this.daemons): number {
     return Math.max(...daemons.map(({ knowledge }) => knowledge.age()));
   }
 }
 
-/** A cluster has its readers after this long. */
+/** Time in ms after which the readers of a cluster no longer change. */
 export const SETTLE_MS = 4_000;
 
-/** A cluster that has run for `SETTLE_MS`. */
-export async function settled(
+/** Starts a cluster and runs it for `SETTLE_MS`. */
+export async function startSettledCluster(
   size: number,
   seed = 1,
   options: ClusterOptions = {},
@@ -208,8 +208,8 @@
   return cluster;
 }
 
-/** Time until every daemon of `daemons` has this version in force. */
-export function timeOfVersion(
+/** Resolves to the ms until the route table `version` is in force at all `daemons`, or to Infinity after 10 s. */
+export function timeUntilVersion(
   cluster: SpreadingCluster,
   version: number,
   daemons: readonly SimulatedDaemon[] = cluster.daemons,
@@ -217,7 +217,7 @@
   return cluster.timeUntil(() => daemons.every((daemon) => daemon.version === version), 10_000);
 }
 
-/** Lets the source treat its readers badly. */
-export function faultReaders(cluster: SpreadingCluster, fault: SourceFault): void {
+/** Makes the source fail for its current readers. */
+export function injectReaderFault(cluster: SpreadingCluster, fault: SourceFault): void {
   for (const { id } of cluster.readers()) cluster.source.faults.set(id, fault);
 }
--- a/src/cookie-edge/spreading/table-consistency.test.ts
+++ b/src/cookie-edge/spreading/table-consistency.test.ts
@@ -1,4 +1,7 @@
-/** Whatever the order and joining of changes, the table under a revision is the source's table of that revision. */
+/**
+ * Guards against a route table whose content differs from the table of the same revision in the source, for any order
+ * and joining of changes.
+ */
 import test from 'ava';
 import fc from 'fast-check';
 import { VirtualClock } from '../../common/clock.js';
@@ -11,32 +14,32 @@
 const SEED = 20_261_202;
 
 /**
- * One step of a history: the source changes, a daemon reads it, or a daemon gossips to another what a third one lacks,
- * as an unrequested push does.
+ * One step of a history: the source changes, a daemon reads it, or a daemon sends another one the changes that a third
+ * one lacks, as an unrequested push does.
  */
 type Step =
   | { readonly kind: 'change'; readonly routes: readonly Route[] }
   | { readonly kind: 'read'; readonly daemon: number }
-  | { readonly kind: 'tell'; readonly from: number; readonly to: number; readonly lacking: number };
+  | { readonly kind: 'gossip'; readonly from: number; readonly to: number; readonly lacking: number };
 
-const route = fc
+const anyRoute = fc
   .record({ name: fc.constantFrom('a', 'b'), service: fc.constantFrom('alpha', 'beta') })
   .map(({ name, service }): Route => {
     return { name, address: 0xc6120001, port: 443, targets: [{ service, weight: 1 }] };
   });
 const daemonIndex = fc.nat(DAEMONS - 1);
-const step: fc.Arbitrary<Step> = fc.oneof(
+const anyStep: fc.Arbitrary<Step> = fc.oneof(
   fc
-    .uniqueArray(route, { selector: ({ name }) => name, maxLength: 2 })
+    .uniqueArray(anyRoute, { selector: ({ name }) => name, maxLength: 2 })
     .map((routes): Step => ({ kind: 'change', routes })),
   daemonIndex.map((daemon): Step => ({ kind: 'read', daemon })),
   fc
     .record({ from: daemonIndex, to: daemonIndex, lacking: daemonIndex })
-    .map((told): Step => ({ kind: 'tell', ...told })),
+    .map((ends): Step => ({ kind: 'gossip', ...ends })),
 );
 
-/** What a daemon keeps of routes, with the log from which it tells others. */
-class TellingDaemon {
+/** The routes that a daemon knows, and the log from which it sends changes. */
+class GossipingDaemon {
   readonly log = new UpdateLog();
   readonly knowledge = new RoutingKnowledge({
     clock: new VirtualClock(),
@@ -50,13 +53,15 @@
     );
   }
 
-  read(table: RouteTable, storeRevision: number): void {
+  read(table: RouteTable, sourceRevision: number): void {
     const origin = { since: -1, confirmedAtMs: 0, mayHaveLapsed: false };
-    this.knowledge.apply('routes', updateAt(storeRevision, { complete: true, routes: [table] }), origin);
+    this.knowledge.apply('routes', updateAt(sourceRevision, { complete: true, routes: [table] }), origin);
   }
 
-  /** Tells `other` what `lacking` lacks; everything where the log does not reach back. */
-  tell(other: TellingDaemon, { knowledge }: TellingDaemon): void {
+  /**
+   * Sends `other` the changes that `lacking` lacks, or the complete table if the log does not reach back far enough.
+   */
+  gossipTo(other: GossipingDaemon, { knowledge }: GossipingDaemon): void {
     const known = { revision: knowledge.revisionOf('routes'), table: knowledge.tableRevision };
     const update = this.log.since('routes', known) ?? completeUpdate(this.knowledge, 'routes');
     if (!update) return;
@@ -69,22 +74,22 @@
   return [...table.routes].sort((left, right) => (left.name < right.name ? -1 : 1));
 }
 
-test('a table under a revision equals the table of the source at that revision', (t) => {
+test('a route table equals the table of the source with the same revision', (t) => {
   fc.assert(
-    fc.property(fc.array(step, { minLength: 20, maxLength: 60 }), (steps) => {
-      const daemons = Array.from({ length: DAEMONS }, () => new TellingDaemon());
+    fc.property(fc.array(anyStep, { minLength: 20, maxLength: 60 }), (steps) => {
+      const daemons = Array.from({ length: DAEMONS }, () => new GossipingDaemon());
       const history = [tableAt(2)];
-      let storeRevision = 2;
-      for (const taken of steps) {
+      let sourceRevision = 2;
+      for (const step of steps) {
         const newest = history.at(-1)!;
-        storeRevision += 1;
-        if (taken.kind === 'change') history.push(tableAt(storeRevision, { routes: taken.routes }));
-        else if (taken.kind === 'read') daemons[taken.daemon]!.read(newest, storeRevision);
-        else daemons[taken.from]!.tell(daemons[taken.to]!, daemons[taken.lacking]!);
+        sourceRevision += 1;
+        if (step.kind === 'change') history.push(tableAt(sourceRevision, { routes: step.routes }));
+        else if (step.kind === 'read') daemons[step.daemon]!.read(newest, sourceRevision);
+        else daemons[step.from]!.gossipTo(daemons[step.to]!, daemons[step.lacking]!);
         for (const { knowledge } of daemons) {
-          const held = knowledge.routes()?.table;
-          const meant = history.find(({ revision }) => revision === held?.revision);
-          if (held && meant) t.deepEqual(contentOf(held), contentOf(meant));
+          const knownTable = knowledge.routes()?.table;
+          const sourceTable = history.find(({ revision }) => revision === knownTable?.revision);
+          if (knownTable && sourceTable) t.deepEqual(contentOf(knownTable), contentOf(sourceTable));
         }
       }
     }),
--- a/src/cookie-edge/spreading/update-codec.ts
+++ b/src/cookie-edge/spreading/update-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Encodes and decodes the updates inside messages: routes, back ends and cordons. Does no input or output. A field that
- * is missing on the wire gets the default of its type, since a sender may be older than this build.
+ * Encodes and decodes the updates in messages: routes, back ends and cordons. Does no input or output. A missing field
+ * decodes to the default of its type, since the sender may run an older version.
  */
 import type {
   Route,
@@ -19,12 +19,12 @@
   decodeEpoch,
   encodeEndpoint,
   encodeEpoch,
-  keyOf,
+  findKeyByNumber,
   timeOfAge,
   TOPIC_NUMBERS,
 } from './wire-values.js';
 
-/** Encodes an update as of `nowMs`. */
+/** Encodes an update that is sent at `nowMs`. */
 export function encodeUpdate(
   { topic, since, update }: SpreadUpdate,
   nowMs: number,
@@ -54,9 +54,9 @@
   };
 }
 
-/** Decodes an update that was sent at `sentMs`; undefined for a topic that this build does not know. */
+/** Decodes an update that was sent at `sentMs`; undefined for a topic that this version does not know. */
 export function decodeUpdate(update: sailquay.spreading.IUpdate, sentMs: number): SpreadUpdate | undefined {
-  const topic = keyOf(TOPIC_NUMBERS, update.topic);
+  const topic = findKeyByNumber(TOPIC_NUMBERS, update.topic);
   return topic && { topic, since: update.since ?? 0, update: decodeRoutingUpdate(update, sentMs) };
 }
 
@@ -169,7 +169,7 @@
   const { name, maxConnections, coldRequestsPerSecond } = service;
   return {
     name,
-    // 0 on the wire stands for no limit.
+    // 0 encodes "no limit".
     maxConnections: Number.isFinite(maxConnections) ? maxConnections : 0,
     coldRequestsPerSecond,
   };
--- a/src/cookie-edge/spreading/update-log.test.ts
+++ b/src/cookie-edge/spreading/update-log.test.ts
@@ -8,7 +8,7 @@
   return { revision, table: NOTHING_KNOWN };
 }
 
-function logged(...revisions: readonly number[]): UpdateLog {
+function logWithRevisions(...revisions: readonly number[]): UpdateLog {
   const log = new UpdateLog();
   let since = 0;
   for (const revision of revisions) {
@@ -19,27 +19,27 @@
   return log;
 }
 
-function ids(log: UpdateLog, revision: number): string[] | undefined {
+function backendRevisions(log: UpdateLog, revision: number): string[] | undefined {
   return log
     .since('backends', knownAt(revision))
     ?.update.backends.map(({ id, revision: at }) => `${id}@${at}`);
 }
 
-test('who lags gets each back end once, as it was recorded last', (t) => {
-  t.deepEqual(ids(logged(5, 7, 9), 5), ['b-7@7', 'often@9', 'b-9@9']);
+test('a lagging daemon gets only the latest record of each back end', (t) => {
+  t.deepEqual(backendRevisions(logWithRevisions(5, 7, 9), 5), ['b-7@7', 'often@9', 'b-9@9']);
 });
 
-test('who knows a part of a long change gets only the rest', (t) => {
+test('a daemon that knows a part of a long change gets only the rest', (t) => {
   const log = new UpdateLog();
   const backends = [3, 5, 7, 9].map((revision) => backendAt(`b-${revision}`, revision));
   const removals = [{ id: 'gone', revision: 2 }];
   log.record({ topic: 'backends', since: 1, update: updateAt(9, { backends, removals }) });
-  t.deepEqual(ids(log, 6), ['b-7@7', 'b-9@9']);
+  t.deepEqual(backendRevisions(log, 6), ['b-7@7', 'b-9@9']);
   t.deepEqual(log.since('backends', knownAt(6))?.update.removals, removals, 'removals carry older revisions');
   t.is(log.since('backends', knownAt(6))?.update.revision, 9);
 });
 
-test('what is told begins where its content begins, so that whoever knows less sees the gap', (t) => {
+test('an update starts where its content starts, so that a daemon that knows less detects the gap', (t) => {
   const log = new UpdateLog();
   const backends = [3, 5, 7, 9].map((revision) => backendAt(`b-${revision}`, revision));
   log.record({ topic: 'backends', since: 1, update: updateAt(9, { backends }) });
@@ -47,7 +47,7 @@
   t.is(log.since('backends', knownAt(1))?.since, 1);
 });
 
-test('changes of the table between which one was never logged are not joined', (t) => {
+test('table changes are not joined across a change that was not logged', (t) => {
   const log = new UpdateLog();
   const change = (fromRevision: number, revision: number) =>
     updateAt(revision, {
@@ -57,10 +57,10 @@
   log.record({ topic: 'routes', since: 7, update: change(9, 12) });
   t.is(log.since('routes', { revision: 3, table: 3 }), undefined);
   t.is(log.since('routes', { revision: 7, table: 7 }), undefined, 'nothing leads from 7 to 9');
-  const fromNine = log.since('routes', { revision: 9, table: 9 });
-  t.deepEqual(fromNine?.update.routeChange?.fromRevisions, [9]);
+  const updateFromNine = log.since('routes', { revision: 9, table: 9 });
+  t.deepEqual(updateFromNine?.update.routeChange?.fromRevisions, [9]);
 });
 
-test('what the log does not reach back to is not told', (t) => {
-  t.is(logged(5, 7).since('backends', knownAt(-1)), undefined);
+test('the log returns nothing for a revision that it does not reach back to', (t) => {
+  t.is(logWithRevisions(5, 7).since('backends', knownAt(-1)), undefined);
 });
--- a/src/cookie-edge/spreading/update-log.ts
+++ b/src/cookie-edge/spreading/update-log.ts
@@ -1,11 +1,16 @@
 /**
- * Rule: which changes a lagging daemon gets. Does no input or output; `MessageComposer` sends the result.
+ * Rule: which changes a lagging daemon receives. Does no input or output; `MessageComposer` sends the result.
  *
- * Prevents transfers of the whole state for a small gap. Keeps the last `MAX_LOGGED_UPDATES` changes of each topic.
- * Back ends and cordons are records with revisions, so that any start at or before the requester's revision serves,
- * and records that it has are left out. Routes are differences of tables: the chain must start from exactly the
- * requester's table and have no gap. A requester that the log does not reach gets nothing here, and the whole topic
- * when it fetches the state (`completeUpdate`). A complete update clears the log. */
+ * Prevents transfers of the whole state for a small gap. Keeps the last `MAX_LOGGED_UPDATES` changes of each topic; a
+ * complete update clears the log of its topic.
+ *
+ * Back ends and cordons are records with revisions: any logged change that starts at or before the revision of the
+ * requester may begin the response, and records that the requester has are left out. Routes are differences between
+ * tables: the chain of changes must start from exactly the table of the requester and have no gap.
+ *
+ * If the log does not reach back far enough, the response omits the topic. The requester then fetches the state, which
+ * contains the complete topic (`completeUpdate`).
+ */
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import {
   compareEpochs,
@@ -30,7 +35,7 @@
 
   constructor(private readonly isOn: MechanismCheck = ALL_MECHANISMS_ON) {}
 
-  /** Records a change that was just applied. A complete update clears the log. */
+  /** Records a change that was just applied. A complete update clears the log of its topic. */
   record(entry: SpreadUpdate): void {
     const log = this.entries[entry.topic];
     if (entry.update.complete) log.length = 0;
@@ -39,26 +44,31 @@
   }
 
   /**
-   * The changes beyond `known`, without records that the requester has; undefined when the log does not hold all of
-   * them.
+   * Returns the changes after `known`, without records that the requester has; undefined if the log does not contain
+   * all of them.
    */
   since(topic: RoutingTopic, known: KnownTopic): SpreadUpdate | undefined {
     if (!this.isOn('change-log')) return undefined;
     const log = this.entries[topic];
-    const first = topic === 'routes' ? startOfChain(log, known.table) : startOfRecords(log, known.revision);
-    const needed = first < 0 ? [] : log.slice(first);
-    // Revisions of another epoch lead from nothing that the requester has.
-    if (!needed[0] || compareEpochs(needed[0].update, known) !== 'same') return undefined;
-    const update = merge(needed.map((entry) => entry.update));
+    const firstIndex =
+      topic === 'routes' ? findChainStart(log, known.table) : findRecordsStart(log, known.revision);
+    const neededEntries = firstIndex < 0 ? [] : log.slice(firstIndex);
+    // Changes of another epoch do not start from any state that the requester has.
+    if (!neededEntries[0] || compareEpochs(neededEntries[0].update, known) !== 'same') return undefined;
+    const update = mergeUpdates(neededEntries.map((entry) => entry.update));
     const isNew = (record: { readonly revision: number }): boolean => record.revision > known.revision;
     const { backends, cordons } = update;
-    const lacking = { backends: backends.filter(isNew), cordons: cordons?.filter(isNew) };
-    return { topic, since: Math.max(needed[0].since, known.revision), update: { ...update, ...lacking } };
+    const newRecords = { backends: backends.filter(isNew), cordons: cordons?.filter(isNew) };
+    return {
+      topic,
+      since: Math.max(neededEntries[0].since, known.revision),
+      update: { ...update, ...newRecords },
+    };
   }
 }
 
-/** Joins updates into one with the same effect; of each back end only the last record. */
-function merge(updates: readonly RoutingUpdate[]): RoutingUpdate {
+/** Merges updates into one with the same effect, with only the latest record of each back end. */
+function mergeUpdates(updates: readonly RoutingUpdate[]): RoutingUpdate {
   return {
     epoch: updates.at(-1)?.epoch,
     revision: updates.at(-1)?.revision ?? 0,
@@ -66,15 +76,15 @@
     routes: updates.flatMap(({ routes }) => routes).slice(-1),
     routeChange: updates
       .flatMap(({ routeChange }) => routeChange ?? [])
-      .reduce<RouteTableChange | undefined>(joinAfter, undefined),
-    backends: lastOfEach(updates.flatMap(({ backends }) => backends)),
+      .reduce<RouteTableChange | undefined>(joinOptionalChange, undefined),
+    backends: latestRecordOfEach(updates.flatMap(({ backends }) => backends)),
     removals: updates.flatMap(({ removals }) => removals),
     cordons: updates.flatMap(({ cordons = [] }) => cordons),
     cordonRemovals: updates.flatMap(({ cordonRemovals = [] }) => cordonRemovals),
   };
 }
 
-function lastOfEach(records: readonly RoutedBackend[]): RoutedBackend[] {
+function latestRecordOfEach(records: readonly RoutedBackend[]): RoutedBackend[] {
   const byId = new Map<string, RoutedBackend>();
   for (const record of records) {
     if (record.revision >= (byId.get(record.id)?.revision ?? 0)) byId.set(record.id, record);
@@ -82,31 +92,32 @@
   return [...byId.values()];
 }
 
-/** The last entry that starts at `revision` or before; -1 when there is none. */
-function startOfRecords(log: readonly SpreadUpdate[], revision: number): number {
+/** Returns the index of the last entry that starts at or before `revision`; -1 if there is none. */
+function findRecordsStart(log: readonly SpreadUpdate[], revision: number): number {
   return log.findLastIndex(({ since }) => since <= revision);
 }
 
 /**
- * The entry that starts from exactly the table of `tableRevision`, if each later entry starts from the one before it;
- * -1 otherwise. A table that was received across a gap was not logged, so that the next change starts elsewhere.
+ * Returns the index of the entry that starts from exactly the table `tableRevision`, if each later entry starts from
+ * its predecessor; -1 otherwise. The chain has a gap where a table was received without a change, since it is not
+ * logged.
  */
-function startOfChain(log: readonly SpreadUpdate[], tableRevision: number): number {
+function findChainStart(log: readonly SpreadUpdate[], tableRevision: number): number {
   const changes = log.map(({ update }) => update.routeChange);
-  const first = changes.findLastIndex((change) => change?.fromRevisions.includes(tableRevision));
-  const chain = changes.slice(Math.max(0, first));
-  const isWhole = chain.every((change, index) => {
-    const before = chain[index - 1];
-    return change !== undefined && (!before || isNextChange(before, change));
+  const firstIndex = changes.findLastIndex((change) => change?.fromRevisions.includes(tableRevision));
+  const chain = changes.slice(Math.max(0, firstIndex));
+  const isUnbroken = chain.every((change, index) => {
+    const previous = chain[index - 1];
+    return change !== undefined && (!previous || isNextChange(previous, change));
   });
-  return isWhole ? first : -1;
+  return isUnbroken ? firstIndex : -1;
 }
 
-function joinAfter(first: RouteTableChange | undefined, second: RouteTableChange): RouteTableChange {
+function joinOptionalChange(first: RouteTableChange | undefined, second: RouteTableChange): RouteTableChange {
   return first ? joinTableChanges(first, second) : second;
 }
 
-/** Everything that is known of a topic, departed back ends included; undefined before it is known. */
+/** Returns all that is known of a topic, including departed back ends; undefined before anything is known. */
 export function completeUpdate(knowledge: RoutingKnowledge, topic: RoutingTopic): SpreadUpdate | undefined {
   const { epoch, revision } = knowledge.confirmationOf(topic);
   const table = knowledge.routes()?.table;
--- a/src/cookie-edge/spreading/update-sender.ts
+++ b/src/cookie-edge/spreading/update-sender.ts
@@ -1,19 +1,18 @@
 /**
- * Pushes gossip to some peers when the rule in `gossip-rule.ts` says so. Owns the timers of the pushes and the
+ * Pushes gossip to some peers after the delays that `gossip-rule.ts` defines. Owns the timers of the pushes and the
  * revisions up to which changes were sent; relies on `MessageComposer` for the content.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { Endpoint } from '../../common/types.js';
 import type { AppliedUpdate, RoutingKnowledge } from '../routing/index.js';
-import { FANOUT_ELSEWHERE, FANOUT_IN_ZONE, NOTHING_KNOWN } from './constants.js';
+import { FANOUT_OTHER_ZONES, FANOUT_IN_ZONE, NOTHING_KNOWN } from './constants.js';
 import { pushDelayMs, type GossipTrigger } from './gossip-rule.js';
 import { knownRevisionsOf, type MessageComposer } from './message-composer.js';
 import type { PeerView } from './peer-view.js';
 import type { KnownRevisions, PeerMessage } from './types.js';
 import type { UpdateLog } from './update-log.js';
 
-/** Collaborators of a sender. */
 interface UpdateSenderOptions {
   readonly clock: Clock;
   readonly knowledge: RoutingKnowledge;
@@ -21,19 +20,19 @@
   readonly log: UpdateLog;
   readonly composer: MessageComposer;
   readonly isOn: MechanismCheck;
-  /** Sends the same message to each of some peers. */
+  /** Sends the same message to several peers. */
   readonly send: (to: readonly Endpoint[], message: PeerMessage) => void;
 }
 
-/** Sends changes, confirmations, ejections and bad answers, each after its gather time. */
+/** Sends changes, confirmations, ejections and bad answers, each after its batching delay. */
 export class UpdateSender {
   private confirmationTimer: TimerHandle | undefined;
   private changeTimer: TimerHandle | undefined;
   private repeatTimer: TimerHandle | undefined;
   private ejectionTimer: TimerHandle | undefined;
   private badAnswerTimer: TimerHandle | undefined;
-  private ejectionsPushedMs = Number.NEGATIVE_INFINITY;
-  private changesSentMs = Number.NEGATIVE_INFINITY;
+  private lastEjectionPushMs = Number.NEGATIVE_INFINITY;
+  private lastChangePushMs = Number.NEGATIVE_INFINITY;
   /** Revisions up to which changes were sent. */
   private sentRevisions: KnownRevisions = {
     routes: NOTHING_KNOWN,
@@ -44,50 +43,50 @@
 
   constructor(private readonly options: UpdateSenderOptions) {}
 
-  /** Logs a change and pushes it at once, or together with those that came closely before it. */
-  onApplied({ topic, update, since }: AppliedUpdate): void {
+  /** Logs a change and pushes it: at once, or batched with others if a push of changes was just sent. */
+  onUpdateApplied({ topic, update, since }: AppliedUpdate): void {
     const { clock, log } = this.options;
     log.record({ topic, since: update.complete ? NOTHING_KNOWN : since, update });
-    const delayMs = pushDelayMs('change', clock.now(), this.changesSentMs);
+    const delayMs = pushDelayMs('change', clock.now(), this.lastChangePushMs);
     if (delayMs === 0) return this.pushChanges();
     this.changeTimer ??= clock.schedule(delayMs, () => this.pushChanges());
   }
 
-  /** Sends a message to some peers at once. */
+  /** Sends a message to some peers at once. It replaces pending pushes of confirmations and ejections. */
   push(message: PeerMessage): void {
     this.confirmationTimer?.cancel();
     this.confirmationTimer = undefined;
     this.ejectionTimer?.cancel();
     this.ejectionTimer = undefined;
-    this.sendToSome(message);
+    this.sendToPushTargets(message);
   }
 
-  /** Pushes confirmations after a moment, together with those that come meanwhile. */
-  pushSoon(): void {
-    this.confirmationTimer ??= this.schedule('confirmation', () => {
+  /** Schedules a push of confirmations after the batching delay, unless one is pending. */
+  scheduleConfirmationPush(): void {
+    this.confirmationTimer ??= this.schedulePush('confirmation', () => {
       this.confirmationTimer = undefined;
       this.push(this.options.composer.confirmationMessage());
     });
   }
 
-  /** Pushes ejections, which every message carries, after a moment, and later while there are many. */
-  pushEjections(): void {
+  /** Schedules a push with the recent ejections, unless one is pending; limits the rate of such pushes. */
+  scheduleEjectionPush(): void {
     const { clock, composer } = this.options;
     const push = (): void => {
-      this.ejectionsPushedMs = clock.now();
+      this.lastEjectionPushMs = clock.now();
       this.push(composer.confirmationMessage());
     };
-    this.ejectionTimer ??= this.schedule('ejection', push, this.ejectionsPushedMs);
+    this.ejectionTimer ??= this.schedulePush('ejection', push, this.lastEjectionPushMs);
   }
 
-  /** Pushes bad answers after a moment, together with those that come meanwhile, and repeats until none waits. */
-  pushBadAnswers(): void {
+  /** Schedules a push of bad answers after the batching delay, and further pushes until the queue is empty. */
+  scheduleBadAnswerPush(): void {
     const { composer } = this.options;
-    this.badAnswerTimer ??= this.schedule('bad-answer', () => {
+    this.badAnswerTimer ??= this.schedulePush('bad-answer', () => {
       this.badAnswerTimer = undefined;
       const message = composer.badAnswerMessage();
-      if (message.badAnswers.length > 0) this.sendToSome(message);
-      if (!composer.badAnswers.isEmpty) this.pushBadAnswers();
+      if (message.badAnswers.length > 0) this.sendToPushTargets(message);
+      if (!composer.badAnswerOutbox.isEmpty) this.scheduleBadAnswerPush();
     });
   }
 
@@ -100,35 +99,40 @@
     this.badAnswerTimer?.cancel();
   }
 
-  private sendToSome(message: PeerMessage): void {
+  private sendToPushTargets(message: PeerMessage): void {
     const { peers, send } = this.options;
-    const chosen = peers.choose(FANOUT_IN_ZONE, FANOUT_ELSEWHERE);
+    const targets = peers.nextPushTargets(FANOUT_IN_ZONE, FANOUT_OTHER_ZONES);
     send(
-      chosen.map(({ endpoint }) => endpoint),
+      targets.map(({ endpoint }) => endpoint),
       message,
     );
   }
 
-  /** Two more rounds, of confirmations only, reach the peers that the first one missed: they pull the changes. */
+  /** Pushes unsent changes. Two later pushes of confirmations reach the missed peers, which then pull the changes. */
   private pushChanges(): void {
     const { clock, knowledge, log, composer, isOn } = this.options;
     this.changeTimer?.cancel();
     this.changeTimer = undefined;
-    this.changesSentMs = clock.now();
-    const sent = this.sentRevisions;
+    this.lastChangePushMs = clock.now();
+    const alreadySent = this.sentRevisions;
     const updates = knowledge.topics.flatMap(
-      (topic) => log.since(topic, { epoch: sent.epoch, revision: sent[topic], table: sent.table }) ?? [],
+      (topic) =>
+        log.since(topic, {
+          epoch: alreadySent.epoch,
+          revision: alreadySent[topic],
+          table: alreadySent.table,
+        }) ?? [],
     );
     this.sentRevisions = knownRevisionsOf(knowledge);
     this.push(composer.updateMessage(updates));
-    this.pushSoon();
+    this.scheduleConfirmationPush();
     this.repeatTimer?.cancel();
     if (isOn('repeated-confirmations'))
-      this.repeatTimer = this.schedule('repeated-confirmation', () => this.pushSoon());
+      this.repeatTimer = this.schedulePush('repeated-confirmation', () => this.scheduleConfirmationPush());
   }
 
-  /** Schedules a push after the delay of its trigger. */
-  private schedule(
+  /** Schedules a push after the delay for its trigger. */
+  private schedulePush(
     trigger: GossipTrigger,
     push: () => void,
     lastPushMs = Number.NEGATIVE_INFINITY,
--- a/src/cookie-edge/spreading/wire-values.ts
+++ b/src/cookie-edge/spreading/wire-values.ts
@@ -1,6 +1,6 @@
 /**
- * Codec of the values that several parts of a message share: ages, endpoints, topics. Messages carry ages and no times,
- * since clocks of daemons differ. Does no input or output.
+ * Codec of values that several parts of a message share: ages, endpoints, topics. Messages carry ages instead of times,
+ * since the clocks of daemons differ. Does no input or output.
  */
 import type { Endpoint } from '../../common/types.js';
 import { formatIpv4, parseIpv4 } from '../../fabric/ipv4-address.js';
@@ -15,27 +15,27 @@
 } as const;
 
 /**
- * Largest age in ms; greater ages are encoded as this one, and a confirmation of this age stands for none. 2^32 - 1,
- * the largest value of the field.
+ * Largest age in ms, 2^32 - 1, the maximum of the field. Greater ages are encoded as this value. A confirmation of this
+ * age means that there is none.
  */
 export const MAX_AGE_MS = 0xffff_ffff;
 
-/** Age in whole ms of something that happened at `atMs`, as of `nowMs`. */
+/** Returns the age at `nowMs` of an event at `atMs`, in whole ms. */
 export function ageOf(nowMs: number, atMs: number): number {
   return Math.min(MAX_AGE_MS, Math.max(0, Math.ceil(nowMs - atMs)));
 }
 
-/** Monotonic ms at which something of this age happened, for a message sent at `sentMs`. */
+/** Returns the monotonic ms of an event that had this age when the message was sent at `sentMs`. */
 export function timeOfAge(ageMs: number | null | undefined, sentMs: number): number {
   return sentMs - (ageMs ?? 0);
 }
 
-/** An epoch on the wire; epoch 0 is left out, as by senders that know of none. */
+/** Encodes an epoch. Epoch 0 is omitted, as by senders that do not support epochs. */
 export function encodeEpoch(epoch: number | undefined): number | undefined {
   return epoch === 0 ? undefined : epoch;
 }
 
-/** The epoch of a message's part, absent where the wire has none. */
+/** Decodes an epoch; the field is absent if the wire has none. */
 export function decodeEpoch(epoch: number | null | undefined): { readonly epoch?: number } {
   return epoch ? { epoch } : {};
 }
@@ -47,15 +47,15 @@
   return { address: parseIpv4(host), port };
 }
 
-export function decodeEndpoint(at: {
+export function decodeEndpoint(wireEndpoint: {
   readonly address?: number | null;
   readonly port?: number | null;
 }): Endpoint {
-  return { host: formatIpv4(at.address ?? 0), port: at.port ?? 0 };
+  return { host: formatIpv4(wireEndpoint.address ?? 0), port: wireEndpoint.port ?? 0 };
 }
 
-/** The key that stands for a number on the wire; undefined for a number that this build does not know. */
-export function keyOf<Key extends string>(
+/** Returns the key of a number on the wire; undefined for a number that this version does not know. */
+export function findKeyByNumber<Key extends string>(
   numbers: Readonly<Record<Key, number>>,
   number: number | null | undefined,
 ): Key | undefined {
