--- a/src/cookie-edge/spreading/catch-up.ts
+++ b/src/cookie-edge/spreading/catch-up.ts
@@ -13,7 +13,7 @@
 import { decodePeerMessage } from './message-codec.js';
 import { knownRevisionsOf } from './message-composer.js';
 import { decidePull, canStartFetch, shouldFetchDeparted } from './pull-rule.js';
-import type { KnownRevisions, PeerMessage, PeerTransport, SpreadUpdate } from './types.js';
+import type { KnownRevisions, PeerMessage, PeerTransport, TopicUpdate } from './types.js';
 
 interface CatchUpOptions {
   readonly zone: string;
@@ -39,7 +39,6 @@
   /** Number of complete lists of back ends, including departed ones, that were fetched from peers. */
   private completeListsFetched = 0;
   private isCompleteListNeeded = false;
-
   private readonly startedAtMs: number;
 
   constructor(private readonly options: CatchUpOptions) {
@@ -62,7 +61,7 @@
   }
 
   /** Closes the gap that a message revealed: `missing` are the topics for which the sender has newer changes. */
-  requestMissing(missing: readonly RoutingTopic[], message: PeerMessage, from: Endpoint): void {
+  closeGap(missing: readonly RoutingTopic[], message: PeerMessage, from: Endpoint): void {
     const { clock, knowledge, zone } = this.options;
     const nowMs = clock.now();
     const isTopicUnknown = missing.some((topic) => knowledge.revisionOf(topic) === NOTHING_KNOWN);
@@ -144,6 +143,6 @@
   }
 }
 
-function isCompleteBackendList({ topic, update }: SpreadUpdate): boolean {
+function isCompleteBackendList({ topic, update }: TopicUpdate): boolean {
   return topic === 'backends' && update.complete;
 }
--- a/src/cookie-edge/spreading/constants.ts
+++ b/src/cookie-edge/spreading/constants.ts
@@ -9,9 +9,7 @@
  */
 export const GOSSIP_TICK_MS = 200;
 
-/**
- * Number of daemons that read the source at the same time. One is enough; the second covers the loss of the first.
- */
+/** Number of daemons that read the source at the same time. One is enough; the second covers its loss. */
 export const TARGET_READERS = 2;
 
 /**
@@ -49,7 +47,7 @@
  * Fan-out of a push: number of peers in the same zone, and in other zones. A fan-out of three reaches 95% of 60 daemons
  * within 0.4 s, and only one of the three messages crosses zones, where traffic is expensive.
  */
-export const FANOUT_IN_ZONE = 2;
+export const FANOUT_SAME_ZONE = 2;
 export const FANOUT_OTHER_ZONES = 1;
 
 /** Number of peers that each round of pulls goes to. The second covers the case that the first is gone. */
--- a/src/cookie-edge/spreading/message-codec.test.ts
+++ b/src/cookie-edge/spreading/message-codec.test.ts
@@ -4,11 +4,11 @@
 import { applyTableChange, compareTables } from '../routing/route-table-change.js';
 import { backendAt, tableAt, updateAt } from '../routing/routing-test-support.js';
 import { decodePeerMessage, encodePeerMessage } from './message-codec.js';
-import type { PeerMessage, SpreadUpdate } from './types.js';
+import type { PeerMessage, TopicUpdate } from './types.js';
 
 const NOW_MS = 60_000;
 
-function messageWith(update: SpreadUpdate): PeerMessage {
+function messageWith(update: TopicUpdate): PeerMessage {
   return {
     type: 'news',
     senderId: 'balancer-1',
@@ -28,7 +28,7 @@
 }
 
 /** Encodes and decodes an update. */
-function throughCodec(update: SpreadUpdate): RoutingUpdate | undefined {
+function throughCodec(update: TopicUpdate): RoutingUpdate | undefined {
   return decodePeerMessage(encodePeerMessage(messageWith(update), NOW_MS), NOW_MS)?.updates[0]?.update;
 }
 
--- a/src/cookie-edge/spreading/message-composer.ts
+++ b/src/cookie-edge/spreading/message-composer.ts
@@ -16,7 +16,7 @@
 import type { PeerView } from './peer-view.js';
 import type { ReaderRole } from './reader-role.js';
 import type { RecentEjections } from './recent-ejections.js';
-import type { KnownRevisions, KnownTopic, PeerMessage, SpreadUpdate } from './types.js';
+import type { KnownRevisions, KnownTopic, PeerMessage, TopicUpdate } from './types.js';
 import { completeUpdate, type UpdateLog } from './update-log.js';
 
 interface MessageComposerOptions {
@@ -49,7 +49,7 @@
   }
 
   /** Composes a push or a pull response: the known revisions, and the changes in `updates`. */
-  updateMessage(updates: readonly SpreadUpdate[] = []): PeerMessage {
+  updateMessage(updates: readonly TopicUpdate[] = []): PeerMessage {
     return this.composeMessage('news', updates);
   }
 
@@ -71,7 +71,7 @@
     const updates = knowledge.topics.flatMap((topic) => {
       const { epoch, revision } = request.confirmations[topic] ?? { revision: NOTHING_KNOWN };
       const known = { epoch, revision, table: request.tableRevision };
-      return hasChangesSince(knowledge, topic, known) ? (log.since(topic, known) ?? []) : [];
+      return hasChangesSince(knowledge, topic, known) ? (log.changesSince(topic, known) ?? []) : [];
     });
     return this.updateMessage(updates);
   }
@@ -82,7 +82,7 @@
     const updates = knowledge.topics.flatMap((topic) => {
       const knownTopic = { epoch: known.epoch, revision: known[topic], table: known.table };
       if (!hasChangesSince(knowledge, topic, knownTopic)) return [];
-      return log.since(topic, knownTopic) ?? completeUpdate(knowledge, topic) ?? [];
+      return log.changesSince(topic, knownTopic) ?? completeUpdate(knowledge, topic) ?? [];
     });
     return this.composeMessage('state', updates);
   }
@@ -126,7 +126,7 @@
     ].slice(-LOADS_PER_MESSAGE);
   }
 
-  private composeMessage(type: PeerMessage['type'], updates: readonly SpreadUpdate[]): PeerMessage {
+  private composeMessage(type: PeerMessage['type'], updates: readonly TopicUpdate[]): PeerMessage {
     const { selfId, zone, knowledge, clock, role, peers, ejections, isUnsettled } = this.options;
     const nowMs = clock.now();
     const hasConfirmed = role.isReading && Number.isFinite(this.ownConfirmationMs);
--- a/src/cookie-edge/spreading/reader-rule.ts
+++ b/src/cookie-edge/spreading/reader-rule.ts
@@ -2,11 +2,11 @@
  * Rule: whether this daemon reads the source, that is, whether it is a reader. Does no input or output; `ReaderRole`
  * keeps the state and draws the random numbers.
  *
- * Prevents a load on the source that grows with the fleet, and a fleet without any reader. There is no election: too
- * many readers only cost additional calls, so daemons need not agree.
+ * Prevents a load on the source that grows with the fleet, and a fleet whose data becomes outdated because no daemon
+ * reads. There is no election: too many readers only cost additional calls, so daemons need not agree.
  *
  * A reader stands down only while its own data is current and enough fresh readers of higher rank exist. Staleness is
- * checked before rank, because the source may not respond to exactly those other readers.
+ * checked before rank, because the other readers may be those to which the source does not respond.
  *
  * For a daemon that does not read, the conditions are checked in this order:
  * - An overdue confirmation comes first. The daemon reads even if there are readers, after a delay that depends only on
@@ -64,7 +64,7 @@
   | { readonly kind: 'await-overdue-turn' }
   /** Waits for the first lists, which are being read. */
   | { readonly kind: 'await-first-lists' }
-  /** Enough others read; a scheduled start is cancelled. */
+  /** Enough other daemons read; cancels a scheduled start. */
   | { readonly kind: 'leave-to-others' }
   /** Too few readers: starts within `withinMs`, earlier with a higher rank, unless enough readers appear before. */
   | { readonly kind: 'volunteer'; readonly withinMs: number };
--- a/src/cookie-edge/spreading/recent-ejections.test.ts
+++ b/src/cookie-edge/spreading/recent-ejections.test.ts
@@ -31,9 +31,9 @@
     await cluster.clock.advanceAsync(4_000, 10);
     cluster.daemons[0]!.spreader.gossipEjection({ backendId: 'a', atMs: cluster.clock.now() });
     await cluster.clock.advanceAsync(500, 5);
-    const newcomer = cluster.startDaemon();
+    const newDaemon = cluster.startDaemon();
     await cluster.clock.advanceAsync(300, 5);
-    t.deepEqual(newcomer.ejectionsReceived, ['a']);
+    t.deepEqual(newDaemon.ejectionsReceived, ['a']);
     await cluster.clock.advanceAsync(1_000, 5);
     t.is(cluster.daemons.filter(({ ejectionsReceived }) => ejectionsReceived.length === 1).length, 21);
   });
--- a/src/cookie-edge/spreading/restored-history.test.ts
+++ b/src/cookie-edge/spreading/restored-history.test.ts
@@ -88,7 +88,7 @@
     for (const topic of TOPICS) {
       const { epoch, revision } = other.knowledge.confirmationOf(topic);
       const known = { epoch, revision, table: other.knowledge.tableRevision };
-      const missing = this.log.since(topic, known) ?? completeUpdate(this.knowledge, topic);
+      const missing = this.log.changesSince(topic, known) ?? completeUpdate(this.knowledge, topic);
       if (missing) other.apply(topic, missing.since, missing.update);
     }
   }
--- a/src/cookie-edge/spreading/simulated-peer-network.ts
+++ b/src/cookie-edge/spreading/simulated-peer-network.ts
@@ -6,7 +6,8 @@
 import { fetchError, type SpreadingError } from './errors.js';
 import type { DatagramReceiver, KnownRevisions, PeerTransport, StateProvider } from './types.js';
 
-const HOP_MS = 2;
+/** Mean one-way network delay in ms. */
+const MEAN_DELAY_MS = 2;
 
 /** Creates the transports of daemons, and delays or drops their messages. */
 export class SimulatedPeerNetwork {
@@ -45,7 +46,7 @@
   private deliver(self: string, from: Endpoint, to: string, bytes: Uint8Array): void {
     this.bytesSent += bytes.length;
     if (!this.canReach(self, to) || this.random() < this.lossRate) return;
-    this.clock.schedule(HOP_MS * (0.5 + this.random()), () => {
+    this.clock.schedule(MEAN_DELAY_MS * (0.5 + this.random()), () => {
       if (this.canReach(self, to)) this.nodes.get(to)?.receive(bytes, from);
     });
   }
@@ -56,7 +57,7 @@
     known: KnownRevisions,
   ): Promise<Result<Uint8Array, SpreadingError>> {
     const to = formatEndpoint(from);
-    await new Promise<void>((resolve) => void this.clock.schedule(2 * HOP_MS, resolve));
+    await new Promise<void>((resolve) => void this.clock.schedule(2 * MEAN_DELAY_MS, resolve));
     const node = this.canReach(self, to) ? this.nodes.get(to) : undefined;
     if (!node) return Result.err(fetchError(from, new Error('simulated')));
     const bytes = node.provideState(known);
--- a/src/cookie-edge/spreading/simulated-source.ts
+++ b/src/cookie-edge/spreading/simulated-source.ts
@@ -204,31 +204,31 @@
 
   private waitUntil(condition: () => boolean, waitMs: number, signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
-      const timer = this.clock.schedule(waitMs, done);
+      const timer = this.clock.schedule(waitMs, finish);
       const onChange = (): void => {
-        if (condition()) done();
+        if (condition()) finish();
       };
       const { changeListeners } = this;
-      function done(): void {
+      function finish(): void {
         timer.cancel();
         changeListeners.delete(onChange);
-        signal.removeEventListener('abort', done);
+        signal.removeEventListener('abort', finish);
         resolve();
       }
       changeListeners.add(onChange);
-      signal.addEventListener('abort', done);
+      signal.addEventListener('abort', finish);
     });
   }
 
   private sleep(delayMs: number, signal: AbortSignal): Promise<void> {
     return new Promise((resolve) => {
-      const timer = this.clock.schedule(delayMs, done);
-      function done(): void {
+      const timer = this.clock.schedule(delayMs, finish);
+      function finish(): void {
         timer.cancel();
-        signal.removeEventListener('abort', done);
+        signal.removeEventListener('abort', finish);
         resolve();
       }
-      signal.addEventListener('abort', done);
+      signal.addEventListener('abort', finish);
     });
   }
 }
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/spreader.ts
@@ -45,7 +45,7 @@
   readonly events: EventLog;
   readonly timings: FreshnessTimings;
   /** Starts or stops reading the source. */
-  readonly setReading: (reading: boolean) => void;
+  readonly setReading: (isReading: boolean) => void;
   /** Called with each datagram that arrives. */
   readonly recordArrival: () => void;
   /** True while received messages may have waited during a pause of this process, so that their age is unknown. */
@@ -230,8 +230,8 @@
     if (isPullDue(unconfirmedMs, pullAfterMs, nowMs - this.lastPullMs)) this.pullFromPeers(nowMs);
     if (nowMs >= this.nextSeedPullMs) this.pullFromSeeds(nowMs);
     const daemons = this.peers.reachableDaemons(nowMs);
-    const known = { isComplete: knowledge.isComplete(), hasBeenRead: knowledge.hasBeenRead() };
-    const reason = this.role.decide({ nowMs, ageMs, daemons, ...known });
+    const completeness = { isComplete: knowledge.isComplete(), hasBeenRead: knowledge.hasBeenRead() };
+    const reason = this.role.decide({ nowMs, ageMs, daemons, ...completeness });
     if (!reason) return;
     this.options.setReading(this.role.isReading);
     this.reportRoleChange(reason);
@@ -279,7 +279,7 @@
       return confirmation !== undefined && !knowledge.applyConfirmation(topic, confirmation);
     });
     this.catchUp.fetchDepartedBackends(from, message.departedCount);
-    if (missing.length > 0) return this.catchUp.requestMissing(missing, message, from);
+    if (missing.length > 0) return this.catchUp.closeGap(missing, message, from);
     this.catchUp.clearPendingRequest(from);
     if (shouldForwardConfirmation(previousAgeMs, knowledge.age())) this.sender.scheduleConfirmationPush();
   }
--- a/src/cookie-edge/spreading/spreading.test.ts
+++ b/src/cookie-edge/spreading/spreading.test.ts
@@ -2,7 +2,7 @@
 import { formatEndpoint } from '../../common/types.js';
 import type { Route } from '../routing/index.js';
 import { updateAt } from '../routing/routing-test-support.js';
-import { FANOUT_OTHER_ZONES, FANOUT_IN_ZONE, TARGET_READERS } from './constants.js';
+import { FANOUT_OTHER_ZONES, FANOUT_SAME_ZONE, TARGET_READERS } from './constants.js';
 import {
   injectReaderFault,
   startSettledCluster,
@@ -321,7 +321,7 @@
   }
   const busyMessages = spreader.statistics.messagesSent - sentBefore - calmMessages;
   t.true(
-    busyMessages - calmMessages <= 11 * (FANOUT_IN_ZONE + FANOUT_OTHER_ZONES),
+    busyMessages - calmMessages <= 11 * (FANOUT_SAME_ZONE + FANOUT_OTHER_ZONES),
     `${calmMessages} calm, ${busyMessages} busy`,
   );
 });
--- a/src/cookie-edge/spreading/table-consistency.test.ts
+++ b/src/cookie-edge/spreading/table-consistency.test.ts
@@ -63,7 +63,7 @@
    */
   gossipTo(other: GossipingDaemon, { knowledge }: GossipingDaemon): void {
     const known = { revision: knowledge.revisionOf('routes'), table: knowledge.tableRevision };
-    const update = this.log.since('routes', known) ?? completeUpdate(this.knowledge, 'routes');
+    const update = this.log.changesSince('routes', known) ?? completeUpdate(this.knowledge, 'routes');
     if (!update) return;
     const origin = { since: update.since, confirmedAtMs: 0, mayHaveLapsed: false };
     other.knowledge.apply('routes', update.update, origin);
--- a/src/cookie-edge/spreading/types.ts
+++ b/src/cookie-edge/spreading/types.ts
@@ -9,7 +9,7 @@
 import type { RoutingTopic, RoutingUpdate, TopicConfirmation } from '../routing/index.js';
 import type { SpreadingError } from './errors.js';
 
-/** Another daemon. */
+/** Another daemon, and when it last gave a sign of life. */
 export interface Peer {
   readonly endpoint: Endpoint;
   readonly zone: string;
@@ -25,16 +25,16 @@
 }
 
 /** An update and the revision from which it starts; -1 for a complete update. */
-export interface SpreadUpdate {
+export interface TopicUpdate {
   readonly topic: RoutingTopic;
   readonly since: number;
   readonly update: RoutingUpdate;
 }
 
-/** Another daemon's ejection of a back end; called a suspicion on the wire. */
+/** Ejection of a back end by a daemon; called a suspicion on the wire. */
 export interface EjectionReport {
   readonly backendId: string;
-  /** Monotonic ms at which that daemon ejected it. */
+  /** Monotonic ms at which the daemon ejected it. */
   readonly atMs: number;
 }
 
@@ -49,7 +49,7 @@
   readonly confirmations: Readonly<Partial<Record<RoutingTopic, TopicConfirmation>>>;
   readonly readers: readonly ReaderSighting[];
   readonly peers: readonly Peer[];
-  readonly updates: readonly SpreadUpdate[];
+  readonly updates: readonly TopicUpdate[];
   /** Ejection reports, under their name on the wire. */
   readonly suspicions: readonly EjectionReport[];
   readonly loads: readonly LoadReport[];
--- a/src/cookie-edge/spreading/update-codec.ts
+++ b/src/cookie-edge/spreading/update-codec.ts
@@ -12,7 +12,7 @@
   ZoneCordon,
 } from '../routing/index.js';
 import type { sailquay } from './pb/spreading.js';
-import type { SpreadUpdate } from './types.js';
+import type { TopicUpdate } from './types.js';
 import {
   ageOf,
   decodeEndpoint,
@@ -26,7 +26,7 @@
 
 /** Encodes an update that is sent at `nowMs`. */
 export function encodeUpdate(
-  { topic, since, update }: SpreadUpdate,
+  { topic, since, update }: TopicUpdate,
   nowMs: number,
 ): sailquay.spreading.IUpdate {
   const table = update.routes.at(-1);
@@ -55,7 +55,7 @@
 }
 
 /** Decodes an update that was sent at `sentMs`; undefined for a topic that this version does not know. */
-export function decodeUpdate(update: sailquay.spreading.IUpdate, sentMs: number): SpreadUpdate | undefined {
+export function decodeUpdate(update: sailquay.spreading.IUpdate, sentMs: number): TopicUpdate | undefined {
   const topic = findKeyByNumber(TOPIC_NUMBERS, update.topic);
   return topic && { topic, since: update.since ?? 0, update: decodeRoutingUpdate(update, sentMs) };
 }
--- a/src/cookie-edge/spreading/update-log.test.ts
+++ b/src/cookie-edge/spreading/update-log.test.ts
@@ -21,7 +21,7 @@
 
 function backendRevisions(log: UpdateLog, revision: number): string[] | undefined {
   return log
-    .since('backends', knownAt(revision))
+    .changesSince('backends', knownAt(revision))
     ?.update.backends.map(({ id, revision: at }) => `${id}@${at}`);
 }
 
@@ -35,16 +35,20 @@
   const removals = [{ id: 'gone', revision: 2 }];
   log.record({ topic: 'backends', since: 1, update: updateAt(9, { backends, removals }) });
   t.deepEqual(backendRevisions(log, 6), ['b-7@7', 'b-9@9']);
-  t.deepEqual(log.since('backends', knownAt(6))?.update.removals, removals, 'removals carry older revisions');
-  t.is(log.since('backends', knownAt(6))?.update.revision, 9);
+  t.deepEqual(
+    log.changesSince('backends', knownAt(6))?.update.removals,
+    removals,
+    'removals carry older revisions',
+  );
+  t.is(log.changesSince('backends', knownAt(6))?.update.revision, 9);
 });
 
 test('an update starts where its content starts, so that a daemon that knows less detects the gap', (t) => {
   const log = new UpdateLog();
   const backends = [3, 5, 7, 9].map((revision) => backendAt(`b-${revision}`, revision));
   log.record({ topic: 'backends', since: 1, update: updateAt(9, { backends }) });
-  t.is(log.since('backends', knownAt(6))?.since, 6);
-  t.is(log.since('backends', knownAt(1))?.since, 1);
+  t.is(log.changesSince('backends', knownAt(6))?.since, 6);
+  t.is(log.changesSince('backends', knownAt(1))?.since, 1);
 });
 
 test('table changes are not joined across a change that was not logged', (t) => {
@@ -55,12 +59,12 @@
     });
   log.record({ topic: 'routes', since: 3, update: change(3, 7) });
   log.record({ topic: 'routes', since: 7, update: change(9, 12) });
-  t.is(log.since('routes', { revision: 3, table: 3 }), undefined);
-  t.is(log.since('routes', { revision: 7, table: 7 }), undefined, 'nothing leads from 7 to 9');
-  const updateFromNine = log.since('routes', { revision: 9, table: 9 });
+  t.is(log.changesSince('routes', { revision: 3, table: 3 }), undefined);
+  t.is(log.changesSince('routes', { revision: 7, table: 7 }), undefined, 'nothing leads from 7 to 9');
+  const updateFromNine = log.changesSince('routes', { revision: 9, table: 9 });
   t.deepEqual(updateFromNine?.update.routeChange?.fromRevisions, [9]);
 });
 
 test('the log returns nothing for a revision that it does not reach back to', (t) => {
-  t.is(logWithRevisions(5, 7).since('backends', knownAt(-1)), undefined);
+  t.is(logWithRevisions(5, 7).changesSince('backends', knownAt(-1)), undefined);
 });
--- a/src/cookie-edge/spreading/update-log.ts
+++ b/src/cookie-edge/spreading/update-log.ts
@@ -23,11 +23,11 @@
   type RoutingUpdate,
 } from '../routing/index.js';
 import { MAX_LOGGED_UPDATES } from './constants.js';
-import type { KnownTopic, SpreadUpdate } from './types.js';
+import type { KnownTopic, TopicUpdate } from './types.js';
 
 /** Recent changes of each topic. */
 export class UpdateLog {
-  private readonly entries: Readonly<Record<RoutingTopic, SpreadUpdate[]>> = {
+  private readonly entries: Readonly<Record<RoutingTopic, TopicUpdate[]>> = {
     routes: [],
     backends: [],
     cordons: [],
@@ -36,7 +36,7 @@
   constructor(private readonly isOn: MechanismCheck = ALL_MECHANISMS_ON) {}
 
   /** Records a change that was just applied. A complete update clears the log of its topic. */
-  record(entry: SpreadUpdate): void {
+  record(entry: TopicUpdate): void {
     const log = this.entries[entry.topic];
     if (entry.update.complete) log.length = 0;
     else log.push(entry);
@@ -47,7 +47,7 @@
    * Returns the changes after `known`, without records that the requester has; undefined if the log does not contain
    * all of them.
    */
-  since(topic: RoutingTopic, known: KnownTopic): SpreadUpdate | undefined {
+  changesSince(topic: RoutingTopic, known: KnownTopic): TopicUpdate | undefined {
     if (!this.isOn('change-log')) return undefined;
     const log = this.entries[topic];
     const firstIndex =
@@ -93,16 +93,16 @@
 }
 
 /** Returns the index of the last entry that starts at or before `revision`; -1 if there is none. */
-function findRecordsStart(log: readonly SpreadUpdate[], revision: number): number {
+function findRecordsStart(log: readonly TopicUpdate[], revision: number): number {
   return log.findLastIndex(({ since }) => since <= revision);
 }
 
 /**
  * Returns the index of the entry that starts from exactly the table `tableRevision`, if each later entry starts from
- * its predecessor; -1 otherwise. The chain has a gap where a table was received without a change, since it is not
- * logged.
+ * its predecessor; -1 otherwise. A table that was received across a gap is not logged: the next logged change then
+ * starts from another table, which breaks the chain.
  */
-function findChainStart(log: readonly SpreadUpdate[], tableRevision: number): number {
+function findChainStart(log: readonly TopicUpdate[], tableRevision: number): number {
   const changes = log.map(({ update }) => update.routeChange);
   const firstIndex = changes.findLastIndex((change) => change?.fromRevisions.includes(tableRevision));
   const chain = changes.slice(Math.max(0, firstIndex));
@@ -118,7 +118,7 @@
 }
 
 /** Returns all that is known of a topic, including departed back ends; undefined before anything is known. */
-export function completeUpdate(knowledge: RoutingKnowledge, topic: RoutingTopic): SpreadUpdate | undefined {
+export function completeUpdate(knowledge: RoutingKnowledge, topic: RoutingTopic): TopicUpdate | undefined {
   const { epoch, revision } = knowledge.confirmationOf(topic);
   const table = knowledge.routes()?.table;
   if (revision < 0 || (topic === 'routes' && !table)) return undefined;
--- a/src/cookie-edge/spreading/update-sender.ts
+++ b/src/cookie-edge/spreading/update-sender.ts
@@ -6,7 +6,7 @@
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { Endpoint } from '../../common/types.js';
 import type { AppliedUpdate, RoutingKnowledge } from '../routing/index.js';
-import { FANOUT_OTHER_ZONES, FANOUT_IN_ZONE, NOTHING_KNOWN } from './constants.js';
+import { FANOUT_OTHER_ZONES, FANOUT_SAME_ZONE, NOTHING_KNOWN } from './constants.js';
 import { pushDelayMs, type GossipTrigger } from './gossip-rule.js';
 import { knownRevisionsOf, type MessageComposer } from './message-composer.js';
 import type { PeerView } from './peer-view.js';
@@ -101,7 +101,7 @@
 
   private sendToPushTargets(message: PeerMessage): void {
     const { peers, send } = this.options;
-    const targets = peers.nextPushTargets(FANOUT_IN_ZONE, FANOUT_OTHER_ZONES);
+    const targets = peers.nextPushTargets(FANOUT_SAME_ZONE, FANOUT_OTHER_ZONES);
     send(
       targets.map(({ endpoint }) => endpoint),
       message,
@@ -117,7 +117,7 @@
     const alreadySent = this.sentRevisions;
     const updates = knowledge.topics.flatMap(
       (topic) =>
-        log.since(topic, {
+        log.changesSince(topic, {
           epoch: alreadySent.epoch,
           revision: alreadySent[topic],
           table: alreadySent.table,
