--- a/src/cookie-edge/load/call-rates.ts
+++ b/src/cookie-edge/load/call-rates.ts
@@ -1,52 +1,56 @@
 /**
- * Computes rates of calls from the counts that back ends write to the source about once a second. Owns the last count
- * and the moving average of each back end of one page; `busy-backends.ts` decides what the rates mean.
+ * Computes call rates from the counts that back ends write to the source about once a second. Owns the last count and
+ * the moving average of each back end of one page; `busy-backends.ts` decides which rates are busy.
  */
 import { isOtherIncarnation } from '../routing/index.js';
-import { busyBackends } from './busy-backends.js';
-import { RATE_SHARE } from './constants.js';
+import { findBusyBackends } from './busy-backends.js';
+import { NEWEST_RATE_WEIGHT } from './constants.js';
 import type { BackendCallCount, BusyBackend } from './types.js';
 
-const MS_A_SECOND = 1_000;
+const MS_PER_SECOND = 1_000;
 
-/** The last count of a back end, and its rate once there were two. */
-interface KnownCount {
+/** The last call count of a back end, and its average rate. */
+interface RatedCount {
   readonly count: BackendCallCount;
   readonly readAtMs: number;
-  /** Calls a second for each unit of capacity; undefined after one count. */
+  /** Calls a second per unit of capacity; undefined until two counts of the same process were read. */
   readonly rate: number | undefined;
 }
 
-/** The rates of one page of back ends. */
+/** The call rates of the back ends of one page. */
 export class CallRates {
-  private known = new Map<string, KnownCount>();
+  private ratedCounts = new Map<string, RatedCount>();
 
-  /** Records the page's counts, read at `nowMs` (monotonic ms); forgets back ends that it no longer lists. */
+  /** Records the page's counts, read at `nowMs` (monotonic ms). Discards back ends that the page no longer lists. */
   record(counts: readonly BackendCallCount[], nowMs: number): void {
-    const known = new Map<string, KnownCount>();
+    const updated = new Map<string, RatedCount>();
     for (const count of counts) {
-      known.set(count.id, { count, readAtMs: nowMs, rate: this.rateOf(count, nowMs) });
+      updated.set(count.id, { count, readAtMs: nowMs, rate: this.updatedRate(count, nowMs) });
     }
-    this.known = known;
+    this.ratedCounts = updated;
   }
 
-  /**
-   * Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, at most `MAX_REPORTED`.
-   */
+  /** See `findBusyBackends`. */
   busy(): BusyBackend[] {
-    return busyBackends(
-      [...this.known.values()].map(({ count, rate }) => ({ id: count.id, service: count.service, rate })),
+    return findBusyBackends(
+      [...this.ratedCounts.values()].map(({ count, rate }) => ({
+        id: count.id,
+        service: count.service,
+        rate,
+      })),
     );
   }
 
-  /** Undefined after one count, and when the back end restarted, so that its count began anew. */
-  private rateOf(count: BackendCallCount, nowMs: number): number | undefined {
+  /** Undefined for the first count of a back end, and for the first one after a restart, which resets the count. */
+  private updatedRate(count: BackendCallCount, nowMs: number): number | undefined {
     const { id, calls, capacity } = count;
-    const before = this.known.get(id);
-    if (!before || nowMs <= before.readAtMs || calls < before.count.calls) return undefined;
-    if (isOtherIncarnation(count, before.count)) return undefined;
-    const seconds = (nowMs - before.readAtMs) / MS_A_SECOND;
-    const newest = (calls - before.count.calls) / seconds / Math.max(1, capacity);
-    return before.rate === undefined ? newest : before.rate + RATE_SHARE * (newest - before.rate);
+    const previous = this.ratedCounts.get(id);
+    if (!previous || nowMs <= previous.readAtMs || calls < previous.count.calls) return undefined;
+    if (isOtherIncarnation(count, previous.count)) return undefined;
+    const seconds = (nowMs - previous.readAtMs) / MS_PER_SECOND;
+    const newestRate = (calls - previous.count.calls) / seconds / Math.max(1, capacity);
+    return previous.rate === undefined
+      ? newestRate
+      : previous.rate + NEWEST_RATE_WEIGHT * (newestRate - previous.rate);
   }
 }
--- a/src/cookie-edge/load/constants.ts
+++ b/src/cookie-edge/load/constants.ts
@@ -1,40 +1,47 @@
-/** Durations in ms, levels and sizes of load reports. */
+/** Durations in ms, thresholds and sizes of load reports. */
 
-/** Interval in ms between readings of call counts. Back ends write theirs about every 1.2 s. */
+/** Interval in ms between reads of call counts. Back ends write their counts about every 1.2 s. */
 export const LOAD_READ_INTERVAL_MS = 2_000;
 
 /**
- * Below this many daemons no load is read, because each places enough flows to balance by its own counts.
+ * With fewer daemons than this, no daemon reads call counts. Each daemon then places enough flows to balance by its own
+ * counts.
  */
 export const LOAD_MIN_DAEMONS = 16;
 
 /**
- * Weight of the newest rate in the moving average. Below 1 because one reading sees only one or two writes of a back
- * end.
+ * Weight of the newest rate in the exponential moving average. Below 1, because a back end writes its count only once
+ * or twice between two reads, which makes a single rate imprecise.
  */
-export const RATE_SHARE = 0.4;
+export const NEWEST_RATE_WEIGHT = 0.4;
 
-/** A back end is busy above this multiple of its service's mean rate. Less is chance at a few calls a second. */
+/**
+ * A back end is busy above this multiple of its service's mean rate. Smaller excesses are random variation at a few
+ * calls a second.
+ */
 export const BUSY_LEVEL = 1.1;
 
 /**
- * Back ends named in one report, the busiest first. Each takes up to 5 bytes, so that a report and the rest of its
- * message stay within a datagram of 1,400 bytes; a page of 500 back ends has about 200 above the level.
+ * Maximum number of back ends in one report, the busiest first. Each takes up to 5 bytes, so the report and the rest of
+ * its message fit into a datagram of 1,400 bytes. In a page of 500 back ends, about 200 are above `BUSY_LEVEL`.
  */
 export const MAX_REPORTED = 128;
 
-/** A report is used for this many readings of its page. One may be lost and one may have returned an old list. */
+/**
+ * A report stays valid for the time of this many reads of its page. Three, because one report may be lost and one read
+ * may return a stale list.
+ */
 export const VALID_READINGS = 3;
 
 /**
- * A report replaces one of the same page only if it is this much newer, in ms, so that those of two readers are not
- * both gossiped. Half of `LOAD_READ_INTERVAL_MS`.
+ * A report replaces the stored report of its page only if it was measured at least this much later, in ms. Otherwise
+ * daemons would gossip the reports of two readers of the same page. Half of `LOAD_READ_INTERVAL_MS`.
  */
-export const LOAD_STEP_MS = 1_000;
+export const MIN_REPORT_SPACING_MS = 1_000;
 
 /**
- * Bits of a back end's hash that name it in reports. Part of the wire; two back ends that share a tag both count as
- * busy.
+ * Number of low bits of a back end's hash that identify it in reports. Part of the wire format. If two back ends share
+ * a tag, both count as busy.
  */
 const TAG_BITS = 16;
 
--- a/src/cookie-edge/load/events.ts
+++ b/src/cookie-edge/load/events.ts
@@ -5,13 +5,13 @@
   pageRead: {
     number: 2300,
     level: 'debug',
-    message: 'Call counts of a page of back ends read',
+    message: 'Read one page of back-end call counts',
     action: 'none',
   },
   readingFailed: {
     number: 2301,
     level: 'warn',
-    message: 'Reading call counts of back ends failed; placement uses own flows alone',
-    action: 'none when it is rare; otherwise see the error',
+    message: 'Reading back-end call counts failed; placement considers only the flows of this daemon',
+    action: 'None if this is rare; otherwise check the logged error',
   },
 });
--- a/src/cookie-edge/load/index.ts
+++ b/src/cookie-edge/load/index.ts
@@ -1,7 +1,8 @@
 /**
- * Load reports: which back ends get more calls than others, by their own counts. The readers of the source read the
- * counts and gossip the busy back ends, so that a daemon that places one flow in a hundred also knows of the other
- * flows. Owns the rates and the reports in use; relies on `spreading` to gossip reports.
+ * Load reports: which back ends get more calls than others of their service, by the call counts that they write to the
+ * source. The readers of the source read the counts and gossip the busy back ends. Without reports, a daemon that
+ * places one flow in a hundred would not see the load from the other daemons' flows. Owns the rates and the valid
+ * reports; relies on `spreading` to gossip reports.
  */
 export type * from './types.js';
 export { LOAD_MIN_DAEMONS } from './constants.js';
--- a/src/cookie-edge/load/load-reader.ts
+++ b/src/cookie-edge/load/load-reader.ts
@@ -1,8 +1,8 @@
 /**
- * The task in which a reader of the source finds the busy back ends: it reads one page of call counts at a time, which
- * may be some seconds old, and reports that page. A failed call is logged and not retried, because the next one follows
- * after `LOAD_READ_INTERVAL_MS`. Owns the rates of each page and the position in the list; relies on `CallRates` to
- * judge them.
+ * Background task of a daemon that reads the source. Every `LOAD_READ_INTERVAL_MS`, it reads the next page of call
+ * counts, which may be some seconds old, and makes a load report of that page. It logs a failed call and reads the same
+ * page in the next interval. Owns the rates of each page and the position in the list; relies on `CallRates` to find
+ * the busy back ends.
  */
 import type { Clock } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
@@ -12,32 +12,31 @@
 import { LOAD_EVENTS } from './events.js';
 import type { CallCountSource, LoadReport } from './types.js';
 
-/** What a reader needs. */
 interface LoadReaderOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   readonly source: CallCountSource;
-  /** Asked before each reading; false leaves it out. */
+  /** Called before each read; the read is skipped if it returns false. */
   readonly isWanted: () => boolean;
-  /** Called with each page's report. */
+  /** Called with the report of each page that was read. */
   readonly onReport: (report: LoadReport) => void;
 }
 
-/** Reads call counts and reports busy back ends. */
+/** Reads call counts periodically and reports busy back ends. */
 export class LoadReader {
-  private readonly pages: CallRates[] = [];
-  private page = 0;
-  private after: string | undefined;
-  private readings = 0;
+  private readonly ratesByPage: CallRates[] = [];
+  private pageNumber = 0;
+  private nextPageCursor: string | undefined;
+  private callCount = 0;
 
   constructor(private readonly options: LoadReaderOptions) {}
 
-  /** Calls made since start. */
+  /** Calls made to the source since start, including failed ones. */
   get calls(): number {
-    return this.readings;
+    return this.callCount;
   }
 
-  /** Reads until `signal` aborts. Never throws. */
+  /** Reads pages until `signal` aborts. Never throws. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await pause(this.options.clock, LOAD_READ_INTERVAL_MS, signal);
@@ -47,8 +46,8 @@
 
   private async readPage(signal: AbortSignal): Promise<void> {
     const { clock, events, source, onReport } = this.options;
-    this.readings += 1;
-    const response = await source.readCallCounts(this.after, signal);
+    this.callCount += 1;
+    const response = await source.readCallCounts(this.nextPageCursor, signal);
     if (signal.aborted) return;
     if (response.isErr) {
       events.emit(LOAD_EVENTS.readingFailed, { kind: response.error.kind, error: response.error.problem });
@@ -56,17 +55,17 @@
     }
     const { counts, next } = response.value;
     const measuredAtMs = clock.now();
-    const rates = (this.pages[this.page] ??= new CallRates());
+    const rates = (this.ratesByPage[this.pageNumber] ??= new CallRates());
     rates.record(counts, measuredAtMs);
     const busy = rates.busy();
-    events.emit(LOAD_EVENTS.pageRead, { page: this.page, backends: counts.length, busy: busy.length });
-    onReport({ page: this.page, measuredAtMs, validMs: this.validMs(), busy });
-    this.after = next;
-    this.page = next === undefined ? 0 : this.page + 1;
+    events.emit(LOAD_EVENTS.pageRead, { page: this.pageNumber, backends: counts.length, busy: busy.length });
+    onReport({ page: this.pageNumber, measuredAtMs, validMs: this.reportLifetimeMs(), busy });
+    this.nextPageCursor = next;
+    this.pageNumber = next === undefined ? 0 : this.pageNumber + 1;
   }
 
-  /** Lifetime of a report: a page is read again only after all the others. */
-  private validMs(): number {
-    return this.pages.length * LOAD_READ_INTERVAL_MS * VALID_READINGS;
+  /** Grows with the number of pages, because each page is read again only after all the others. */
+  private reportLifetimeMs(): number {
+    return this.ratesByPage.length * LOAD_READ_INTERVAL_MS * VALID_READINGS;
   }
 }
--- a/src/cookie-edge/load/load.test.ts
+++ b/src/cookie-edge/load/load.test.ts
@@ -1,4 +1,4 @@
-/** Load reports: rates from counts, the task that reads them, and what placement reads. */
+/** Load reports: rates computed from counts, the task that reads counts, and the levels that placement reads. */
 import test from 'ava';
 import Result from 'true-myth/result';
 import { VirtualClock } from '../../common/clock.js';
@@ -6,23 +6,23 @@
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { RoutingSourceError } from '../routing/index.js';
 import { CallRates } from './call-rates.js';
-import { LOAD_READ_INTERVAL_MS, LOAD_STEP_MS, MAX_REPORTED, TAG_MASK } from './constants.js';
+import { LOAD_READ_INTERVAL_MS, MAX_REPORTED, MIN_REPORT_SPACING_MS, TAG_MASK } from './constants.js';
 import { LoadReader } from './load-reader.js';
 import { LoadView } from './load-view.js';
 import type { BackendCallCount, CallCountPage, LoadReport } from './types.js';
 
 const SERVICE = 'alpha';
 
-function countOf(id: string, calls: number, change: Partial<BackendCallCount> = {}): BackendCallCount {
-  return { id, service: SERVICE, capacity: 2, calls, ...change };
+function countOf(id: string, calls: number, overrides: Partial<BackendCallCount> = {}): BackendCallCount {
+  return { id, service: SERVICE, capacity: 2, calls, ...overrides };
 }
 
 function tagOf(id: string): number {
   return hashString(id) & TAG_MASK;
 }
 
-function reportOf(change: Partial<LoadReport> = {}): LoadReport {
-  return { page: 0, measuredAtMs: 0, validMs: 6_000, busy: [], ...change };
+function reportOf(overrides: Partial<LoadReport> = {}): LoadReport {
+  return { page: 0, measuredAtMs: 0, validMs: 6_000, busy: [], ...overrides };
 }
 
 test('a back end with more calls than the mean of its service is busy', (t) => {
@@ -33,26 +33,26 @@
   t.deepEqual(rates.busy(), [{ tag: tagOf('a'), level: 1.5 }]);
 });
 
-test('rates count for each unit of capacity, within each service', (t) => {
+test('rates are per unit of capacity and compared within one service', (t) => {
   const rates = new CallRates();
-  const at = (calls: number): BackendCallCount[] => [
+  const countsAt = (calls: number): BackendCallCount[] => [
     countOf('a', calls, { capacity: 4 }),
     countOf('b', calls / 2),
     countOf('c', calls * 10, { service: 'beta' }),
   ];
-  rates.record(at(0), 0);
-  rates.record(at(40), 2_000);
+  rates.record(countsAt(0), 0);
+  rates.record(countsAt(40), 2_000);
   t.deepEqual(rates.busy(), []);
 });
 
-test('a count that goes back, and a back end that was not listed before, have no rate yet', (t) => {
+test('a back end has no rate after its count decreased or when it is listed for the first time', (t) => {
   const rates = new CallRates();
   rates.record([countOf('a', 50), countOf('b', 0)], 0);
   rates.record([countOf('a', 10), countOf('b', 10), countOf('new', 900)], 2_000);
   t.deepEqual(rates.busy(), []);
 });
 
-test('a report of a full page names the busiest back ends only', (t) => {
+test('a report of a full page lists only the busiest back ends', (t) => {
   const rates = new CallRates();
   const ids = Array.from({ length: 500 }, (_, index) => `i-${index}`);
   for (const round of [0, 1]) {
@@ -66,20 +66,20 @@
   t.is(busy[0]?.tag, tagOf('i-499'));
 });
 
-test('a report is used until it is too old, and only one that is clearly newer replaces it', (t) => {
+test('a report is valid until it expires, and only one newer by `MIN_REPORT_SPACING_MS` replaces it', (t) => {
   const view = new LoadView();
   t.false(view.isKnown(0));
   t.true(view.applyReport(reportOf({ busy: [{ tag: tagOf('a'), level: 2 }] })));
   t.is(view.levelOf(hashString('a'), 0), 2);
   t.is(view.levelOf(hashString('b'), 0), 1);
-  t.false(view.applyReport(reportOf({ measuredAtMs: LOAD_STEP_MS - 1 })));
-  t.true(view.applyReport(reportOf({ measuredAtMs: LOAD_STEP_MS })));
-  t.is(view.levelOf(hashString('a'), LOAD_STEP_MS), 1);
-  t.true(view.isKnown(LOAD_STEP_MS + 5_999));
-  t.false(view.isKnown(LOAD_STEP_MS + 6_000));
+  t.false(view.applyReport(reportOf({ measuredAtMs: MIN_REPORT_SPACING_MS - 1 })));
+  t.true(view.applyReport(reportOf({ measuredAtMs: MIN_REPORT_SPACING_MS })));
+  t.is(view.levelOf(hashString('a'), MIN_REPORT_SPACING_MS), 1);
+  t.true(view.isKnown(MIN_REPORT_SPACING_MS + 5_999));
+  t.false(view.isKnown(MIN_REPORT_SPACING_MS + 6_000));
 });
 
-test('an old report says nothing any more, and pages stand beside each other', (t) => {
+test('an expired report has no effect, and reports of different pages are valid together', (t) => {
   const view = new LoadView();
   view.applyReport(reportOf({ busy: [{ tag: tagOf('a'), level: 2 }] }));
   view.applyReport(reportOf({ page: 1, measuredAtMs: 3_000, busy: [{ tag: tagOf('b'), level: 3 }] }));
@@ -88,9 +88,9 @@
   t.is(view.levelOf(hashString('a'), 6_000), 1);
 });
 
-/** A reader between pages that `pageAt` gives; the reports that it made. */
-function readerOf(
-  pageAt: (after: string | undefined) => CallCountPage | undefined,
+/** Starts a reader of the pages that `readPage` returns; undefined makes the read fail. Collects its reports. */
+function startReader(
+  readPage: (cursor: string | undefined) => CallCountPage | undefined,
   isWanted: () => boolean = () => true,
 ): { readonly clock: VirtualClock; readonly reports: LoadReport[]; readonly reader: LoadReader } {
   const clock = new VirtualClock();
@@ -101,10 +101,10 @@
     isWanted,
     onReport: (report) => reports.push(report),
     source: {
-      readCallCounts: (after) => {
-        const page = pageAt(after);
-        const failed = new RoutingSourceError('routing.throttled', 'scripted');
-        return Promise.resolve(page ? Result.ok(page) : Result.err(failed));
+      readCallCounts: (cursor) => {
+        const page = readPage(cursor);
+        const error = new RoutingSourceError('routing.throttled', 'scripted');
+        return Promise.resolve(page ? Result.ok(page) : Result.err(error));
       },
     },
   });
@@ -112,11 +112,11 @@
   return { clock, reports, reader };
 }
 
-test('a reader reads one page at a time, and each is valid until it comes round again', async (t) => {
+test('a reader reads one page per interval, and reports stay valid for three rounds of all pages', async (t) => {
   let calls = 0;
-  const { clock, reports } = readerOf((after) => {
+  const { clock, reports } = startReader((cursor) => {
     calls += 10;
-    return after === undefined
+    return cursor === undefined
       ? { counts: [countOf('a', calls), countOf('b', 0)], next: 'b' }
       : { counts: [countOf('c', calls)], next: undefined };
   });
@@ -129,9 +129,9 @@
   t.is(reports[2]?.validMs, 12_000);
 });
 
-test('a failed reading is left out, and nothing is read that is not wanted', async (t) => {
+test('a failed read makes no report, and no page is read while reading is disabled', async (t) => {
   let isWanted = true;
-  const { clock, reports, reader } = readerOf(
+  const { clock, reports, reader } = startReader(
     () => undefined,
     () => isWanted,
   );
@@ -143,7 +143,7 @@
   t.deepEqual(reports, []);
 });
 
-test('a count that began anew with another life has no rate, also when it is higher than the last one', (t) => {
+test('a back end has no rate after a restart, even if its new count is higher than the last one', (t) => {
   const rates = new CallRates();
   rates.record([countOf('a', 10, { incarnation: 1 }), countOf('b', 10), countOf('c', 10)], 0);
   rates.record([countOf('a', 900, { incarnation: 2 }), countOf('b', 20), countOf('c', 20)], 2_000);
--- a/src/cookie-edge/load/types.ts
+++ b/src/cookie-edge/load/types.ts
@@ -1,31 +1,36 @@
-/** Call counts of back ends, as the source has them, and the reports of busy back ends that daemons gossip. */
+/** Call counts of back ends as stored in the source, and the reports of busy back ends that daemons gossip. */
 import type Result from 'true-myth/result';
 import type { RoutingSourceError } from '../routing/index.js';
 
 /** A back end's count of answered calls, as it last wrote it to the source. */
 export interface BackendCallCount {
   readonly id: string;
-  /** Start time of its process, as in `RoutedBackend`; counts begin anew with each. */
+  /** Start time of its process, as in `RoutedBackend`. A new process counts from 0 again. */
   readonly incarnation?: number;
   readonly service: string;
-  /** Requests it works on at once. */
+  /** Number of requests it processes concurrently. */
   readonly capacity: number;
-  /** Calls since its start. */
+  /** Calls answered since its process started. */
   readonly calls: number;
 }
 
-/** A page of call counts, as of some seconds ago at the worst. */
+/** A page of call counts. May be some seconds old. */
 export interface CallCountPage {
   readonly counts: readonly BackendCallCount[];
-  /** Where the next page begins; undefined after the last. */
+  /** Cursor of the next page; undefined on the last page. */
   readonly next: string | undefined;
 }
 
-/** Where back ends record how many calls they had. */
+/** The source from which daemons read the call counts of back ends. */
 export interface CallCountSource {
-  /** Reads the page that begins at `after`, the first one where that is undefined. Ends when `signal` aborts. */
+  /**
+   * Reads one page of call counts.
+   *
+   * @param cursor `next` of the previous page; undefined reads the first page
+   * @param signal cancels the read when it aborts
+   */
   readCallCounts(
-    after: string | undefined,
+    cursor: string | undefined,
     signal: AbortSignal,
   ): Promise<Result<CallCountPage, RoutingSourceError>>;
 }
@@ -34,18 +39,18 @@
 export interface BusyBackend {
   /** Low bits (`TAG_MASK`) of the hash of its id. */
   readonly tag: number;
-  /** Its calls a second as a multiple of its service's mean for each unit of capacity; above 1. */
+  /** Its calls a second per unit of capacity, as a multiple of its service's mean; above 1. */
   readonly level: number;
 }
 
-/** The busy back ends of one page, as a reader of the source found them. */
+/** The busy back ends of one page of call counts. */
 export interface LoadReport {
-  /** Number of the page, from 0. Reports of different pages stand beside each other. */
+  /** Number of the page, from 0. Reports of different pages are valid at the same time. */
   readonly page: number;
-  /** Monotonic ms at which the source was read. */
+  /** Monotonic ms at which the page was read. */
   readonly measuredAtMs: number;
-  /** Milliseconds for which it may be used. */
+  /** Lifetime in ms, from `measuredAtMs`. */
   readonly validMs: number;
-  /** Back ends that are not named are not busy, as far as is known. */
+  /** Back ends that are missing here are not known to be busy. */
   readonly busy: readonly BusyBackend[];
 }
