--- a/src/cookie-edge/outliers/answer-baseline.ts
+++ b/src/cookie-edge/outliers/answer-baseline.ts
@@ -1,53 +1,58 @@
 /**
- * Rule: whether an answer is slow or short for its route. Estimates the median time and the least usual length of one
- * route's answers in constant space, and owns these estimates. Does no input or output. Before enough answers were seen
- * none is slow or short.
+ * Decides whether an answer is slow or short for its route. Estimates the median time and the minimum usual length of
+ * one route's answers in constant space, and owns these estimates. Until there are enough answers for an estimate, no
+ * answer is slow or short. Pure computation without I/O.
  */
 import {
-  FIRST_ANSWERS,
-  LENGTH_RISE,
+  MEDIAN_WARMUP_ANSWERS,
+  USUAL_LENGTH_RISE,
   MEDIAN_STEP,
-  MIN_ANSWERS,
+  MIN_ANSWERS_FOR_MEDIAN,
   MIN_ANSWERS_FOR_LENGTH,
-  SHORT_FALL,
-  SHORT_SHARE,
-  SLOW_MIN_MS,
+  USUAL_LENGTH_FALL,
+  SHORT_ANSWER_SHARE,
+  MIN_SLOW_MS,
 } from './constants.js';
 
-/** Baseline of one route's answers. */
+/** Median time and minimum usual length of one route's answers. */
 export class AnswerBaseline {
-  private count = 0;
-  private estimateMs = 0;
-  private leastBytes = Number.POSITIVE_INFINITY;
+  private usualAnswerCount = 0;
+  private medianEstimateMs = 0;
+  private minUsualBytes = Number.POSITIVE_INFINITY;
 
-  /** Records how long an answer took in ms, and how many of its bytes were acknowledged first: all of a short one. */
-  record(tookMs: number, bytes: number): void {
+  /**
+   * Records an answer.
+   *
+   * @param durationMs time to the first acknowledgement
+   * @param bytes answer bytes covered by that acknowledgement; the whole answer if it is short
+   */
+  recordAnswer(durationMs: number, bytes: number): void {
     if (this.isShort(bytes)) {
-      this.leastBytes *= 1 - SHORT_FALL;
+      this.minUsualBytes *= 1 - USUAL_LENGTH_FALL;
       return;
     }
-    this.count += 1;
-    this.leastBytes = Math.min(bytes, this.leastBytes * (1 + LENGTH_RISE));
-    if (this.count === 1) {
-      this.estimateMs = tookMs;
+    this.usualAnswerCount += 1;
+    this.minUsualBytes = Math.min(bytes, this.minUsualBytes * (1 + USUAL_LENGTH_RISE));
+    if (this.usualAnswerCount === 1) {
+      this.medianEstimateMs = durationMs;
       return;
     }
-    const step = MEDIAN_STEP + 1 / (this.count + FIRST_ANSWERS);
-    this.estimateMs *= tookMs > this.estimateMs ? 1 + step : 1 / (1 + step);
+    const step = MEDIAN_STEP + 1 / (this.usualAnswerCount + MEDIAN_WARMUP_ANSWERS);
+    this.medianEstimateMs *= durationMs > this.medianEstimateMs ? 1 + step : 1 / (1 + step);
   }
 
-  /** The median time in ms; undefined while too few answers were seen. */
+  /** Estimated median time in ms; undefined before `MIN_ANSWERS_FOR_MEDIAN` answers. */
   get medianMs(): number | undefined {
-    return this.count >= MIN_ANSWERS ? this.estimateMs : undefined;
+    return this.usualAnswerCount >= MIN_ANSWERS_FOR_MEDIAN ? this.medianEstimateMs : undefined;
   }
 
-  /** True for a time, in ms, of at least `SLOW_MIN_MS` and `factor` times the median. */
-  isSlow(tookMs: number, factor: number): boolean {
-    return tookMs >= SLOW_MIN_MS && this.medianMs !== undefined && tookMs >= this.medianMs * factor;
+  /** True if an answer that takes `durationMs` is slow: at least `MIN_SLOW_MS` and `factor` times the median. */
+  isSlow(durationMs: number, factor: number): boolean {
+    return durationMs >= MIN_SLOW_MS && this.medianMs !== undefined && durationMs >= this.medianMs * factor;
   }
 
-  /** True for an answer much shorter than any usual one, as errors are where answers carry data. */
+  /** True for an answer much shorter than any usual one, as error responses are on routes whose answers carry data. */
   isShort(bytes: number): boolean {
-    return this.count >= MIN_ANSWERS_FOR_LENGTH && bytes < this.leastBytes * SHORT_SHARE;
+    return this.usualAnswerCount >= MIN_ANSWERS_FOR_LENGTH && bytes < this.minUsualBytes * SHORT_ANSWER_SHARE;
   }
 }
--- a/src/cookie-edge/outliers/answer-tracker.test.ts
+++ b/src/cookie-edge/outliers/answer-tracker.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { AnswerBaseline } from './answer-baseline.js';
 import { AnswerTracker } from './answer-tracker.js';
-import { MIN_ANSWERS, SLOW_MIN_MS } from './constants.js';
+import { MIN_ANSWERS_FOR_MEDIAN, MIN_SLOW_MS } from './constants.js';
 import type { BadAnswer, OutstandingRequest } from './types.js';
 
 const SLOW_FACTOR = 4;
@@ -9,123 +9,129 @@
 const USUAL_BYTES = 800;
 const ERROR_BYTES = 200;
 
-function request(sentAtMs: number, backendId = 'a', routeKey = 1): OutstandingRequest {
+function createRequest(sentAtMs: number, backendId = 'a', routeKey = 1): OutstandingRequest {
   return { backendId, service: 'alpha', routeKey, sentAtMs };
 }
 
-/** A tracker that has seen enough answers of `USUAL_MS` on route 1, and what it called slow. */
-function warmTracker(): { readonly tracker: AnswerTracker; readonly slow: BadAnswer[] } {
-  const slow: BadAnswer[] = [];
-  const tracker = new AnswerTracker({ slowFactor: SLOW_FACTOR, onBadAnswer: (found) => slow.push(found) });
-  for (let count = 0; count < MIN_ANSWERS; count += 1) {
-    const answered = request(0);
+/** Creates a tracker with a baseline of `USUAL_MS` for route 1. Collects the answers that it reports. */
+function createWarmTracker(): { readonly tracker: AnswerTracker; readonly badAnswers: BadAnswer[] } {
+  const badAnswers: BadAnswer[] = [];
+  const tracker = new AnswerTracker({
+    slowFactor: SLOW_FACTOR,
+    onBadAnswer: (badAnswer) => badAnswers.push(badAnswer),
+  });
+  for (let count = 0; count < MIN_ANSWERS_FOR_MEDIAN; count += 1) {
+    const answered = createRequest(0);
     tracker.begin(answered);
     tracker.recordAnswer(answered, USUAL_BYTES, USUAL_MS);
   }
-  return { tracker, slow };
+  return { tracker, badAnswers };
 }
 
-test('the usual time follows a change of all answers and not a few slow ones', (t) => {
-  const usual = new AnswerBaseline();
-  t.is(usual.medianMs, undefined);
+test('the median estimate follows a change of all answers and ignores one slow answer in five', (t) => {
+  const baseline = new AnswerBaseline();
+  t.is(baseline.medianMs, undefined);
   for (let count = 0; count < 100; count += 1)
-    usual.record(count % 5 === 0 ? 400 : USUAL_MS + (count % 3), USUAL_BYTES);
-  t.true(usual.medianMs! < 2 * USUAL_MS, `${usual.medianMs} ms with one slow answer in five`);
-  for (let count = 0; count < 100; count += 1) usual.record(400 + (count % 3), USUAL_BYTES);
-  t.true(usual.medianMs! > 300, `${usual.medianMs} ms once all are slow`);
+    baseline.recordAnswer(count % 5 === 0 ? 400 : USUAL_MS + (count % 3), USUAL_BYTES);
+  t.true(baseline.medianMs! < 2 * USUAL_MS, `${baseline.medianMs} ms with one slow answer in five`);
+  for (let count = 0; count < 100; count += 1) baseline.recordAnswer(400 + (count % 3), USUAL_BYTES);
+  t.true(baseline.medianMs! > 300, `${baseline.medianMs} ms once all are slow`);
 });
 
-test('a request is called slow as soon as it is, once, whether it is answered later or not', (t) => {
-  const { tracker, slow } = warmTracker();
-  const mute = request(1_000, 'mute');
-  const late = request(1_000, 'late');
-  tracker.begin(mute);
+test('an overdue request is reported once, whether it is answered later or not', (t) => {
+  const { tracker, badAnswers } = createWarmTracker();
+  const unanswered = createRequest(1_000, 'mute');
+  const late = createRequest(1_000, 'late');
+  tracker.begin(unanswered);
   tracker.begin(late);
   tracker.check(1_000 + (SLOW_FACTOR / 2) * USUAL_MS);
-  t.deepEqual(slow, []);
+  t.deepEqual(badAnswers, []);
   tracker.check(1_000 + (SLOW_FACTOR + 1) * USUAL_MS);
   t.deepEqual(
-    slow.map(({ backendId }) => backendId),
+    badAnswers.map(({ backendId }) => backendId),
     ['mute', 'late'],
   );
   tracker.recordAnswer(late, USUAL_BYTES, 1_500);
   tracker.check(9_000);
-  t.is(slow.length, 2);
+  t.is(badAnswers.length, 2);
   t.is(tracker.outstandingCount, 0);
 });
 
-test('an answer that came late between two checks is slow as well', (t) => {
-  const { tracker, slow } = warmTracker();
-  const late = request(1_000);
+test('an answer that becomes late and arrives between two checks is reported as slow', (t) => {
+  const { tracker, badAnswers } = createWarmTracker();
+  const late = createRequest(1_000);
   tracker.begin(late);
   tracker.recordAnswer(late, USUAL_BYTES, 1_000 + 5 * USUAL_MS);
-  t.is(slow.length, 1);
+  t.is(badAnswers.length, 1);
 });
 
-test('each route has its own usual time', (t) => {
-  const { tracker, slow } = warmTracker();
-  const slowRoute = request(1_000, 'a', 2);
-  tracker.begin(slowRoute);
+test('on a route with too few answers none is slow, even if another route has enough', (t) => {
+  const { tracker, badAnswers } = createWarmTracker();
+  const requestOnOtherRoute = createRequest(1_000, 'a', 2);
+  tracker.begin(requestOnOtherRoute);
   tracker.check(1_000 + 10 * USUAL_MS);
-  tracker.recordAnswer(slowRoute, USUAL_BYTES, 1_000 + 10 * USUAL_MS);
-  t.deepEqual(slow, [], 'too few answers of that route were seen');
+  tracker.recordAnswer(requestOnOtherRoute, USUAL_BYTES, 1_000 + 10 * USUAL_MS);
+  t.deepEqual(badAnswers, [], 'the route has too few answers');
 });
 
-test('no answer is slow that one lost packet can explain on a fast route', (t) => {
-  const slow: BadAnswer[] = [];
-  const tracker = new AnswerTracker({ slowFactor: SLOW_FACTOR, onBadAnswer: (found) => slow.push(found) });
-  for (let count = 0; count <= MIN_ANSWERS; count += 1) {
-    const answered = request(0);
+test('an answer faster than `MIN_SLOW_MS` is not slow, even on a much faster route', (t) => {
+  const badAnswers: BadAnswer[] = [];
+  const tracker = new AnswerTracker({
+    slowFactor: SLOW_FACTOR,
+    onBadAnswer: (badAnswer) => badAnswers.push(badAnswer),
+  });
+  for (let count = 0; count <= MIN_ANSWERS_FOR_MEDIAN; count += 1) {
+    const answered = createRequest(0);
     tracker.begin(answered);
-    tracker.recordAnswer(answered, USUAL_BYTES, count < MIN_ANSWERS ? 2 : SLOW_MIN_MS - 1);
+    tracker.recordAnswer(answered, USUAL_BYTES, count < MIN_ANSWERS_FOR_MEDIAN ? 2 : MIN_SLOW_MS - 1);
   }
-  t.deepEqual(slow, []);
+  t.deepEqual(badAnswers, []);
 });
 
-test('a caller that closes its flow, or a pause of this process, proves nothing', (t) => {
-  const { tracker, slow } = warmTracker();
-  const closed = request(1_000);
+test('requests of closed flows, and requests before a pause of this process, are not reported as slow', (t) => {
+  const { tracker, badAnswers } = createWarmTracker();
+  const closed = createRequest(1_000);
   tracker.begin(closed);
   tracker.abandon(closed);
-  tracker.begin(request(1_000));
+  tracker.begin(createRequest(1_000));
   tracker.clear();
   tracker.check(60_000);
-  t.deepEqual(slow, []);
+  t.deepEqual(badAnswers, []);
   t.is(tracker.statistics.abandoned, 1);
 });
 
-/** A tracker that has seen `count` answers of 600 to 1,200 bytes. */
-function trackerAfter(count: number) {
-  const { tracker, slow: bad } = warmTracker();
-  const answer = (bytes: number): void => {
-    const answered = request(0);
+/** Creates a tracker with `count` recorded answers of 600 to 1,200 bytes. */
+function createTrackerAfterAnswers(count: number) {
+  const { tracker, badAnswers } = createWarmTracker();
+  const recordAnswer = (bytes: number): void => {
+    const answered = createRequest(0);
     tracker.begin(answered);
     tracker.recordAnswer(answered, bytes, USUAL_MS);
   };
-  for (let index = 0; index < count; index += 1) answer(600 + ((index * 37) % 600));
-  return { tracker, bad, answer };
+  for (let index = 0; index < count; index += 1) recordAnswer(600 + ((index * 37) % 600));
+  return { tracker, badAnswers, recordAnswer };
 }
 
-test('an answer much shorter than those of its route is bad, also while a tenth of them are', (t) => {
-  const { tracker, bad, answer } = trackerAfter(200);
+test('an answer much shorter than the usual ones of its route is bad, even if a tenth of the answers are', (t) => {
+  const { tracker, badAnswers, recordAnswer } = createTrackerAfterAnswers(200);
   for (let index = 0; index < 1_000; index += 1)
-    answer(index % 10 === 0 ? ERROR_BYTES : 600 + ((index * 37) % 600));
-  t.is(bad.length, 100);
+    recordAnswer(index % 10 === 0 ? ERROR_BYTES : 600 + ((index * 37) % 600));
+  t.is(badAnswers.length, 100);
   t.is(tracker.statistics.short, 100);
 });
 
-test('a route whose answers have all become short is taken as it is after a while', (t) => {
-  const { bad, answer } = trackerAfter(200);
-  for (let index = 0; index < 1_000; index += 1) answer(ERROR_BYTES);
-  const before = bad.length;
-  t.true(before < 500, `${before} called bad`);
-  for (let index = 0; index < 100; index += 1) answer(ERROR_BYTES);
-  t.is(bad.length, before);
+test('when all answers of a route become short, they are eventually usual and no longer bad', (t) => {
+  const { badAnswers, recordAnswer } = createTrackerAfterAnswers(200);
+  for (let index = 0; index < 1_000; index += 1) recordAnswer(ERROR_BYTES);
+  const badCountSoFar = badAnswers.length;
+  t.true(badCountSoFar < 500, `${badCountSoFar} reported as bad`);
+  for (let index = 0; index < 100; index += 1) recordAnswer(ERROR_BYTES);
+  t.is(badAnswers.length, badCountSoFar);
 });
 
-test('answers of very different lengths are all usual', (t) => {
-  const { bad, answer } = trackerAfter(0);
+test('on a route with answers of very different lengths, none is short', (t) => {
+  const { badAnswers, recordAnswer } = createTrackerAfterAnswers(0);
   for (let index = 0; index < 2_000; index += 1)
-    answer(index % 20 === 0 ? 150 : 150 + ((index * 7_919) % 9_000));
-  t.deepEqual(bad, []);
+    recordAnswer(index % 20 === 0 ? 150 : 150 + ((index * 7_919) % 9_000));
+  t.deepEqual(badAnswers, []);
 });
--- a/src/cookie-edge/outliers/index.ts
+++ b/src/cookie-edge/outliers/index.ts
@@ -1,8 +1,7 @@
 /**
- * Outlier detection: back ends that answer unusually late, not at all, or with errors, although connections to them
- * open, get no new flows. Owns the outstanding requests and the reports; relies on forwarding to report requests and
- * acknowledgements, and on `spreading` to gossip reports. Covers slow, hanging, mute and failing back ends;
- * `backend-health` covers those that cannot be reached.
+ * Outlier detection: back ends that accept connections but answer unusually late, not at all, or with errors get no new
+ * flows. `backend-health` covers back ends that cannot be reached. Owns the outstanding requests and the reports;
+ * relies on forwarding to report requests and acknowledgements, and on `spreading` to gossip reports.
  *
  * ```ts
  * const lookups = { serviceOf, countBackends };
--- a/src/cookie-edge/outliers/outlier-detector.ts
+++ b/src/cookie-edge/outliers/outlier-detector.ts
@@ -1,69 +1,74 @@
 /**
  * Decides which back ends are outliers: they answer requests late, not at all or with errors, and get no new flows. One
- * daemon sees too few requests at each back end, so daemons gossip their bad answers, and each decides by what it knows
- * of the whole fleet. There is no agreement and nothing stored: reports expire after seconds, and a daemon without any
- * treats all back ends alike. Owns the `OutlierRecord` of each back end with reports; logs each change of phase.
+ * daemon sees too few requests at each back end, so daemons gossip reports of bad answers, and each daemon decides by
+ * the reports of the whole fleet. There is no consensus and no stored state: reports expire after seconds, and a daemon
+ * without reports avoids no back end. Owns the `OutlierRecord` of each back end with reports; logs each phase change.
  *
- * Order of `judge`: enough reports at all; enough more than the mean of the service, because an overload makes all of
- * it late; and no more outliers than `maxAvoidedShare`, because avoiding many makes the others late.
+ * `evaluate` checks, in this order:
+ * 1. The back end has enough reports.
+ * 2. It has clearly more reports than the mean of its service, because an overload makes all back ends late.
+ * 3. At most `maxAvoidedShare` of the service is avoided, because avoiding many back ends makes the others late.
+ *
+ * During an outlier trial, one report is enough and the mean is not considered.
  */
 import { combine32 } from '../../common/hash.js';
 import type { EventLog } from '../../observability/event.js';
 import {
-  MAX_REPORTED_SHARE,
-  MIN_BACKENDS,
-  OUTLIER_FACTOR,
-  SETTLE_MS,
-  OUTLIER_TRIAL_ONE_IN,
+  MAX_REPORTED_BACKEND_SHARE,
+  MIN_BACKENDS_PER_SERVICE,
+  MIN_MULTIPLE_OF_MEAN,
+  STARTUP_GRACE_MS,
+  OUTLIER_TRIAL_FLOW_DIVISOR,
 } from './constants.js';
 import { OUTLIER_EVENTS } from './events.js';
 import { OutlierRecord } from './outlier-record.js';
 import type { OutlierOptions, OutlierPhase, BadAnswer, BadAnswerReport } from './types.js';
 
-/** What a detector needs. */
 interface OutlierDetectorOptions extends OutlierOptions {
-  /** Names this daemon in reports. */
+  /** Hash of this daemon's id: the `observer` of its own reports. */
   readonly self: number;
   readonly events: EventLog;
-  /** Service of a back end that is known; undefined for any other. */
+  /** Returns the service of a back end; undefined if this daemon does not know the back end. */
   readonly serviceOf: (backendId: string) => string | undefined;
-  /** Back ends of a service that are recorded now. */
+  /** Returns the number of back ends that a service has now. */
   readonly countBackends: (service: string) => number;
-  /** Called with each report of this daemon, to gossip it. */
+  /** Called with each report of this daemon that is to be gossiped. */
   readonly onReport: (report: BadAnswerReport) => void;
 }
 
-/** Reports on the back ends of one service, and which observers' count. */
+/** Summary of the reports on the back ends of one service. */
 interface ServiceEvidence {
-  readonly backends: number;
-  /** Reports that count, of all its back ends together. */
-  readonly reports: number;
-  readonly avoided: number;
+  /** All back ends of the service, also those without reports. */
+  readonly backendCount: number;
+  /** Valid reports on all of them, without those of discounted observers. */
+  readonly reportCount: number;
+  readonly avoidedCount: number;
+  /** True for a daemon that reports so many back ends that it is likely at fault itself. */
   readonly isDiscounted: (observer: number) => boolean;
 }
 
-/** The outliers as one daemon sees them. Times are monotonic ms. */
+/** Detects outliers for one daemon. Times are monotonic ms. */
 export class OutlierDetector {
   private readonly records = new Map<string, OutlierRecord>();
-  private ownReports = 0;
-  private othersReports = 0;
+  private ownReportCount = 0;
+  private peerReportCount = 0;
   private detectionCount = 0;
-  private readonly settledAtMs: number;
+  private readonly startupGraceEndsAtMs: number;
 
   /** @param startedAtMs monotonic ms at which this daemon started */
   constructor(
     private readonly options: OutlierDetectorOptions,
     startedAtMs: number,
   ) {
-    this.settledAtMs = startedAtMs + SETTLE_MS;
+    this.startupGraceEndsAtMs = startedAtMs + STARTUP_GRACE_MS;
   }
 
-  /** Reports of this daemon and of others that were recorded, since start. */
+  /** Number of recorded reports of this daemon and of other daemons, since start. */
   get reportCounts(): { readonly own: number; readonly others: number } {
-    return { own: this.ownReports, others: this.othersReports };
+    return { own: this.ownReportCount, others: this.peerReportCount };
   }
 
-  /** Times that a back end was found to be an outlier, since start. */
+  /** Number of times that a back end became an outlier, since start. */
   get detections(): number {
     return this.detectionCount;
   }
@@ -78,50 +83,50 @@
   }
 
   /**
-   * True when a flow should go elsewhere if it can. In an outlier trial a back end takes a fixed part of the flows,
-   * chosen by their hashes, so that a retransmission of a SYN meets the same decision.
+   * True if a flow should go to another back end if possible. A back end in an outlier trial admits a fixed share of
+   * flows, selected by hash, so that the retransmission of a SYN gets the same decision.
    */
   isAvoided(backendId: string, idHash: number, flowHash: number, nowMs: number): boolean {
     const phase = this.phaseOf(backendId, nowMs);
     if (phase === 'normal') return false;
-    return phase === 'avoided' || combine32(idHash, flowHash) % OUTLIER_TRIAL_ONE_IN !== 0;
+    return phase === 'avoided' || combine32(idHash, flowHash) % OUTLIER_TRIAL_FLOW_DIVISOR !== 0;
   }
 
-  /** Records a bad answer that this daemon noticed itself; gossips it unless it is this daemon that is slow. */
+  /** Records a bad answer that this daemon detected, and gossips it unless this daemon itself is likely slow. */
   recordOwn({ backendId, service, atMs }: BadAnswer): void {
-    if (atMs < this.settledAtMs) return;
+    if (atMs < this.startupGraceEndsAtMs) return;
     const report = { backendId, observer: this.options.self, atMs };
-    if (!this.recordOf(backendId, service).record(report, true, atMs)) return;
-    this.ownReports += 1;
-    if (!this.isMostlyReporting(service, atMs)) this.options.onReport(report);
-    this.judge(backendId, atMs);
+    if (!this.getOrCreateRecord(backendId, service).addReport(report, true, atMs)) return;
+    this.ownReportCount += 1;
+    if (!this.isReportingTooManyBackends(service, atMs)) this.options.onReport(report);
+    this.evaluate(backendId, atMs);
   }
 
-  /** Records another daemon's report; returns true when it is new here and must be gossiped further. */
+  /** Records another daemon's report. Returns true if the report was new and must be gossiped further. */
   applyReport(report: BadAnswerReport, nowMs: number): boolean {
     if (report.observer === this.options.self) return false;
     const service = this.options.serviceOf(report.backendId);
     if (service === undefined) return false;
-    if (!this.recordOf(report.backendId, service).record(report, false, nowMs)) return false;
-    this.othersReports += 1;
-    this.judge(report.backendId, nowMs);
+    if (!this.getOrCreateRecord(report.backendId, service).addReport(report, false, nowMs)) return false;
+    this.peerReportCount += 1;
+    this.evaluate(report.backendId, nowMs);
     return true;
   }
 
-  /** Logs ends of phases, and forgets records that no longer affect a decision. */
+  /** Logs phases that ended by time, and removes records that no longer affect a decision. Call it periodically. */
   check(nowMs: number): void {
     for (const [backendId, record] of this.records) {
-      this.logPhase(backendId, record, nowMs);
-      if (record.isSpent(nowMs)) this.records.delete(backendId);
+      this.logPhaseChange(backendId, record, nowMs);
+      if (record.canBeRemoved(nowMs)) this.records.delete(backendId);
     }
   }
 
-  /** Forgets a back end. */
+  /** Discards all reports on a back end. */
   forget(backendId: string): void {
     this.records.delete(backendId);
   }
 
-  private recordOf(backendId: string, service: string): OutlierRecord {
+  private getOrCreateRecord(backendId: string, service: string): OutlierRecord {
     let record = this.records.get(backendId);
     if (!record) {
       record = new OutlierRecord(service);
@@ -130,24 +135,24 @@
     return record;
   }
 
-  private judge(backendId: string, nowMs: number): void {
+  private evaluate(backendId: string, nowMs: number): void {
     const record = this.records.get(backendId);
-    if (!record || record.observersAt(nowMs).length < this.leastReports(record.phaseAt(nowMs))) return;
-    const evidence = this.evidenceOf(record.service, nowMs);
-    const reports = record.countAt(nowMs, evidence.isDiscounted);
+    if (!record || record.observersAt(nowMs).length < this.minReports(record.phaseAt(nowMs))) return;
+    const evidence = this.collectEvidence(record.service, nowMs);
+    const reports = record.countReportsAt(nowMs, evidence.isDiscounted);
     const phase = record.phaseAt(nowMs);
-    if (reports < this.neededReports(evidence, phase)) return;
-    if (phase !== 'avoided' && !this.mayAvoidOneMore(evidence)) {
+    if (reports < this.requiredReports(evidence, phase)) return;
+    if (phase !== 'avoided' && !this.canAvoidOneMore(evidence)) {
       const { service } = record;
       return this.options.events.emit(OUTLIER_EVENTS.tooMany, {
         backend: backendId,
         service,
         reports,
-        avoided: evidence.avoided,
-        backends: evidence.backends,
+        avoided: evidence.avoidedCount,
+        backends: evidence.backendCount,
       });
     }
-    record.avoid(nowMs);
+    record.startOrExtendAvoidance(nowMs);
     if (phase === 'avoided') return;
     this.detectionCount += 1;
     record.loggedPhase = 'avoided';
@@ -156,56 +161,60 @@
       service: record.service,
       reports,
       before: phase,
-      serviceReports: evidence.reports,
-      avoided: evidence.avoided + 1,
-      backends: evidence.backends,
+      serviceReports: evidence.reportCount,
+      avoided: evidence.avoidedCount + 1,
+      backends: evidence.backendCount,
     });
   }
 
-  private neededReports({ backends, reports }: ServiceEvidence, phase: OutlierPhase): number {
-    if (backends < MIN_BACKENDS) return Number.POSITIVE_INFINITY;
-    const least = this.leastReports(phase);
-    return phase === 'trial' ? least : Math.max(least, (OUTLIER_FACTOR * reports) / backends);
+  /** Number of reports that make a back end of this service an outlier. */
+  private requiredReports({ backendCount, reportCount }: ServiceEvidence, phase: OutlierPhase): number {
+    if (backendCount < MIN_BACKENDS_PER_SERVICE) return Number.POSITIVE_INFINITY;
+    const minimum = this.minReports(phase);
+    return phase === 'trial'
+      ? minimum
+      : Math.max(minimum, (MIN_MULTIPLE_OF_MEAN * reportCount) / backendCount);
   }
 
-  /** Fewest reports that make an outlier, whatever the mean of the service. */
-  private leastReports(phase: OutlierPhase): number {
+  /** Lower bound of `requiredReports`, independent of the mean of the service. */
+  private minReports(phase: OutlierPhase): number {
     return phase === 'trial' ? 1 : this.options.quorum;
   }
 
   /**
-   * True when this daemon noticed bad answers at so many back ends of a service that the daemon itself is likely slow.
+   * True if this daemon detected bad answers at so many back ends of a service that it is likely slow itself.
    */
-  private isMostlyReporting(service: string, nowMs: number): boolean {
-    let reported = 0;
+  private isReportingTooManyBackends(service: string, nowMs: number): boolean {
+    let reportedBackendCount = 0;
     for (const record of this.records.values()) {
-      if (record.service === service && record.observersAt(nowMs).includes(this.options.self)) reported += 1;
+      if (record.service === service && record.observersAt(nowMs).includes(this.options.self))
+        reportedBackendCount += 1;
     }
-    return reported > mostReportable(this.options.countBackends(service));
+    return reportedBackendCount > maxReportableBackends(this.options.countBackends(service));
   }
 
-  private mayAvoidOneMore({ avoided, backends }: ServiceEvidence): boolean {
-    return avoided + 1 <= backends * this.options.maxAvoidedShare;
+  private canAvoidOneMore({ avoidedCount, backendCount }: ServiceEvidence): boolean {
+    return avoidedCount + 1 <= backendCount * this.options.maxAvoidedShare;
   }
 
-  private evidenceOf(service: string, nowMs: number): ServiceEvidence {
-    const backends = this.options.countBackends(service);
+  private collectEvidence(service: string, nowMs: number): ServiceEvidence {
+    const backendCount = this.options.countBackends(service);
     const records = [...this.records.values()].filter((record) => record.service === service);
-    const reportedBy = new Map<number, number>();
+    const backendCountByObserver = new Map<number, number>();
     for (const observer of records.flatMap((record) => [...new Set(record.observersAt(nowMs))])) {
-      reportedBy.set(observer, (reportedBy.get(observer) ?? 0) + 1);
+      backendCountByObserver.set(observer, (backendCountByObserver.get(observer) ?? 0) + 1);
     }
     const isDiscounted = (observer: number): boolean =>
-      (reportedBy.get(observer) ?? 0) > mostReportable(backends);
+      (backendCountByObserver.get(observer) ?? 0) > maxReportableBackends(backendCount);
     return {
-      backends,
+      backendCount,
       isDiscounted,
-      reports: records.reduce((sum, record) => sum + record.countAt(nowMs, isDiscounted), 0),
-      avoided: records.filter((record) => record.phaseAt(nowMs) === 'avoided').length,
+      reportCount: records.reduce((sum, record) => sum + record.countReportsAt(nowMs, isDiscounted), 0),
+      avoidedCount: records.filter((record) => record.phaseAt(nowMs) === 'avoided').length,
     };
   }
 
-  private logPhase(backendId: string, record: OutlierRecord, nowMs: number): void {
+  private logPhaseChange(backendId: string, record: OutlierRecord, nowMs: number): void {
     const phase = record.phaseAt(nowMs);
     if (phase === record.loggedPhase) return;
     record.loggedPhase = phase;
@@ -214,7 +223,7 @@
   }
 }
 
-/** Back ends of a service that one daemon may report at once; the reports of a daemon with more do not count. */
-function mostReportable(backends: number): number {
-  return Math.max(1, backends * MAX_REPORTED_SHARE);
+/** Maximum number of back ends of a service that one daemon may report; beyond it, its reports do not count. */
+function maxReportableBackends(backendCount: number): number {
+  return Math.max(1, backendCount * MAX_REPORTED_BACKEND_SHARE);
 }
--- a/src/cookie-edge/outliers/outlier-record.ts
+++ b/src/cookie-edge/outliers/outlier-record.ts
@@ -1,21 +1,22 @@
 /**
- * Holds the reports on one back end, and derives its phase: avoided, in an outlier trial, or normal. Does no input or
- * output. The avoidance doubles with each relapse; `FORGIVE_MS` after a trial without one it starts from the shortest
- * again.
+ * Holds the reports on one back end and derives its phase: avoided, in an outlier trial, or normal. Each relapse
+ * doubles the length of the avoidance. `AVOIDANCE_RESET_MS` after a trial without a relapse, it returns to the shortest
+ * length. Pure computation without I/O.
  */
 import {
-  AVOID_MAX_MS,
-  AVOID_MIN_MS,
-  FORGIVE_MS,
-  MAX_REPORTS,
-  RENEWAL_MS,
+  MAX_AVOIDANCE_MS,
+  MIN_AVOIDANCE_MS,
+  AVOIDANCE_RESET_MS,
+  MAX_REPORTS_PER_BACKEND,
+  AVOIDANCE_RENEWAL_WINDOW_MS,
   REPORT_VALID_MS,
   OUTLIER_TRIAL_MS,
 } from './constants.js';
 import type { OutlierPhase } from './types.js';
 
-/** A bad answer and who noticed it. */
+/** A report on this back end. */
 interface RecordedReport {
+  /** Hash of the id of the daemon that detected the bad answer. */
   readonly observer: number;
   readonly atMs: number;
 }
@@ -25,8 +26,8 @@
   private reports: RecordedReport[] = [];
   private avoidedUntilMs = Number.NEGATIVE_INFINITY;
   private trialUntilMs = Number.NEGATIVE_INFINITY;
-  private avoidForMs = AVOID_MIN_MS;
-  /** The phase that was last logged. */
+  private avoidanceMs = MIN_AVOIDANCE_MS;
+  /** The phase in the last log event. */
   loggedPhase: OutlierPhase = 'normal';
 
   constructor(readonly service: string) {}
@@ -37,17 +38,17 @@
   }
 
   /**
-   * Stores a report; returns false for one that changes nothing, which must not be gossiped further. Each other daemon
-   * counts once, because its link to the back end may be what is slow. Own reports count each, because this daemon
-   * decides by them.
+   * Stores a report. Returns false if the report changes nothing and must not be gossiped. At most one report of each
+   * other daemon counts, because that daemon's link to the back end may be the slow part. Each own report counts, so
+   * that this daemon can make the back end an outlier for itself without the reports of others.
    */
-  record(report: RecordedReport, isOwn: boolean, nowMs: number): boolean {
-    if (nowMs - report.atMs >= REPORT_VALID_MS || this.isSettledAt(nowMs)) return false;
-    this.dropOld(nowMs);
-    const known = isOwn ? undefined : this.reports.find(({ observer }) => observer === report.observer);
-    if (known && report.atMs - known.atMs < REPORT_VALID_MS / 2) return false;
-    if (known) this.reports = this.reports.filter((other) => other !== known);
-    if (this.reports.length >= MAX_REPORTS) {
+  addReport(report: RecordedReport, isOwn: boolean, nowMs: number): boolean {
+    if (nowMs - report.atMs >= REPORT_VALID_MS || this.isIgnoringReportsAt(nowMs)) return false;
+    this.dropExpiredReports(nowMs);
+    const previous = isOwn ? undefined : this.reports.find(({ observer }) => observer === report.observer);
+    if (previous && report.atMs - previous.atMs < REPORT_VALID_MS / 2) return false;
+    if (previous) this.reports = this.reports.filter((other) => other !== previous);
+    if (this.reports.length >= MAX_REPORTS_PER_BACKEND) {
       const oldest = this.reports[0];
       if (!oldest || nowMs - oldest.atMs < REPORT_VALID_MS / 2) return false;
       this.reports.shift();
@@ -56,41 +57,39 @@
     return true;
   }
 
-  /** Reports that count now, without those of observers that `isDiscounted`. */
-  countAt(nowMs: number, isDiscounted: (observer: number) => boolean): number {
-    this.dropOld(nowMs);
+  /** Number of valid reports, without those of observers for which `isDiscounted` returns true. */
+  countReportsAt(nowMs: number, isDiscounted: (observer: number) => boolean): number {
+    this.dropExpiredReports(nowMs);
     return this.reports.filter(({ observer }) => !isDiscounted(observer)).length;
   }
 
-  /** Observers of the reports that have not expired, one entry a report. */
+  /** Observers of the valid reports, one entry per report. */
   observersAt(nowMs: number): readonly number[] {
-    this.dropOld(nowMs);
+    this.dropExpiredReports(nowMs);
     return this.reports.map(({ observer }) => observer);
   }
 
-  /**
-   * Avoids the back end from now on; longer after each relapse. A further detection while it is avoided prolongs that.
-   */
-  avoid(nowMs: number): void {
+  /** Starts an avoidance, twice as long after a relapse. If the back end is avoided already, extends the avoidance. */
+  startOrExtendAvoidance(nowMs: number): void {
     const wasAvoided = nowMs < this.avoidedUntilMs;
-    if (nowMs >= this.trialUntilMs + FORGIVE_MS) this.avoidForMs = AVOID_MIN_MS;
-    else if (!wasAvoided) this.avoidForMs = Math.min(AVOID_MAX_MS, this.avoidForMs * 2);
-    this.avoidedUntilMs = nowMs + this.avoidForMs;
+    if (nowMs >= this.trialUntilMs + AVOIDANCE_RESET_MS) this.avoidanceMs = MIN_AVOIDANCE_MS;
+    else if (!wasAvoided) this.avoidanceMs = Math.min(MAX_AVOIDANCE_MS, this.avoidanceMs * 2);
+    this.avoidedUntilMs = nowMs + this.avoidanceMs;
     this.trialUntilMs = this.avoidedUntilMs + OUTLIER_TRIAL_MS;
   }
 
-  /** True while the back end stays avoided for longer than `RENEWAL_MS`, so that reports change nothing. */
-  private isSettledAt(nowMs: number): boolean {
-    return nowMs < this.avoidedUntilMs - RENEWAL_MS;
+  /** True while the back end stays avoided for more than `AVOIDANCE_RENEWAL_WINDOW_MS`, so reports change nothing. */
+  private isIgnoringReportsAt(nowMs: number): boolean {
+    return nowMs < this.avoidedUntilMs - AVOIDANCE_RENEWAL_WINDOW_MS;
   }
 
-  /** True when neither reports nor phases affect a decision any more. */
-  isSpent(nowMs: number): boolean {
-    this.dropOld(nowMs);
-    return this.reports.length === 0 && nowMs >= this.trialUntilMs + FORGIVE_MS;
+  /** True if no report and no past avoidance affects a decision any more. */
+  canBeRemoved(nowMs: number): boolean {
+    this.dropExpiredReports(nowMs);
+    return this.reports.length === 0 && nowMs >= this.trialUntilMs + AVOIDANCE_RESET_MS;
   }
 
-  private dropOld(nowMs: number): void {
+  private dropExpiredReports(nowMs: number): void {
     const isValid = ({ atMs }: RecordedReport): boolean => nowMs - atMs < REPORT_VALID_MS;
     if (!this.reports.every(isValid)) this.reports = this.reports.filter(isValid);
   }
--- a/src/cookie-edge/outliers/types.ts
+++ b/src/cookie-edge/outliers/types.ts
@@ -1,40 +1,40 @@
 /** Requests, bad answers, and the reports of bad answers that daemons gossip. */
 
-/** A request of which a packet was forwarded and no answer has been acknowledged yet. */
+/** A request that was forwarded at least in part, and of whose answer no data has been acknowledged yet. */
 export interface OutstandingRequest {
   readonly backendId: string;
   /** Service of that back end. */
   readonly service: string;
-  /** Names the service address that the caller used; requests of one address are alike. */
+  /** Identifies the service address that the caller used. Requests to one address are expected to be alike. */
   readonly routeKey: number;
   /** Monotonic ms at which its first packet was forwarded. */
   readonly sentAtMs: number;
 }
 
-/** An answer that was late or has not come yet, or that was unusually short. */
+/** An answer that was late, is overdue, or was unusually short. */
 export interface BadAnswer {
   readonly backendId: string;
   readonly service: string;
-  /** Monotonic ms at which that was noticed. */
+  /** Monotonic ms at which this daemon detected it. */
   readonly atMs: number;
 }
 
 /** A bad answer as daemons gossip it. */
 export interface BadAnswerReport {
   readonly backendId: string;
-  /** Names the daemon that noticed it: the hash of its id. */
+  /** Hash of the id of the daemon that detected the bad answer. */
   readonly observer: number;
-  /** Monotonic ms at which it was noticed. */
+  /** Monotonic ms at which that daemon detected it. */
   readonly atMs: number;
 }
 
-/** Limits of the decisions; see `DEFAULT_OUTLIER_OPTIONS` for why. */
+/** Limits of outlier detection; see `DEFAULT_OUTLIER_OPTIONS` for the reasons. */
 export interface OutlierOptions {
-  /** An answer that takes this many times the usual time of its route is slow. */
+  /** An answer is slow if it takes at least this multiple of the median time of its route. */
   readonly slowFactor: number;
-  /** Bad answers, each noticed by another daemon or by this one, that make a back end an outlier. */
+  /** Reports that make a back end an outlier. Of each other daemon one counts; of this daemon, each counts. */
   readonly quorum: number;
-  /** Largest share of a service's back ends that get no new flows at once. */
+  /** Largest share of a service's back ends that is avoided at once. */
   readonly maxAvoidedShare: number;
 }
 
