--- a/src/cookie-edge/load/busy-backends.test.ts
+++ b/src/cookie-edge/load/busy-backends.test.ts
@@ -37,7 +37,7 @@
   t.deepEqual(findBusyBackends(rated), [{ tag: tagOf('alpha-0'), level: 1.5 }]);
 });
 
-test('a report lists at most `MAX_REPORTED` back ends', (t) => {
+test('the list of busy back ends is cut to its maximum length', (t) => {
   const rates = Array.from({ length: 4 * MAX_REPORTED }, (_, index) => (index % 2 === 0 ? 10 : 0));
   t.is(findBusyBackends(ratedBackendsOf(rates)).length, MAX_REPORTED);
 });
--- a/src/cookie-edge/load/busy-backends.ts
+++ b/src/cookie-edge/load/busy-backends.ts
@@ -19,7 +19,7 @@
   readonly rate: number | undefined;
 }
 
-/** Returns back ends above `BUSY_LEVEL` times the mean rate of their service: the busiest `MAX_REPORTED`, sorted. */
+/** Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, at most `MAX_REPORTED`. */
 export function findBusyBackends(ratedBackends: readonly RatedBackend[]): BusyBackend[] {
   const meanByService = meanRateByService(ratedBackends);
   const busy: BusyBackend[] = [];
--- a/src/cookie-edge/load/call-rates.ts
+++ b/src/cookie-edge/load/call-rates.ts
@@ -30,7 +30,7 @@
     this.ratedCounts = updated;
   }
 
-  /** See `findBusyBackends`. */
+  /** Returns the busy back ends of the page; see `findBusyBackends`. */
   busy(): BusyBackend[] {
     return findBusyBackends(
       [...this.ratedCounts.values()].map(({ count, rate }) => ({
@@ -41,7 +41,10 @@
     );
   }
 
-  /** Undefined for the first count of a back end, and for the first one after a restart, which resets the count. */
+  /**
+   * Moving average of a back end's call rate. Undefined for the first count of the back end, and for the first one
+   * after a restart, which resets the count.
+   */
   private updatedRate(count: BackendCallCount, nowMs: number): number | undefined {
     const { id, calls, capacity } = count;
     const previous = this.ratedCounts.get(id);
--- a/src/cookie-edge/outliers/answer-tracker.test.ts
+++ b/src/cookie-edge/outliers/answer-tracker.test.ts
@@ -21,9 +21,9 @@
     onBadAnswer: (badAnswer) => badAnswers.push(badAnswer),
   });
   for (let count = 0; count < MIN_ANSWERS_FOR_MEDIAN; count += 1) {
-    const answered = createRequest(0);
-    tracker.begin(answered);
-    tracker.recordAnswer(answered, USUAL_BYTES, USUAL_MS);
+    const request = createRequest(0);
+    tracker.begin(request);
+    tracker.recordAnswer(request, USUAL_BYTES, USUAL_MS);
   }
   return { tracker, badAnswers };
 }
@@ -81,9 +81,9 @@
     onBadAnswer: (badAnswer) => badAnswers.push(badAnswer),
   });
   for (let count = 0; count <= MIN_ANSWERS_FOR_MEDIAN; count += 1) {
-    const answered = createRequest(0);
-    tracker.begin(answered);
-    tracker.recordAnswer(answered, USUAL_BYTES, count < MIN_ANSWERS_FOR_MEDIAN ? 2 : MIN_SLOW_MS - 1);
+    const request = createRequest(0);
+    tracker.begin(request);
+    tracker.recordAnswer(request, USUAL_BYTES, count < MIN_ANSWERS_FOR_MEDIAN ? 2 : MIN_SLOW_MS - 1);
   }
   t.deepEqual(badAnswers, []);
 });
@@ -104,9 +104,9 @@
 function createTrackerAfterAnswers(count: number) {
   const { tracker, badAnswers } = createWarmTracker();
   const recordAnswer = (bytes: number): void => {
-    const answered = createRequest(0);
-    tracker.begin(answered);
-    tracker.recordAnswer(answered, bytes, USUAL_MS);
+    const request = createRequest(0);
+    tracker.begin(request);
+    tracker.recordAnswer(request, bytes, USUAL_MS);
   };
   for (let index = 0; index < count; index += 1) recordAnswer(600 + ((index * 37) % 600));
   return { tracker, badAnswers, recordAnswer };
--- a/src/cookie-edge/outliers/answer-tracker.ts
+++ b/src/cookie-edge/outliers/answer-tracker.ts
@@ -15,7 +15,7 @@
 /** Counters since start. */
 interface AnswerStatistics {
   answered: number;
-  /** Requests whose answer was late or never came. */
+  /** Requests whose answer was late, whether it came in the end or not. */
   slow: number;
   /** Requests whose answer was unusually short. */
   short: number;
--- a/src/cookie-edge/outliers/constants.ts
+++ b/src/cookie-edge/outliers/constants.ts
@@ -63,7 +63,7 @@
  */
 export const MIN_AVOIDANCE_MS = 2_000;
 
-/** Longest avoidance in ms from the last bad answer that extended it. */
+/** Longest avoidance in ms, from the last bad answer that started or extended it. */
 export const MAX_AVOIDANCE_MS = 8_000;
 
 /**
@@ -87,7 +87,7 @@
  */
 export const MEDIAN_STEP = 0.03;
 
-/** About this many first answers move the median estimate further, to correct a first answer that was not typical. */
+/** About this many first answers move the median estimate further, which corrects an atypical first answer. */
 export const MEDIAN_WARMUP_ANSWERS = 8;
 
 /** Answers of a route before any of them counts as slow. Twice `MEDIAN_WARMUP_ANSWERS`. */
--- a/src/cookie-edge/outliers/events.ts
+++ b/src/cookie-edge/outliers/events.ts
@@ -17,7 +17,7 @@
   normal: {
     number: 2402,
     level: 'info',
-    message: 'Outlier trial passed: the back end gets new flows as usual',
+    message: 'Outlier trial ended without a bad answer: the back end gets new flows as usual',
     action: 'none',
   },
   tooMany: {
--- a/src/cookie-edge/outliers/outlier-detector.test.ts
+++ b/src/cookie-edge/outliers/outlier-detector.test.ts
@@ -176,7 +176,7 @@
   t.is(harness.phaseOf('b1', trialMs + 2 * MIN_AVOIDANCE_MS), 'trial');
 });
 
-test('a back end has no reports after `forget` or after a restart of the daemon', (t) => {
+test('reports do not outlive the removal of a back end or a restart of the daemon', (t) => {
   const harness = new DetectorHarness();
   harness.applyPeerReports('b1', quorum);
   harness.detector.forget('b1');
