--- a/src/cookie-edge/daemon/buffered-packets.test.ts
+++ b/src/cookie-edge/daemon/buffered-packets.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { decideAtOpening, decideOnArrival } from './buffered-packets.js';
+import { decideOnFlush, decideOnArrival } from './buffered-packets.js';
 import { MAX_BUFFERED_PACKETS, MAX_BUFFERED_SYN_AFTER_READ_MS, MAX_BUFFERED_SYN_MS } from './constants.js';
 
 const ARRIVALS = [
@@ -25,7 +25,7 @@
 const SYN_MS = MAX_BUFFERED_SYN_MS;
 const READ_MS = MAX_BUFFERED_SYN_AFTER_READ_MS;
 /** The gap after the first SYN is 200 ms, after the first retransmission 400 and after the second 800. */
-const OPENINGS = [
+const FLUSHES = [
   { retransmissions: undefined, boundForMs: 60_000, readAgoMs: 60_000, outcome: 'deliver' },
   { retransmissions: 0, boundForMs: SYN_MS, readAgoMs: SYN_MS, outcome: 'deliver' },
   { retransmissions: 0, boundForMs: SYN_MS + 1, readAgoMs: READ_MS, outcome: 'deliver' },
@@ -37,8 +37,8 @@
   { retransmissions: 3, boundForMs: SYN_MS + 1, readAgoMs: READ_MS + 1, outcome: 'drop-too-old' },
 ] as const;
 
-for (const { outcome, ...packet } of OPENINGS) {
+for (const { outcome, ...packet } of FLUSHES) {
   test(`at the opening: ${JSON.stringify(packet)} gives ${outcome}`, (t) => {
-    t.is(decideAtOpening(packet), outcome);
+    t.is(decideOnFlush(packet), outcome);
   });
 }
--- a/src/cookie-edge/daemon/buffered-packets.ts
+++ b/src/cookie-edge/daemon/buffered-packets.ts
@@ -23,7 +23,7 @@
 type ArrivalOutcome = 'hold' | 'drop-holding-off' | 'drop-buffer-full';
 
 /** What becomes of a buffered packet at the opening of the buffer. */
-type OpeningOutcome = 'deliver' | 'drop-too-old';
+type FlushOutcome = 'deliver' | 'drop-too-old';
 
 /** State of the buffer when a packet arrives. */
 interface BufferState {
@@ -57,20 +57,17 @@
 }
 
 /** Decides on a buffered packet at the opening of the buffer. */
-export function decideAtOpening({
-  retransmissions,
-  boundForMs,
-  readAgoMs,
-}: BufferedPacketAge): OpeningOutcome {
+export function decideOnFlush({ retransmissions, boundForMs, readAgoMs }: BufferedPacketAge): FlushOutcome {
   if (retransmissions === undefined) return 'deliver';
   return mayDeliverBufferedSyn({ retransmissions, boundForMs, readAgoMs }) ? 'deliver' : 'drop-too-old';
 }
 
 /** True while the caller of a buffered SYN cannot have sent a further one. */
 export function mayDeliverBufferedSyn({ retransmissions, boundForMs, readAgoMs }: BufferedSyn): boolean {
-  const longerMs = untilNextTransmissionMs(retransmissions) - untilNextTransmissionMs(0);
+  const extraTimeMs = untilNextTransmissionMs(retransmissions) - untilNextTransmissionMs(0);
   return (
-    boundForMs <= MAX_BUFFERED_SYN_MS + longerMs || readAgoMs <= MAX_BUFFERED_SYN_AFTER_READ_MS + longerMs
+    boundForMs <= MAX_BUFFERED_SYN_MS + extraTimeMs ||
+    readAgoMs <= MAX_BUFFERED_SYN_AFTER_READ_MS + extraTimeMs
   );
 }
 
--- a/src/cookie-edge/daemon/buffered-syn.test.ts
+++ b/src/cookie-edge/daemon/buffered-syn.test.ts
@@ -2,8 +2,8 @@
 import { mayDeliverBufferedSyn } from './buffered-packets.js';
 
 /** A SYN in a socket that was bound so long ago, and that was read when it arrived. */
-const held = (retransmissions: number, heldMs: number): boolean =>
-  mayDeliverBufferedSyn({ retransmissions, boundForMs: heldMs, readAgoMs: heldMs });
+const isDeliveredAfter = (retransmissions: number, ageMs: number): boolean =>
+  mayDeliverBufferedSyn({ retransmissions, boundForMs: ageMs, readAgoMs: ageMs });
 
 /** Callers send a SYN at 0, its copies at 200 and 600 ms, and give the attempt up at 1,400 ms. */
 const CASES = [
@@ -14,15 +14,15 @@
 
 for (const { copy, placedMs, droppedMs } of CASES) {
   test(`copy ${copy} of a SYN is placed until shortly before its caller sends another`, (t) => {
-    t.true(held(copy, placedMs));
-    t.false(held(copy, droppedMs));
+    t.true(isDeliveredAfter(copy, placedMs));
+    t.false(isDeliveredAfter(copy, droppedMs));
   });
 }
 
 test('a copy of a number that callers do not send gets no longer than a first SYN', (t) => {
   for (const copy of [3, 7, 0xffff_ffff]) {
-    t.true(held(copy, 10));
-    t.false(held(copy, 160));
+    t.true(isDeliveredAfter(copy, 10));
+    t.false(isDeliveredAfter(copy, 160));
   }
 });
 
--- a/src/cookie-edge/daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -44,7 +44,7 @@
   readonly availability: SourceAvailability;
   readonly settlement: BackendSettlement;
   /** Undefined where the deployment keeps no roster. */
-  readonly roster: Roster | undefined;
+  readonly roster: RosterTasks | undefined;
   readonly problems: ProblemLog;
   readonly history: SourceHistoryLog;
   readonly reading: SourceReading;
@@ -54,7 +54,7 @@
 }
 
 /** The tasks that read and write the roster. */
-interface Roster {
+interface RosterTasks {
   readonly reader: RosterReader;
   readonly writer: RosterWriter;
 }
@@ -64,8 +64,8 @@
   /** The configuration in force, which a reload may change. */
   readonly config: () => CookieDaemonConfig;
   readonly isOn: MechanismCheck;
-  readonly pauses: PauseDetector;
-  readonly loads: LoadView;
+  readonly pauseDetector: PauseDetector;
+  readonly loadView: LoadView;
   readonly spreader: () => Spreader;
   readonly forwarder: () => CookieForwarder;
 }
@@ -84,15 +84,15 @@
   const { clock, events, adapters } = environment;
   const isOn = allBut(config().switchedOff);
   const buffer = new StartupBuffer({ clock, events, isOn });
-  const pauses = new PauseDetector(clock.now(), HOUSEKEEPING_TICK_MS);
+  const pauseDetector = new PauseDetector(clock.now(), HOUSEKEEPING_TICK_MS);
   const edge = await adapters.openEdge({ data: config().data, handler: buffer, events, clock });
   buffer.attach(edge);
   const wiring: Wiring = {
     ...environment,
     config,
     isOn,
-    pauses,
-    loads: new LoadView(),
+    pauseDetector,
+    loadView: new LoadView(),
     spreader: () => spreader,
     forwarder: () => forwarder,
   };
@@ -103,9 +103,9 @@
   const spreader = createSpreader(wiring, sourceParts, transport);
   availability.setMinimumRetryDelay(() => spreader.minimumRetryDelayMs());
   const roster = createRoster(wiring, sourceParts);
-  const fleetSize = (): number | undefined => fleetSizeOf(spreader, roster);
+  const fleetSize = (): number | undefined => estimateFleetSize(spreader, roster);
   const forwarder = createForwarder(wiring, sourceParts, edge, fleetSize);
-  openWhenComplete(buffer, knowledge, forwarder);
+  flushWhenComplete(buffer, knowledge, forwarder);
   return { ...environment, ...sourceParts, edge, transport, roster, spreader, forwarder };
 }
 
@@ -128,7 +128,7 @@
   const logs = { problems: new ProblemLog(events), history: new SourceHistoryLog(events) };
   const recordsMayLapse = (): boolean => availability.recordsMayLapse();
   const settlement = new BackendSettlement({ clock, events, knowledge, recordsMayLapse });
-  const following = {
+  const followerOptions = {
     clock,
     source,
     knowledge,
@@ -145,12 +145,12 @@
     availability,
     settlement,
     ...logs,
-    reading: new SourceReading(following, loadReader),
+    reading: new SourceReading(followerOptions, loadReader),
   };
 }
 
 /** The tasks run once the daemon does; undefined without a configuration of the roster. */
-function createRoster(wiring: Wiring, parts: SourceParts): Roster | undefined {
+function createRoster(wiring: Wiring, parts: SourceParts): RosterTasks | undefined {
   const { clock, events, isOn, spreader } = wiring;
   const { roster, changeBoundsMs } = wiring.config();
   if (!roster || !isOn('roster')) return undefined;
@@ -164,25 +164,25 @@
     isLeading: () => spreader().isLeadingReader,
     fleetSize: () => spreader().fleetSize,
     isSettled: () => !settlement.isUnsettled,
-    currentWithinMs: Math.min(...changeBoundsMs),
+    maxConfirmationAgeMs: Math.min(...changeBoundsMs),
   });
   return { reader: new RosterReader({ clock, events, knowledge, settlement, store }), writer };
 }
 
 /** A start knows few peers at first, but the roster tells how many daemons there were; undefined until it is read. */
-function fleetSizeOf(spreader: Spreader, roster: Roster | undefined): number | undefined {
+function estimateFleetSize(spreader: Spreader, roster: RosterTasks | undefined): number | undefined {
   if (roster?.reader.isPending) return undefined;
-  return Math.max(spreader.fleetSize, roster?.reader.daemons ?? 0);
+  return Math.max(spreader.fleetSize, roster?.reader.recordedFleetSize ?? 0);
 }
 
 function createSpreader(wiring: Wiring, parts: SourceParts, transport: NetworkTransport): Spreader {
-  const { clock, random, events, config, isOn, pauses, loads, forwarder } = wiring;
+  const { clock, random, events, config, isOn, pauseDetector, loadView, forwarder } = wiring;
   const { knowledge, timings, availability, settlement, reading } = parts;
   const { id, zone } = config();
   return new Spreader({
     selfId: id,
     zone,
-    seeds: () => seedsOf(config()),
+    seeds: () => resolveSeeds(config()),
     transport,
     knowledge,
     clock,
@@ -190,13 +190,13 @@
     events,
     timings,
     isOn,
-    setReading: (isReading) => reading.set(isReading),
-    recordArrival: () => pauses.recordRead('peers'),
-    mayHaveWaited: () => pauses.mayHaveWaited(clock.now()),
+    setReading: (isReading) => reading.setFollowing(isReading),
+    recordArrival: () => pauseDetector.recordRead('peers'),
+    mayHaveWaited: () => pauseDetector.mayHaveWaited(clock.now()),
     recordsMayLapse: () => availability.recordsMayLapse(),
     isUnsettled: () => settlement.isUnsettled,
     onSettledPeer: () => settlement.recordSettledPeer(),
-    applyLoadReport: (report) => isOn('reported-load') && loads.applyReport(report),
+    applyLoadReport: (report) => isOn('reported-load') && loadView.applyReport(report),
     applyBadAnswerReport: (report) => forwarder().applyBadAnswerReport(report),
     applyEjectionReport: ({ backendId, atMs }) => forwarder().applyEjectionReport(backendId, atMs),
   });
@@ -208,7 +208,7 @@
   edge: BoundCookieEdge,
   fleetSize: () => number | undefined,
 ): CookieForwarder {
-  const { clock, random, events, config, isOn, pauses, loads, spreader } = wiring;
+  const { clock, random, events, config, isOn, pauseDetector, loadView, spreader } = wiring;
   const { id, zone, zoneMargin, zoneLoadFactor, maxFlowAgeMs, zoneRegions, outliers } = config();
   const { coldOverage: overage, coldSlack: slack } = config();
   return createCookieForwarder({
@@ -220,9 +220,9 @@
     fleetSize,
     hasLearntFromPeers: () => spreader().hasLearntDeparted,
     edge,
-    pauses,
+    pauses: pauseDetector,
     isOn,
-    loads,
+    loads: loadView,
     zone,
     zoneMargin,
     zoneLoadFactor,
@@ -239,19 +239,19 @@
 }
 
 /** Opens the buffer as soon as everything is known that forwarding needs. */
-function openWhenComplete(
+function flushWhenComplete(
   buffer: StartupBuffer,
   knowledge: RoutingKnowledge,
   forwarder: CookieForwarder,
 ): void {
-  const openIfComplete = (): void => {
-    if (buffer.isClosed && knowledge.isComplete()) buffer.open(forwarder);
+  const flushIfComplete = (): void => {
+    if (buffer.isBuffering && knowledge.isComplete()) buffer.flushTo(forwarder);
   };
-  openIfComplete();
-  knowledge.subscribe(openIfComplete);
+  flushIfComplete();
+  knowledge.subscribe(flushIfComplete);
 }
 
 /** Seeds with the port that all daemons share, where the configuration gives one. */
-function seedsOf({ seeds, seedPort }: CookieDaemonConfig): readonly Endpoint[] {
+function resolveSeeds({ seeds, seedPort }: CookieDaemonConfig): readonly Endpoint[] {
   return seeds.map(({ host, port }) => ({ host, port: seedPort ?? port }));
 }
--- a/src/cookie-edge/daemon/config.test.ts
+++ b/src/cookie-edge/daemon/config.test.ts
@@ -29,7 +29,7 @@
   ]);
 });
 
-const WRONG: readonly (readonly [Record<string, unknown>, RegExp])[] = [
+const INVALID_CHANGES: readonly (readonly [Record<string, unknown>, RegExp])[] = [
   [{ id: '' }, /id: /],
   [{ zone: 7 }, /zone: /],
   [{ data: '10.0.0.1' }, /data: write IPv4:port/],
@@ -53,7 +53,7 @@
   [{ log: { level: 'loud' } }, /log\.level: /],
 ];
 
-for (const [change, expected] of WRONG) {
+for (const [change, expected] of INVALID_CHANGES) {
   test(`a wrong value is named with its field: ${JSON.stringify(change)}`, (t) => {
     const error = t.throws(() => checkCookieDaemonConfig({ ...VALID, ...change }, 'test'));
     t.regex(error!.message, expected);
@@ -86,7 +86,7 @@
 });
 
 test('a reread names what changed and what needs a restart', (t) => {
-  const before = checkCookieDaemonConfig(VALID, 'test');
-  const after = checkCookieDaemonConfig({ ...VALID, zone: 'zone-b', limits: { maxFlows: 9 } }, 'test');
-  t.deepEqual(compareConfigs(before, after), { changed: ['zone', 'limits'], needsRestart: ['zone'] });
+  const previous = checkCookieDaemonConfig(VALID, 'test');
+  const next = checkCookieDaemonConfig({ ...VALID, zone: 'zone-b', limits: { maxFlows: 9 } }, 'test');
+  t.deepEqual(compareConfigs(previous, next), { changed: ['zone', 'limits'], needsRestart: ['zone'] });
 });
--- a/src/cookie-edge/daemon/config.ts
+++ b/src/cookie-edge/daemon/config.ts
@@ -13,7 +13,7 @@
 import * as defaults from './constants.js';
 import { CookieDaemonError } from './errors.js';
 
-const SMALLEST_BOUND_PORT = 0;
+const MIN_LOCAL_PORT = 0;
 const MAX_PORT = 65_535;
 const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
 
@@ -21,20 +21,20 @@
 const milliseconds = z.int().check(z.positive());
 
 /** `host:port` with a numeric IPv4 host; port 0 (the kernel chooses) only for own addresses. */
-function endpoint(smallestPort: number) {
+function endpoint(minPort: number) {
   const text = z.string().check(
-    z.refine((value) => parseEndpoint(value, smallestPort) !== undefined, {
-      error: `write IPv4:port with a port of ${smallestPort} to 65535`,
+    z.refine((value) => parseEndpoint(value, minPort) !== undefined, {
+      error: `write IPv4:port with a port of ${minPort} to 65535`,
     }),
   );
   return z.pipe(
     text,
-    z.transform((value): Endpoint => parseEndpoint(value, smallestPort) as Endpoint),
+    z.transform((value): Endpoint => parseEndpoint(value, minPort) as Endpoint),
   );
 }
 
-const ownAddress = endpoint(SMALLEST_BOUND_PORT);
-const otherAddress = endpoint(1);
+const localAddress = endpoint(MIN_LOCAL_PORT);
+const remoteAddress = endpoint(1);
 
 /** Schema of the configuration file. */
 export const cookieDaemonConfigSchema = z.object({
@@ -43,17 +43,17 @@
   region: name,
   zone: name,
   /** UDP address on which callers' packets arrive. */
-  data: ownAddress,
+  data: localAddress,
   /** HTTP address of readiness, status and metrics. */
-  admin: ownAddress,
+  admin: localAddress,
   /** Address of messages between daemons, UDP and TCP. */
-  control: ownAddress,
+  control: localAddress,
   /** Control addresses of some other daemons; they may be stale. */
-  seeds: z._default(z.array(otherAddress), []),
+  seeds: z._default(z.array(remoteAddress), []),
   /** Control port of all daemons; the ports of `seeds` are ignored when it is given. */
   seedPort: z.optional(z.int().check(z.positive(), z.maximum(MAX_PORT))),
   /** Address of the source of routes and back ends. */
-  source: otherAddress,
+  source: remoteAddress,
   /** Each kind of change must be in force everywhere this many ms after it was made; the tightest bound counts. */
   changeBoundsMs: z._default(z.array(milliseconds).check(z.minLength(1)), [DEFAULT_FRESHNESS_BOUND_MS]),
   /**
@@ -142,11 +142,11 @@
 
 /** Top-level fields whose values differ, and which of them a reread cannot put in force. */
 export function compareConfigs(
-  before: CookieDaemonConfig,
-  after: CookieDaemonConfig,
+  previous: CookieDaemonConfig,
+  next: CookieDaemonConfig,
 ): { readonly changed: readonly string[]; readonly needsRestart: readonly string[] } {
-  const fields = Object.keys(after) as (keyof CookieDaemonConfig)[];
-  const changed = fields.filter((field) => JSON.stringify(before[field]) !== JSON.stringify(after[field]));
+  const fields = Object.keys(next) as (keyof CookieDaemonConfig)[];
+  const changed = fields.filter((field) => JSON.stringify(previous[field]) !== JSON.stringify(next[field]));
   return { changed, needsRestart: changed.filter((field) => !RELOADABLE.has(field)) };
 }
 
@@ -154,7 +154,7 @@
   try {
     return readFileSync(path, 'utf8');
   } catch (cause) {
-    throw unreadable(path, cause, 'Give the path of a file that this process may read');
+    throw unreadableError(path, cause, 'Give the path of a file that this process may read');
   }
 }
 
@@ -165,11 +165,11 @@
     const { parse } = await import('yaml');
     return parse(text);
   } catch (cause) {
-    throw unreadable(path, cause, 'Write JSON or YAML');
+    throw unreadableError(path, cause, 'Write JSON or YAML');
   }
 }
 
-function unreadable(path: string, cause: unknown, remedy: string): CookieDaemonError {
+function unreadableError(path: string, cause: unknown, remedy: string): CookieDaemonError {
   return new CookieDaemonError(
     'cookie-daemon.config-unreadable',
     `cannot read the configuration ${path}: ${(cause as Error).message}`,
--- a/src/cookie-edge/daemon/connect-probe.ts
+++ b/src/cookie-edge/daemon/connect-probe.ts
@@ -7,7 +7,7 @@
 import type { ProbeOutcome } from '../backend-health/index.js';
 
 /** Error codes of a reset from the other side: nothing listens there. */
-const REFUSALS: ReadonlySet<string | undefined> = new Set(['ECONNREFUSED', 'ECONNRESET']);
+const REFUSED_ERROR_CODES: ReadonlySet<string | undefined> = new Set(['ECONNREFUSED', 'ECONNRESET']);
 
 /**
  * Opens a TCP connection and closes it without sending data. An accepted connection proves that the process is alive,
@@ -17,13 +17,15 @@
 export function probeConnect({ host, port }: Endpoint, timeoutMs: number): Promise<ProbeOutcome> {
   return new Promise((resolve) => {
     const socket = connect({ host, port });
-    const end = (outcome: ProbeOutcome): void => {
+    const finish = (outcome: ProbeOutcome): void => {
       clearTimeout(timer);
       socket.destroy();
       resolve(outcome);
     };
-    const timer = setTimeout(() => setImmediate(() => end('silent')), timeoutMs);
-    socket.on('connect', () => end('answered'));
-    socket.on('error', ({ code }: NodeJS.ErrnoException) => end(REFUSALS.has(code) ? 'refused' : 'silent'));
+    const timer = setTimeout(() => setImmediate(() => finish('silent')), timeoutMs);
+    socket.on('connect', () => finish('answered'));
+    socket.on('error', ({ code }: NodeJS.ErrnoException) =>
+      finish(REFUSED_ERROR_CODES.has(code) ? 'refused' : 'silent'),
+    );
   });
 }
--- a/src/cookie-edge/daemon/cookie-daemon.ts
+++ b/src/cookie-edge/daemon/cookie-daemon.ts
@@ -21,9 +21,9 @@
 /** One running balancer. */
 export class CookieDaemon {
   private admin!: AdminServer;
-  private stopped: Promise<void> | undefined;
-  private lastReady: boolean | undefined;
-  private readonly running = new AbortController();
+  private stopPromise: Promise<void> | undefined;
+  private lastReportedReady: boolean | undefined;
+  private readonly abortController = new AbortController();
 
   private constructor(
     private readonly components: CookieDaemonComponents,
@@ -39,7 +39,7 @@
     const current = { config };
     const components = await wireCookieDaemon(() => current.config, environment);
     const daemon = new CookieDaemon(components, current);
-    await daemon.run();
+    await daemon.startComponents();
     return daemon;
   }
 
@@ -47,7 +47,7 @@
   readiness(): Readiness {
     const { knowledge } = this.components;
     return decideReadiness({
-      isStopping: this.stopped !== undefined,
+      isStopping: this.stopPromise !== undefined,
       hasRoutes: knowledge.routes() !== undefined,
       missingTopics: knowledge.topics.filter(
         (topic) => topic !== 'routes' && knowledge.revisionOf(topic) < 0,
@@ -68,17 +68,17 @@
 
   /** Ends readiness, drains, and stops. Further calls return the promise of the first. */
   stop(): Promise<void> {
-    this.stopped ??= this.drainAndClose();
-    return this.stopped;
+    this.stopPromise ??= this.drainAndClose();
+    return this.stopPromise;
   }
 
-  private async run(): Promise<void> {
-    const { components, running } = this;
+  private async startComponents(): Promise<void> {
+    const { components, abortController } = this;
     const { forwarder, spreader, roster, edge, events } = components;
-    forwarder.start(running.signal);
-    spreader.start(running.signal);
-    void roster?.reader.run(running.signal);
-    void roster?.writer.run(running.signal);
+    forwarder.start(abortController.signal);
+    spreader.start(abortController.signal);
+    void roster?.reader.run(abortController.signal);
+    void roster?.writer.run(abortController.signal);
     this.admin = await AdminServer.listen(this.current.config.admin, {
       readiness: () => this.readiness(),
       status: () => describeStatus(components, this.readiness()),
@@ -97,15 +97,15 @@
 
   private reportReadiness(): void {
     const { ready, reasons } = this.readiness();
-    if (ready !== this.lastReady) {
-      this.lastReady = ready;
+    if (ready !== this.lastReportedReady) {
+      this.lastReportedReady = ready;
       this.components.events.emit(ready ? COOKIE_DAEMON_EVENTS.ready : COOKIE_DAEMON_EVENTS.notReady, {
         reasons: reasons.join(','),
         version: this.components.knowledge.routes()?.table.version,
         uptimeMs: Math.round(process.uptime() * 1_000),
       });
     }
-    if (!ready && !this.stopped) {
+    if (!ready && !this.stopPromise) {
       this.components.clock.schedule(READINESS_INTERVAL_MS, () => this.reportReadiness());
     }
   }
@@ -120,7 +120,7 @@
       packetsReceived: () => forwarder.statistics.packets,
       onTimeout: () => events.emit(COOKIE_DAEMON_EVENTS.drainTimedOut, { maxMs }),
       leave: () => spreader.leave(),
-      cancelTimers: () => this.running.abort(),
+      cancelTimers: () => this.abortController.abort(),
       stopReading: () => reading.stop(),
       close: () => Promise.all([this.admin.close(), edge.close(), transport.close()]),
     });
--- a/src/cookie-edge/daemon/metrics.ts
+++ b/src/cookie-edge/daemon/metrics.ts
@@ -6,7 +6,7 @@
 import type { Readiness } from '../../observability/admin-server.js';
 import type { MetricDefinition } from '../../observability/metrics-page.js';
 import type { CookieDaemonComponents } from './components.js';
-import { agesOf, countBackends, revisionsOf } from './status.js';
+import { topicAges, countBackends, topicRevisions } from './status.js';
 
 const MICROSECONDS_PER_SECOND = 1_000_000;
 const MILLISECONDS_PER_SECOND = 1_000;
@@ -151,14 +151,14 @@
     'gauge',
     'knowledge_age_seconds',
     'Time since nothing newer was confirmed',
-    (parts) => agesOf(parts, (ageMs) => ageMs / MILLISECONDS_PER_SECOND),
+    (parts) => topicAges(parts, (ageMs) => ageMs / MILLISECONDS_PER_SECOND),
     'topic',
   ],
   [
     'gauge',
     'knowledge_revision',
     'Revision of the source up to which a topic is known',
-    (parts) => revisionsOf(parts),
+    (parts) => topicRevisions(parts),
     'topic',
   ],
   [
--- a/src/cookie-edge/daemon/readiness.test.ts
+++ b/src/cookie-edge/daemon/readiness.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { decideReadiness } from './readiness.js';
 
-const KNOWN = { isStopping: false, hasRoutes: true, missingTopics: [] } as const;
+const READY_INPUTS = { isStopping: false, hasRoutes: true, missingTopics: [] } as const;
 
 const CASES = [
   { name: 'everything is known', change: {}, reasons: [] },
@@ -17,7 +17,7 @@
 
 for (const { name, change, reasons } of CASES) {
   test(`${name}: ${reasons.join(', ') || 'ready'}`, (t) => {
-    t.deepEqual(decideReadiness({ ...KNOWN, ...change }), {
+    t.deepEqual(decideReadiness({ ...READY_INPUTS, ...change }), {
       ready: reasons.length === 0,
       reasons: [...reasons],
     });
--- a/src/cookie-edge/daemon/run.ts
+++ b/src/cookie-edge/daemon/run.ts
@@ -17,8 +17,8 @@
 
 /** Largest seed of the random source, which takes 31 bits. */
 const MAX_SEED = 0x7fff_ffff;
-const EXIT_DONE = 0;
-const EXIT_FAILED = 1;
+const EXIT_SUCCESS = 0;
+const EXIT_FAILURE = 1;
 
 /** Runs until SIGTERM or SIGINT has been carried out; resolves to the exit code. Throws when it cannot start. */
 export async function runCookieDaemon(configPath: string, adapters: DeploymentAdapters): Promise<number> {
@@ -33,17 +33,17 @@
     clock,
     write: writer.write,
   });
-  reportUncaught(events, writer);
+  exitOnUncaughtError(events, writer);
   const random = seededRandom(Math.floor(Math.random() * MAX_SEED));
   const daemon = await CookieDaemon.start(config, { clock, random, events, adapters });
-  followConfig({ configPath, clock, events, daemon });
-  await untilStopped(daemon);
+  reloadOnChange({ configPath, clock, events, daemon });
+  await waitForStop(daemon);
   writer.flush();
-  return EXIT_DONE;
+  return EXIT_SUCCESS;
 }
 
 /** Collaborators of rereading the configuration. */
-interface ConfigFollowing {
+interface ReloadContext {
   readonly configPath: string;
   readonly clock: Clock;
   readonly events: ConsolaEventLog;
@@ -51,29 +51,29 @@
 }
 
 /** Rereads the file on SIGHUP, and when its modification time changes without a signal. */
-function followConfig(following: ConfigFollowing): void {
-  const { configPath, clock } = following;
-  let changedMs = modifiedAt(configPath);
+function reloadOnChange(context: ReloadContext): void {
+  const { configPath, clock } = context;
+  let lastModifiedMs = modificationTimeMs(configPath);
   process.on('SIGHUP', () => {
-    changedMs = modifiedAt(configPath);
-    void reread(following);
+    lastModifiedMs = modificationTimeMs(configPath);
+    void reloadConfig(context);
   });
   const poll = (): void => {
     clock.schedule(CONFIG_POLL_MS, () => {
-      const nowMs = modifiedAt(configPath);
-      if (nowMs !== changedMs) void reread(following);
-      changedMs = nowMs;
+      const modifiedMs = modificationTimeMs(configPath);
+      if (modifiedMs !== lastModifiedMs) void reloadConfig(context);
+      lastModifiedMs = modifiedMs;
       poll();
     });
   };
   poll();
 }
 
-function modifiedAt(path: string): number | undefined {
+function modificationTimeMs(path: string): number | undefined {
   return statSync(path, { throwIfNoEntry: false })?.mtimeMs;
 }
 
-async function reread({ configPath, events, daemon }: ConfigFollowing): Promise<void> {
+async function reloadConfig({ configPath, events, daemon }: ReloadContext): Promise<void> {
   try {
     const config = await loadCookieDaemonConfig(configPath);
     daemon.reload(config);
@@ -84,7 +84,7 @@
   }
 }
 
-function untilStopped(daemon: CookieDaemon): Promise<void> {
+function waitForStop(daemon: CookieDaemon): Promise<void> {
   return new Promise((resolve, reject) => {
     const onSignal = (): void => {
       daemon.stop().then(resolve, reject);
@@ -94,14 +94,14 @@
   });
 }
 
-function reportUncaught(events: EventLog, writer: LineWriter): void {
-  const end = (error: unknown): void => {
+function exitOnUncaughtError(events: EventLog, writer: LineWriter): void {
+  const reportAndExit = (error: unknown): void => {
     const { message, stack } = error instanceof Error ? error : new Error(String(error));
     process.stderr.write(`sailquay: uncaught error: ${message}\n`);
     events.emit(COOKIE_DAEMON_EVENTS.uncaughtError, { error: message, stack });
     writer.flush();
-    process.exit(EXIT_FAILED);
+    process.exit(EXIT_FAILURE);
   };
-  process.on('uncaughtException', end);
-  process.on('unhandledRejection', end);
+  process.on('uncaughtException', reportAndExit);
+  process.on('unhandledRejection', reportAndExit);
 }
--- a/src/cookie-edge/daemon/shutdown.test.ts
+++ b/src/cookie-edge/daemon/shutdown.test.ts
@@ -6,19 +6,19 @@
 const STEPS = ['leave', 'cancelTimers', 'stopReading', 'close'];
 
 /** Steps of a stop, each with its time, while a packet arrives every 50 ms until `lastPacketMs`. */
-async function stepsOf(lastPacketMs: number): Promise<{ names: string[]; endedMs: number }> {
+async function runShutdown(lastPacketMs: number): Promise<{ names: string[]; endedMs: number }> {
   const clock = new VirtualClock();
   const startedMs = clock.now();
   const names: string[] = [];
-  const note = (name: string) => (): void => void names.push(name);
+  const recordStep = (name: string) => (): void => void names.push(name);
   const stopped = shutDown(TIMES, {
     clock,
     packetsReceived: () => Math.floor(Math.min(clock.now() - startedMs, lastPacketMs) / 50),
-    onTimeout: note('timeout'),
-    leave: note('leave'),
-    cancelTimers: note('cancelTimers'),
-    stopReading: note('stopReading'),
-    close: () => Promise.resolve(note('close')()),
+    onTimeout: recordStep('timeout'),
+    leave: recordStep('leave'),
+    cancelTimers: recordStep('cancelTimers'),
+    stopReading: recordStep('stopReading'),
+    close: () => Promise.resolve(recordStep('close')()),
   });
   let endedMs = Number.NaN;
   void stopped.then(() => (endedMs = clock.now() - startedMs));
@@ -34,7 +34,7 @@
 
 for (const { name, lastPacketMs, steps, endedMs } of CASES) {
   test(`${name}: ${steps.join(', ')} after ${endedMs} ms`, async (t) => {
-    const result = await stepsOf(lastPacketMs);
+    const result = await runShutdown(lastPacketMs);
     t.deepEqual(result.names, steps);
     t.true(Math.abs(result.endedMs - endedMs) <= 100, `${result.endedMs} ms`);
   });
--- a/src/cookie-edge/daemon/source-reading.ts
+++ b/src/cookie-edge/daemon/source-reading.ts
@@ -8,49 +8,49 @@
 /** First reading and following of all topics. */
 export class SourceReading {
   private readonly followers: readonly SourceFollower[];
-  private running: AbortController | undefined;
-  private readonly life = new AbortController();
+  private followAbort: AbortController | undefined;
+  private readonly lifetimeAbort = new AbortController();
 
   constructor(
     private readonly options: SourceFollowerOptions,
-    private readonly loads: LoadReader,
+    private readonly loadReader: LoadReader,
   ) {
     this.followers = options.knowledge.topics.map((topic) => new SourceFollower(topic, options));
   }
 
   /** Calls to the source since start. */
   get calls(): number {
-    return this.followers.reduce((sum, { calls }) => sum + calls, this.loads.calls);
+    return this.followers.reduce((sum, { calls }) => sum + calls, this.loadReader.calls);
   }
 
   /** Reads every topic once, unless gossip brings it sooner. */
   readFirst(): void {
-    const readings = this.followers.map((follower) => follower.readFirst(this.life.signal));
+    const readings = this.followers.map((follower) => follower.readFirst(this.lifetimeAbort.signal));
     void Promise.all(readings).then(() => {
-      if (!this.running) this.options.availability.endReading();
+      if (!this.followAbort) this.options.availability.endReading();
     });
   }
 
   /** Starts following, or ends it and aborts the calls under way. */
-  set(isReading: boolean): void {
-    if (isReading === (this.running !== undefined)) return;
+  setFollowing(isReading: boolean): void {
+    if (isReading === (this.followAbort !== undefined)) return;
     if (!isReading) return this.stopFollowing();
-    const running = new AbortController();
-    this.running = running;
+    const followAbort = new AbortController();
+    this.followAbort = followAbort;
     this.options.availability.beginReading();
-    for (const follower of this.followers) void follower.run(running.signal);
-    void this.loads.run(running.signal);
+    for (const follower of this.followers) void follower.run(followAbort.signal);
+    void this.loadReader.run(followAbort.signal);
   }
 
   /** Aborts every call. */
   stop(): void {
-    this.life.abort();
+    this.lifetimeAbort.abort();
     this.stopFollowing();
   }
 
   private stopFollowing(): void {
     this.options.availability.endReading();
-    this.running?.abort();
-    this.running = undefined;
+    this.followAbort?.abort();
+    this.followAbort = undefined;
   }
 }
--- a/src/cookie-edge/daemon/startup-buffer.test.ts
+++ b/src/cookie-edge/daemon/startup-buffer.test.ts
@@ -5,7 +5,7 @@
 import { MAX_BUFFERED_PACKETS, MAX_BUFFERED_SYN_AFTER_READ_MS, MAX_BUFFERED_SYN_MS } from './constants.js';
 import { StartupBuffer } from './startup-buffer.js';
 
-const EMPTY: CookiePacket = {
+const DATA_PACKET: CookiePacket = {
   sourceAddress: 1,
   sourcePort: 1,
   destinationAddress: 2,
@@ -22,75 +22,75 @@
 };
 
 /** A buffer on a virtual clock whose edge delivers the packets that it kept, as the real one does. */
-function gateAt() {
+function createBuffer() {
   const clock = new VirtualClock();
-  const gate = new StartupBuffer({ clock, events: SILENT_EVENT_LOG });
-  const passed: string[] = [];
-  let current: CookiePacket = EMPTY;
+  const buffer = new StartupBuffer({ clock, events: SILENT_EVENT_LOG });
+  const handled: string[] = [];
+  let current: CookiePacket = DATA_PACKET;
   const handler: CookieEdgeHandler = {
-    onPacket: ({ syn, sourcePort }) => passed.push(`${syn ? 'syn' : 'data'} ${sourcePort}`),
-    onDrop: (reason) => passed.push(reason),
+    onPacket: ({ syn, sourcePort }) => handled.push(`${syn ? 'syn' : 'data'} ${sourcePort}`),
+    onDrop: (reason) => handled.push(reason),
   };
-  gate.attach({
+  buffer.attach({
     boundAtMs: clock.now(),
     keepPacket: () => {
       const kept = { ...current };
-      return () => gate.onPacket(kept);
+      return () => buffer.onPacket(kept);
     },
   });
   const deliver = (change: Partial<CookiePacket>): void => {
-    current = { ...EMPTY, ...change };
-    gate.onPacket(current);
+    current = { ...DATA_PACKET, ...change };
+    buffer.onPacket(current);
   };
-  return { clock, gate, passed, handler, deliver };
+  return { clock, buffer, handled, handler, deliver };
 }
 
 const syn = (sourcePort: number): Partial<CookiePacket> => ({ syn: true, ack: false, cookie: 0, sourcePort });
 
 test('what comes before anything is known is handled once it is, in its order', (t) => {
-  const { clock, gate, passed, handler, deliver } = gateAt();
+  const { clock, buffer, handled, handler, deliver } = createBuffer();
   deliver({ sourcePort: 1 });
   clock.advance(20);
   deliver(syn(2));
   clock.advance(20);
-  t.deepEqual(passed, []);
-  gate.open(handler);
-  t.deepEqual(passed, ['data 1', 'syn 2']);
+  t.deepEqual(handled, []);
+  buffer.flushTo(handler);
+  t.deepEqual(handled, ['data 1', 'syn 2']);
   deliver({ sourcePort: 3 });
-  t.deepEqual(passed, ['data 1', 'syn 2', 'data 3']);
+  t.deepEqual(handled, ['data 1', 'syn 2', 'data 3']);
 });
 
 test('a SYN of which the caller may have sent a copy meanwhile is not placed; packets of open flows go on', (t) => {
-  const { clock, gate, passed, handler, deliver } = gateAt();
+  const { clock, buffer, handled, handler, deliver } = createBuffer();
   deliver(syn(1));
   deliver({ sourcePort: 2 });
   clock.advance(MAX_BUFFERED_SYN_MS + 1);
-  gate.open(handler);
-  t.deepEqual(passed, ['data 2']);
+  buffer.flushTo(handler);
+  t.deepEqual(handled, ['data 2']);
 });
 
 test('long after the binding only a SYN that was just read is placed', (t) => {
-  const { clock, gate, passed, handler, deliver } = gateAt();
+  const { clock, buffer, handled, handler, deliver } = createBuffer();
   clock.advance(1_000);
   deliver(syn(1));
   clock.advance(10);
   deliver(syn(2));
   clock.advance(MAX_BUFFERED_SYN_AFTER_READ_MS);
-  gate.open(handler);
-  t.deepEqual(passed, ['syn 2']);
+  buffer.flushTo(handler);
+  t.deepEqual(handled, ['syn 2']);
 });
 
 test('what is held is bounded', (t) => {
-  const { gate, passed, handler, deliver } = gateAt();
+  const { buffer, handled, handler, deliver } = createBuffer();
   for (let port = 1; port <= MAX_BUFFERED_PACKETS + 5; port += 1) deliver({ sourcePort: port });
-  gate.open(handler);
-  t.is(passed.length, MAX_BUFFERED_PACKETS);
+  buffer.flushTo(handler);
+  t.is(handled.length, MAX_BUFFERED_PACKETS);
 });
 
 test('drops before the opening are nobody’s, and afterwards the handler counts them', (t) => {
-  const { gate, passed, handler } = gateAt();
-  gate.onDrop('truncated');
-  gate.open(handler);
-  gate.onDrop('oversized');
-  t.deepEqual(passed, ['oversized']);
+  const { buffer, handled, handler } = createBuffer();
+  buffer.onDrop('truncated');
+  buffer.flushTo(handler);
+  buffer.onDrop('oversized');
+  t.deepEqual(handled, ['oversized']);
 });
--- a/src/cookie-edge/daemon/startup-buffer.ts
+++ b/src/cookie-edge/daemon/startup-buffer.ts
@@ -9,7 +9,7 @@
 import type { EdgeDropReason } from '../../fabric/types.js';
 import type { EventLog } from '../../observability/event.js';
 import type { BoundCookieEdge } from './adapters.js';
-import { decideAtOpening, decideOnArrival, longestWaitMs } from './buffered-packets.js';
+import { decideOnFlush, decideOnArrival, longestWaitMs } from './buffered-packets.js';
 import { COOKIE_DAEMON_EVENTS } from './events.js';
 
 /** A packet that waits for the opening of the buffer. */
@@ -36,31 +36,31 @@
 export class StartupBuffer implements CookieEdgeHandler {
   private handler: CookieEdgeHandler | undefined;
   private edge: BufferedEdge | undefined;
-  private boundAtMs = 0;
+  private edgeBoundAtMs = 0;
   private buffered: BufferedPacket[] = [];
   private overflowCount = 0;
 
   constructor(private readonly options: StartupBufferOptions) {}
 
   /** True until `open` is called. */
-  get isClosed(): boolean {
+  get isBuffering(): boolean {
     return this.handler === undefined;
   }
 
   /** Sets the edge that was just bound. */
   attach(edge: BufferedEdge): void {
     this.edge = edge;
-    this.boundAtMs = edge.boundAtMs;
+    this.edgeBoundAtMs = edge.boundAtMs;
   }
 
   /** Delivers the buffered packets that are not too old to `handler`, in their order, and from now on every packet. */
-  open(handler: CookieEdgeHandler): void {
+  flushTo(handler: CookieEdgeHandler): void {
     this.handler = handler;
     const nowMs = this.options.clock.now();
-    const boundForMs = nowMs - this.boundAtMs;
+    const boundForMs = nowMs - this.edgeBoundAtMs;
     const deliverable = this.buffered.filter(
       ({ retransmissions, readAtMs }) =>
-        decideAtOpening({ retransmissions, boundForMs, readAgoMs: nowMs - readAtMs }) === 'deliver',
+        decideOnFlush({ retransmissions, boundForMs, readAgoMs: nowMs - readAtMs }) === 'deliver',
     );
     const bufferedCount = this.buffered.length;
     this.buffered = [];
--- a/src/cookie-edge/daemon/status.ts
+++ b/src/cookie-edge/daemon/status.ts
@@ -46,8 +46,8 @@
     outstandingRequests: forwarder.answers.outstandingCount,
     avoidedBackends: forwarder.outliers.avoidedAt(components.clock.now()),
     cordonedZones: knowledge.cordons.all().map(({ zone }) => zone),
-    knowledgeAgeMs: agesOf(components, (ageMs) => Math.round(ageMs)),
-    knowledgeRevision: revisionsOf(components),
+    knowledgeAgeMs: topicAges(components, (ageMs) => Math.round(ageMs)),
+    knowledgeRevision: topicRevisions(components),
     sourceLost: availability.isLost,
     sourceReader: spreader.isReading,
     peers: spreader.peerCount,
@@ -95,7 +95,7 @@
 }
 
 /** Age of each topic that is followed, in the unit that `convert` makes of milliseconds. */
-export function agesOf(
+export function topicAges(
   { knowledge }: CookieDaemonComponents,
   convert: (ageMs: number) => number,
 ): Readonly<Partial<Record<RoutingTopic, number>>> {
@@ -103,7 +103,7 @@
 }
 
 /** Revision of the source up to which each topic that is followed is known; -1 before the first answer. */
-export function revisionsOf({
+export function topicRevisions({
   knowledge,
 }: CookieDaemonComponents): Readonly<Partial<Record<RoutingTopic, number>>> {
   return Object.fromEntries(knowledge.topics.map((topic) => [topic, knowledge.revisionOf(topic)]));
--- a/src/cookie-edge/roster/constants.ts
+++ b/src/cookie-edge/roster/constants.ts
@@ -1,19 +1,22 @@
-/** Durations of the roster, in ms. */
+/** Timings of reading and writing the roster, in ms. */
 
-/** Interval at which a daemon looks whether it writes the roster, and what. */
+/** Interval at which a daemon checks whether it may write the roster, and which pages are outdated. */
 export const ROSTER_CHECK_MS = 500;
 
 /**
- * Shortest time between two rounds of writes. A replacement of back ends one by one makes a change or more each second;
- * a roster that lacks the last of them costs some flows only when all daemons are lost at that moment.
+ * Minimum time between two rounds of writes. A rolling replacement of back ends makes at least one change a second.
+ * A roster that lacks the latest changes costs some flows only if all daemons are lost at that moment.
  */
 export const ROSTER_WRITE_INTERVAL_MS = 2_000;
 
-/** Delay after a failed call. */
+/** Delay before the writer retries after a failed call. */
 export const ROSTER_RETRY_MS = 2_000;
 
-/** Delay of a start's read after its first list: a settled peer usually answers within it, which saves the read. */
+/**
+ * Delay between the first list of back ends and the first read of the roster. A settled peer usually answers within it,
+ * which makes the read unnecessary.
+ */
 export const ROSTER_READ_DELAY_MS = 20;
 
-/** Delay after a failed read of a start. */
+/** Delay before the reader retries after a failed read. */
 export const ROSTER_READ_RETRY_MS = 200;
--- a/src/cookie-edge/roster/index.ts
+++ b/src/cookie-edge/roster/index.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps which back ends there are in the source's store, so that daemons which all start at once know them although
- * their records have lapsed. Owns the pages of the roster. Relies on `routing` for what is known and on the
- * deployment's `RosterStore`.
+ * Keeps a persistent list of back ends (the roster) in the source's store. When all daemons start at once, they read
+ * from it back ends whose records have lapsed. Owns the roster pages. Uses `routing` for the known back ends and the
+ * deployment's `RosterStore` for storage.
  *
  * ```ts
  * const reader = new RosterReader({ clock, events, knowledge, settlement, store });
--- a/src/cookie-edge/roster/roster-pages.ts
+++ b/src/cookie-edge/roster/roster-pages.ts
@@ -1,45 +1,48 @@
 /**
- * Rule: what the roster should hold, and whether a page must be written. Does no input or output.
+ * Builds the roster pages from the known back ends and decides whether a stored page is outdated. Does no input or
+ * output.
  *
- * Prevents both a roster that lacks back ends which hold flows and writes that nobody needs: a page is written only
- * for a back end that is new, has another address, zone, capacity or incarnation, leaves, or has left. That one which
- * left is no longer remembered by anybody is no reason; it is left out with the next write.
+ * Prevents two failures: a roster that lacks back ends with open flows, and needless writes. A page is written only if
+ * a back end is new, changed its address, zone, capacity or incarnation, started or stopped draining, departed or
+ * returned. A departed back end that this daemon no longer remembers does not cause a write by itself; the next write
+ * omits it.
  */
 import type { RoutedBackend, RoutingKnowledge } from '../routing/index.js';
 import type { RosterEntry, RosterPage } from './types.js';
 
-/** The pages that a daemon's knowledge makes, by service; each sorted by id. */
-export function pagesOf(knowledge: RoutingKnowledge): Map<string, RosterPage> {
-  const entries = new Map<string, RosterEntry[]>();
+/** Builds one page for each service from this daemon's known back ends, with the entries sorted by id. */
+export function buildPages(knowledge: RoutingKnowledge): Map<string, RosterPage> {
+  const entriesByService = new Map<string, RosterEntry[]>();
   for (const { record, departed } of knowledge.backends.all()) {
-    const ofService = entries.get(record.service) ?? [];
-    ofService.push({ record: { ...record, coldMs: 0 }, hasLeft: departed });
-    entries.set(record.service, ofService);
+    const serviceEntries = entriesByService.get(record.service) ?? [];
+    serviceEntries.push({ record: { ...record, coldMs: 0 }, hasLeft: departed });
+    entriesByService.set(record.service, serviceEntries);
   }
   const epoch = knowledge.epochOf('backends');
   return new Map(
-    [...entries].map(([service, ofService]) => [
+    [...entriesByService].map(([service, serviceEntries]) => [
       service,
       {
         service,
         epoch,
-        entries: ofService.sort((left, right) => (left.record.id < right.record.id ? -1 : 1)),
+        entries: serviceEntries.sort((left, right) => (left.record.id < right.record.id ? -1 : 1)),
       },
     ]),
   );
 }
 
-/** True when `stored` lacks something that matters of `wanted`. */
+/** Returns true if `stored` differs from `wanted` in a way that justifies a write. */
 export function needsWriting(stored: RosterPage | undefined, wanted: RosterPage): boolean {
-  const known = new Map(stored?.entries.map((entry) => [entry.record.id, entry]));
+  const unmatched = new Map(stored?.entries.map((entry) => [entry.record.id, entry]));
   for (const entry of wanted.entries) {
-    const before = known.get(entry.record.id);
-    known.delete(entry.record.id);
-    if (before ? !isSameEntry(before, entry) : !entry.hasLeft) return true;
+    const storedEntry = unmatched.get(entry.record.id);
+    unmatched.delete(entry.record.id);
+    if (storedEntry ? !isSameEntry(storedEntry, entry) : !entry.hasLeft) return true;
   }
-  return [...known.values()].some(({ hasLeft }) => !hasLeft);
+  return [...unmatched.values()].some(({ hasLeft }) => !hasLeft);
 }
 
+/** Compares the fields whose change justifies a write. */
 function isSameEntry(left: RosterEntry, right: RosterEntry): boolean {
   return left.hasLeft === right.hasLeft && isSameBackend(left.record, right.record);
 }
--- a/src/cookie-edge/roster/roster-reader.test.ts
+++ b/src/cookie-edge/roster/roster-reader.test.ts
@@ -1,4 +1,4 @@
-/** What a start makes of the roster, beside its list and its peers. */
+/** Reading the roster during start-up: back ends added to the registry, and when the read is retried or skipped. */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
@@ -14,7 +14,7 @@
   { record: backendAt('left', 7), hasLeft: true },
 ];
 
-function start(store: SimulatedRosterStore) {
+function startReader(store: SimulatedRosterStore) {
   const clock = new VirtualClock();
   const events = SILENT_EVENT_LOG;
   const knowledge = new RoutingKnowledge({ clock, events, retentionMs: 60_000 });
@@ -22,66 +22,66 @@
   const reader = new RosterReader({ clock, events, knowledge, settlement, store });
   const abort = new AbortController();
   void reader.run(abort.signal);
-  const list = (ids: readonly string[], revision: number, complete = true, epoch = 0): void => {
+  const applyList = (ids: readonly string[], revision: number, complete = true, epoch = 0): void => {
     const backends = ids.map((id) => backendAt(id, revision));
     const origin = { since: complete ? -1 : revision - 1, confirmedAtMs: clock.now(), mayHaveLapsed: false };
     knowledge.apply('backends', updateAt(revision, { epoch, complete, backends }), origin);
   };
-  return { clock, knowledge, settlement, reader, list };
+  return { clock, knowledge, settlement, reader, applyList };
 }
 
 function storeWith(entries: readonly RosterEntry[], epoch = 0): SimulatedRosterStore {
   const store = new SimulatedRosterStore();
-  store.store({ service: 'alpha', epoch, entries });
+  store.storePage({ service: 'alpha', epoch, entries });
   return store;
 }
 
-test('who is not listed is remembered: the living as lapsed, who leaves or left as departed', async (t) => {
-  const { clock, knowledge, settlement, list } = start(storeWith(ENTRIES));
-  list([], 50);
+test('back ends missing from the list are remembered: live ones as lapsed, draining and departed ones as departed', async (t) => {
+  const { clock, knowledge, settlement, applyList } = startReader(storeWith(ENTRIES));
+  applyList([], 50);
   await clock.advanceAsync(100, 10);
   const { backends } = knowledge;
   t.like(backends.get('lives'), { departed: true, lapsed: true, remembered: true });
   t.like(backends.get('leaving'), { departed: true, lapsed: false });
   t.like(backends.get('left'), { departed: true, lapsed: false });
   t.is(settlement.state, 'settling');
-  list(['lives'], 51, false);
+  applyList(['lives'], 51, false);
   t.like(backends.get('lives'), { departed: false, lapsed: false, remembered: undefined });
-  t.is(settlement.state, 'settled', 'all that are expected are listed');
+  t.is(settlement.state, 'settled', 'every back end that was awaited is listed');
 });
 
-test('when the time is over, who is still missing has left', async (t) => {
-  const { clock, knowledge, settlement, list } = start(storeWith(ENTRIES));
-  list([], 50);
+test('a back end still missing from the list when the settling time ends counts as departed', async (t) => {
+  const { clock, knowledge, settlement, applyList } = startReader(storeWith(ENTRIES));
+  applyList([], 50);
   await clock.advanceAsync(3_000, 50);
   t.is(settlement.state, 'settled');
   t.like(knowledge.backends.get('lives'), { departed: true, lapsed: false });
 });
 
-test('a settled peer makes the read needless', async (t) => {
+test('the roster is not read if a settled peer answers first', async (t) => {
   const store = storeWith(ENTRIES);
-  const { clock, settlement, list } = start(store);
-  list([], 50);
+  const { clock, settlement, applyList } = startReader(store);
+  applyList([], 50);
   settlement.recordSettledPeer();
   await clock.advanceAsync(3_000, 50);
-  t.is(store.reads, 0);
+  t.is(store.readCount, 0);
 });
 
-test('a roster from before a restore of the store is a hint: a record of any revision goes before it', async (t) => {
-  const { clock, knowledge, list } = start(storeWith(ENTRIES, 3));
-  list([], 2, true, 4);
+test('a roster of an earlier epoch does not override records listed after a restore, whatever their revision', async (t) => {
+  const { clock, knowledge, applyList } = startReader(storeWith(ENTRIES, 3));
+  applyList([], 2, true, 4);
   await clock.advanceAsync(100, 10);
   t.like(knowledge.backends.get('lives'), { departed: true, lapsed: true });
   t.is(knowledge.backends.get('lives')?.record.createdRevision, -1);
-  list(['lives'], 3, false, 4);
+  applyList(['lives'], 3, false, 4);
   t.like(knowledge.backends.get('lives'), { departed: false });
 });
 
-test('a store that refuses the roster is asked again, for as long as the list is not settled', async (t) => {
+test('a failed read of the roster is retried while the list is not settled', async (t) => {
   const store = storeWith(ENTRIES);
   store.fault = 'unavailable';
-  const { clock, knowledge, list } = start(store);
-  list([], 50);
+  const { clock, knowledge, applyList } = startReader(store);
+  applyList([], 50);
   await clock.advanceAsync(500, 10);
   t.is(knowledge.backends.get('lives'), undefined);
   store.fault = undefined;
@@ -89,20 +89,20 @@
   t.like(knowledge.backends.get('lives'), { lapsed: true });
 });
 
-test('a store that never answers about the roster is left alone once the list is settled', async (t) => {
+test('a failing read of the roster is no longer retried once the list is settled', async (t) => {
   const store = storeWith(ENTRIES);
   store.fault = 'unavailable';
-  const { clock, settlement, list } = start(store);
-  list(['lives'], 50);
+  const { clock, settlement, applyList } = startReader(store);
+  applyList(['lives'], 50);
   await clock.advanceAsync(10_000, 50);
   t.is(settlement.state, 'settled');
-  t.true(store.reads <= 15, `${store.reads} reads`);
+  t.true(store.readCount <= 15, `${store.readCount} reads`);
 });
 
-test('an older list that comes late does not bring back who is only remembered', async (t) => {
-  const { clock, knowledge, list } = start(storeWith(ENTRIES));
-  list([], 50);
+test('an older list that arrives late does not bring back a remembered back end', async (t) => {
+  const { clock, knowledge, applyList } = startReader(storeWith(ENTRIES));
+  applyList([], 50);
   await clock.advanceAsync(100, 10);
-  list(['lives'], 40);
+  applyList(['lives'], 40);
   t.true(knowledge.backends.get('lives')?.departed);
 });
--- a/src/cookie-edge/roster/roster-reader.ts
+++ b/src/cookie-edge/roster/roster-reader.ts
@@ -1,9 +1,10 @@
 /**
- * Reads the roster at the start of a daemon, unless a settled peer makes that needless, and has the registry remember
- * what it names and the list lacks. Owns nothing that lasts. Relies on `BackendSettlement` for what is known.
+ * Reads the roster during start-up and adds the back ends that the list lacks to the registry as remembered. Skips
+ * the read if a settled peer answers first. Keeps no back ends itself. Uses `BackendSettlement` to check whether the
+ * list is complete.
  *
- * Load it answers: all daemons start at once while live back ends are recorded again one by one. Their open flows go on
- * and their new ones are spread over all back ends instead of the first few that are listed.
+ * Prevents two failures when all daemons start at once while live back ends are recorded again one by one: open flows
+ * to back ends that are not listed yet break, and all new flows go to the first few back ends that are listed.
  */
 import type { Clock } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
@@ -13,7 +14,6 @@
 import { ROSTER_EVENTS } from './events.js';
 import type { RosterEntry, RosterStore, StoredRoster } from './types.js';
 
-/** Collaborators. */
 interface RosterReaderOptions {
   readonly clock: Clock;
   readonly events: EventLog;
@@ -22,14 +22,14 @@
   readonly store: RosterStore;
 }
 
-/** Revision of a record of an earlier epoch. */
+/** Revision given to a record of another epoch, so that any record of the current epoch is newer. */
 const UNKNOWN_REVISION = -1;
 
-/** Reads the roster once. No method throws or rejects. */
+/** Reads the roster once, with retries. No method throws or rejects. */
 export class RosterReader {
   private callCount = 0;
   private daemonCount: number | undefined;
-  private hasEnded = false;
+  private isDone = false;
 
   constructor(private readonly options: RosterReaderOptions) {}
 
@@ -38,29 +38,29 @@
     return this.callCount;
   }
 
-  /** Daemons of the fleet, as the roster says; undefined when it was not read. */
-  get daemons(): number | undefined {
+  /** Fleet size according to the roster; undefined if the roster was not read or has no pages. */
+  get recordedFleetSize(): number | undefined {
     return this.daemonCount;
   }
 
-  /** True until the roster was read, or proved needless. */
+  /** True until the roster has been read or the read has become unnecessary. */
   get isPending(): boolean {
-    return !this.hasEnded;
+    return !this.isDone;
   }
 
-  /** Waits for the first list, then reads until that succeeds or the list is settled. */
+  /** Waits for the first list of back ends, then reads the roster until a read succeeds or the list is settled. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, settlement } = this.options;
-    await this.untilListed(signal);
+    await this.waitForFirstList(signal);
     await pause(clock, ROSTER_READ_DELAY_MS, signal);
     while (!signal.aborted && settlement.state === 'settling') {
-      if (await this.read(signal)) break;
+      if (await this.tryRead(signal)) break;
       await pause(clock, ROSTER_READ_RETRY_MS, signal);
     }
-    this.hasEnded = true;
+    this.isDone = true;
   }
 
-  private untilListed(signal: AbortSignal): Promise<void> {
+  private waitForFirstList(signal: AbortSignal): Promise<void> {
     const { settlement } = this.options;
     return new Promise((resolve) => {
       const check = (): void => {
@@ -72,7 +72,7 @@
     });
   }
 
-  private async read(signal: AbortSignal): Promise<boolean> {
+  private async tryRead(signal: AbortSignal): Promise<boolean> {
     const { events, store } = this.options;
     this.callCount += 1;
     const response = await store.readRoster(true, signal);
@@ -81,38 +81,38 @@
       events.emit(ROSTER_EVENTS.callFailed, { kind, error: problem });
       return false;
     }
-    this.apply(response.value);
+    this.applyRoster(response.value);
     return true;
   }
 
-  private apply({ pages, unreadable }: StoredRoster): void {
+  private applyRoster({ pages, unreadable }: StoredRoster): void {
     const { events, knowledge, settlement } = this.options;
     for (const { service, problem } of unreadable)
       events.emit(ROSTER_EVENTS.unreadable, { service, problem });
     const epoch = knowledge.epochOf('backends');
-    const services = new Set<string>();
-    let [named, remembered] = [0, 0];
+    const servicesWithBackends = new Set<string>();
+    let [entryCount, rememberedCount] = [0, 0];
     for (const { page } of pages) {
       this.daemonCount = Math.max(this.daemonCount ?? 0, page.daemons ?? 0);
       for (const entry of page.entries) {
-        named += 1;
-        if (!entry.hasLeft) services.add(page.service);
-        const record = page.epoch === epoch ? entry.record : withoutRevisions(entry);
-        if (knowledge.backends.putRemembered(record, entry.hasLeft)) remembered += 1;
+        entryCount += 1;
+        if (!entry.hasLeft) servicesWithBackends.add(page.service);
+        const record = page.epoch === epoch ? entry.record : withUnknownRevisions(entry);
+        if (knowledge.backends.putRemembered(record, entry.hasLeft)) rememberedCount += 1;
       }
     }
     events.emit(ROSTER_EVENTS.read, {
       pages: pages.length,
-      named,
-      remembered,
+      named: entryCount,
+      remembered: rememberedCount,
       awaited: knowledge.backends.awaitedCount,
       daemons: this.daemonCount,
     });
-    settlement.recordRoster(services);
+    settlement.recordRoster(servicesWithBackends);
   }
 }
 
-/** The record as one of an earlier epoch, whose revisions say nothing now. */
-function withoutRevisions({ record }: RosterEntry): RoutedBackend {
+/** Resets the revisions of a record of another epoch: they cannot be compared with current ones. */
+function withUnknownRevisions({ record }: RosterEntry): RoutedBackend {
   return { ...record, revision: UNKNOWN_REVISION, createdRevision: UNKNOWN_REVISION };
 }
--- a/src/cookie-edge/roster/roster-test-support.ts
+++ b/src/cookie-edge/roster/roster-test-support.ts
@@ -1,4 +1,4 @@
-/** A store of the roster in memory, and a writer's surroundings on a virtual clock. */
+/** Test support: an in-memory roster store, and a roster writer on a virtual clock. */
 import Result from 'true-myth/result';
 import { VirtualClock } from '../../common/clock.js';
 import type { EventDefinition } from '../../observability/event.js';
@@ -15,26 +15,29 @@
   UnreadablePage,
 } from './types.js';
 
-/** What the next call meets. `late`: a write gets no answer and is done afterwards if its condition still holds. */
+/**
+ * Fault injected into the calls. `unavailable`: every call fails. `late`: a write times out, and `completeLateWrite`
+ * applies it later if its condition still holds.
+ */
 export type RosterFault = 'unavailable' | 'late';
 
-const REFUSED = new RoutingSourceError('routing.unavailable', 'simulated');
+const UNAVAILABLE = new RoutingSourceError('routing.unavailable', 'simulated');
 
-/** Pages in memory, written under conditions. */
+/** Roster store in memory with conditional writes. */
 export class SimulatedRosterStore implements RosterStore {
   revision = 100;
   fault: RosterFault | undefined;
-  reads = 0;
-  readonly writes: RosterPage[] = [];
+  readCount = 0;
+  readonly writtenPages: RosterPage[] = [];
   pages = new Map<string, StoredPage>();
   readonly unreadable: UnreadablePage[] = [];
-  /** Called before a write is judged. */
+  /** Called before the condition of a write is checked. */
   beforeWrite: () => void = () => undefined;
-  private late: (() => void) | undefined;
+  private pendingWrite: (() => void) | undefined;
 
   readRoster(): Promise<Result<StoredRoster, RoutingSourceError>> {
-    this.reads += 1;
-    if (this.fault) return Promise.resolve(Result.err(REFUSED));
+    this.readCount += 1;
+    if (this.fault) return Promise.resolve(Result.err(UNAVAILABLE));
     return Promise.resolve(Result.ok({ pages: [...this.pages.values()], unreadable: this.unreadable }));
   }
 
@@ -45,49 +48,49 @@
     if (JSON.stringify(page).length > maxBytes) {
       return Promise.resolve(Result.err(new RoutingSourceError('routing.too-large', 'simulated')));
     }
-    if (this.fault === 'unavailable') return Promise.resolve(Result.err(REFUSED));
+    if (this.fault === 'unavailable') return Promise.resolve(Result.err(UNAVAILABLE));
     if (this.fault === 'late') {
-      this.late = () => void this.tryWrite(page, revision);
+      this.pendingWrite = () => void this.writeIfUnchanged(page, revision);
       return Promise.resolve(Result.err(new RoutingSourceError('routing.timeout', 'simulated')));
     }
     this.beforeWrite();
-    return Promise.resolve(Result.ok(this.tryWrite(page, revision)));
+    return Promise.resolve(Result.ok(this.writeIfUnchanged(page, revision)));
   }
 
-  /** Does the write that got no answer. */
-  doLateWrite(): void {
-    this.late?.();
+  /** Applies the write that timed out. */
+  completeLateWrite(): void {
+    this.pendingWrite?.();
   }
 
-  /** What another writer stores. */
-  store(page: RosterPage): void {
+  /** Stores a page unconditionally, as another writer does. */
+  storePage(page: RosterPage): void {
     this.revision += 1;
     this.pages.set(page.service, { page, revision: this.revision });
   }
 
-  /** Ids in the page of `alpha`; those that left end with `-`, those that are leaving with `~`. */
-  names(): string[] {
+  /** Ids in the page of `alpha`, with the suffix `-` for departed and `~` for draining back ends. */
+  entryLabels(): string[] {
     const entries = this.pages.get('alpha')?.page.entries ?? [];
     return entries.map(
       ({ record, hasLeft }) => record.id + (hasLeft ? '-' : '') + (record.draining ? '~' : ''),
     );
   }
 
-  private tryWrite(page: RosterPage, revision: number | undefined): RosterWrite {
-    const present = this.pages.get(page.service)?.revision ?? this.unreadable[0]?.revision;
-    if (present !== revision) return { kind: 'conflict' };
-    this.store(page);
+  private writeIfUnchanged(page: RosterPage, revision: number | undefined): RosterWrite {
+    const storedRevision = this.pages.get(page.service)?.revision ?? this.unreadable[0]?.revision;
+    if (storedRevision !== revision) return { kind: 'conflict' };
+    this.storePage(page);
     this.unreadable.length = 0;
-    this.writes.push(page);
+    this.writtenPages.push(page);
     return { kind: 'written', revision: this.revision };
   }
 }
 
-/** One daemon that may write. */
+/** One daemon with a roster writer; tests set whether it leads and whether its list is settled. */
 export class WriterHarness {
   readonly knowledge: RoutingKnowledge;
   readonly writer: RosterWriter;
-  readonly events: number[] = [];
+  readonly emittedEvents: number[] = [];
   isLeading = true;
   isSettled = true;
   private readonly abort = new AbortController();
@@ -97,7 +100,7 @@
     readonly clock = new VirtualClock(),
     maxPageBytes = 1_000_000,
   ) {
-    const events = { emit: ({ number }: EventDefinition): void => void this.events.push(number) };
+    const events = { emit: ({ number }: EventDefinition): void => void this.emittedEvents.push(number) };
     this.knowledge = new RoutingKnowledge({ clock, events, retentionMs: 60_000 });
     this.writer = new RosterWriter({
       clock,
@@ -108,20 +111,20 @@
       isLeading: () => this.isLeading,
       fleetSize: () => 7,
       isSettled: () => this.isSettled,
-      currentWithinMs: 3_000,
+      maxConfirmationAgeMs: 3_000,
     });
     void this.writer.run(this.abort.signal);
   }
 
   /** Applies a complete list of `alpha` as of `revision`, confirmed now. */
-  list(ids: readonly string[], revision: number, change: Partial<RoutedBackend> = {}, epoch = 0): void {
-    const backends = ids.map((id) => backendAt(id, revision, change));
+  applyList(ids: readonly string[], revision: number, changes: Partial<RoutedBackend> = {}, epoch = 0): void {
+    const backends = ids.map((id) => backendAt(id, revision, changes));
     const origin = { since: -1, confirmedAtMs: this.clock.now(), mayHaveLapsed: false };
     this.knowledge.apply('backends', updateAt(revision, { epoch, complete: true, backends }), origin);
   }
 
-  /** Lets time pass, in which the list is confirmed again and again. */
-  async run(milliseconds: number): Promise<void> {
+  /** Advances the clock and confirms the list every 100 ms. */
+  async advanceConfirmed(milliseconds: number): Promise<void> {
     const endMs = this.clock.now() + milliseconds;
     while (this.clock.now() < endMs) {
       await this.clock.advanceAsync(100, 10);
@@ -131,8 +134,8 @@
     }
   }
 
-  /** Lets time pass without any confirmation, as in a pause of its links. */
-  async freeze(milliseconds: number): Promise<void> {
+  /** Advances the clock without confirmations, as for a daemon that is cut off. */
+  async advanceUnconfirmed(milliseconds: number): Promise<void> {
     await this.clock.advanceAsync(milliseconds, 10);
   }
 
--- a/src/cookie-edge/roster/roster-writer.test.ts
+++ b/src/cookie-edge/roster/roster-writer.test.ts
@@ -1,173 +1,173 @@
-/** The writer of the roster: what it writes, when, and what becomes of it in each failure. */
+/** Writing the roster: what is written, when, and what happens after failed, late and conflicting writes. */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { ROSTER_EVENTS } from './events.js';
 import { SimulatedRosterStore, WriterHarness } from './roster-test-support.js';
 
-test('a leader reads once, writes what is missing, and nothing in steady state', async (t) => {
+test('a leading reader reads once, writes missing back ends, and writes nothing in steady state', async (t) => {
   const store = new SimulatedRosterStore();
   const daemon = new WriterHarness(store);
-  daemon.list(['a', 'b'], 10);
-  await daemon.run(60_000);
-  t.deepEqual(store.names(), ['a', 'b']);
-  t.is(store.writes.length, 1);
-  t.is(store.reads, 1);
+  daemon.applyList(['a', 'b'], 10);
+  await daemon.advanceConfirmed(60_000);
+  t.deepEqual(store.entryLabels(), ['a', 'b']);
+  t.is(store.writtenPages.length, 1);
+  t.is(store.readCount, 1);
 });
 
-test('who leaves is written as leaving, who has left is kept until no flow can be open', async (t) => {
+test('a draining back end is written as draining; a departed one stays until none of its flows can be open', async (t) => {
   const store = new SimulatedRosterStore();
   const daemon = new WriterHarness(store);
-  daemon.list(['a', 'b'], 10);
-  await daemon.run(3_000);
-  daemon.list(['a', 'b'], 11, { draining: true });
-  await daemon.run(3_000);
-  t.deepEqual(store.names(), ['a~', 'b~']);
-  daemon.list(['a'], 12);
-  await daemon.run(3_000);
-  t.deepEqual(store.names(), ['a', 'b-~']);
-  await daemon.run(60_000);
+  daemon.applyList(['a', 'b'], 10);
+  await daemon.advanceConfirmed(3_000);
+  daemon.applyList(['a', 'b'], 11, { draining: true });
+  await daemon.advanceConfirmed(3_000);
+  t.deepEqual(store.entryLabels(), ['a~', 'b~']);
+  daemon.applyList(['a'], 12);
+  await daemon.advanceConfirmed(3_000);
+  t.deepEqual(store.entryLabels(), ['a', 'b-~']);
+  await daemon.advanceConfirmed(60_000);
   daemon.knowledge.prune();
-  daemon.list(['a', 'c'], 13);
-  await daemon.run(3_000);
-  t.deepEqual(store.names(), ['a', 'c']);
+  daemon.applyList(['a', 'c'], 13);
+  await daemon.advanceConfirmed(3_000);
+  t.deepEqual(store.entryLabels(), ['a', 'c']);
 });
 
-test('a replacement of back ends one by one is written at most once in two seconds', async (t) => {
+test('a rolling replacement of back ends causes at most one write in two seconds', async (t) => {
   const store = new SimulatedRosterStore();
   const daemon = new WriterHarness(store);
   for (let second = 0; second < 20; second += 1) {
-    daemon.list([`b-${second}`, `b-${second + 1}`], 10 + second);
-    await daemon.run(1_000);
+    daemon.applyList([`b-${second}`, `b-${second + 1}`], 10 + second);
+    await daemon.advanceConfirmed(1_000);
   }
-  t.true(store.writes.length <= 11, `${store.writes.length} writes`);
-  await daemon.run(3_000);
-  t.true(store.names().includes('b-20'));
+  t.true(store.writtenPages.length <= 11, `${store.writtenPages.length} writes`);
+  await daemon.advanceConfirmed(3_000);
+  t.true(store.entryLabels().includes('b-20'));
 });
 
-for (const [name, unset] of [
-  ['does not lead', (daemon: WriterHarness) => void (daemon.isLeading = false)],
-  ['does not believe its list', (daemon: WriterHarness) => void (daemon.isSettled = false)],
+for (const [name, disable] of [
+  ['is not the leading reader', (daemon: WriterHarness) => void (daemon.isLeading = false)],
+  ['does not consider its list complete', (daemon: WriterHarness) => void (daemon.isSettled = false)],
 ] as const) {
   test(`a daemon that ${name} neither reads nor writes`, async (t) => {
     const store = new SimulatedRosterStore();
     const daemon = new WriterHarness(store);
-    unset(daemon);
-    daemon.list(['a'], 10);
-    await daemon.run(10_000);
-    t.is(store.reads + store.writes.length, 0);
+    disable(daemon);
+    daemon.applyList(['a'], 10);
+    await daemon.advanceConfirmed(10_000);
+    t.is(store.readCount + store.writtenPages.length, 0);
   });
 }
 
-test('a writer that was cut off or frozen does not put back what changed meanwhile', async (t) => {
+test('a writer that was paused or cut off does not overwrite newer changes', async (t) => {
   const clock = new VirtualClock();
   const store = new SimulatedRosterStore();
-  const frozen = new WriterHarness(store, clock);
-  frozen.list(['a'], 10);
-  await frozen.run(3_000);
-  await frozen.freeze(10_000);
+  const pausedDaemon = new WriterHarness(store, clock);
+  pausedDaemon.applyList(['a'], 10);
+  await pausedDaemon.advanceConfirmed(3_000);
+  await pausedDaemon.advanceUnconfirmed(10_000);
   const other = new WriterHarness(store, clock);
-  other.list(['b'], 20);
-  await other.run(3_000);
+  other.applyList(['b'], 20);
+  await other.advanceConfirmed(3_000);
   other.stop();
-  t.deepEqual(store.names(), ['b']);
-  await frozen.freeze(10_000);
-  t.deepEqual(store.names(), ['b'], 'it does not write without a confirmation');
-  frozen.list(['b', 'c'], 30);
-  await frozen.run(3_000);
-  t.deepEqual(store.names(), ['a-', 'b', 'c']);
+  t.deepEqual(store.entryLabels(), ['b']);
+  await pausedDaemon.advanceUnconfirmed(10_000);
+  t.deepEqual(store.entryLabels(), ['b'], 'no write without a recent confirmation');
+  pausedDaemon.applyList(['b', 'c'], 30);
+  await pausedDaemon.advanceConfirmed(3_000);
+  t.deepEqual(store.entryLabels(), ['a-', 'b', 'c']);
 });
 
-test('a write between the read and the write of another daemon is not lost', async (t) => {
+test('a write by another daemon between read and write is not overwritten', async (t) => {
   const store = new SimulatedRosterStore();
   const daemon = new WriterHarness(store);
-  daemon.list(['a'], 10);
+  daemon.applyList(['a'], 10);
   store.beforeWrite = () => {
     store.beforeWrite = () => undefined;
-    store.store({ service: 'alpha', entries: [] });
+    store.storePage({ service: 'alpha', entries: [] });
   };
-  await daemon.run(700);
-  t.deepEqual(store.names(), []);
-  t.true(daemon.events.includes(ROSTER_EVENTS.writeConflict.number));
-  await daemon.run(3_000);
-  t.deepEqual(store.names(), ['a'], 'it reads again and writes what is missing');
+  await daemon.advanceConfirmed(700);
+  t.deepEqual(store.entryLabels(), []);
+  t.true(daemon.emittedEvents.includes(ROSTER_EVENTS.writeConflict.number));
+  await daemon.advanceConfirmed(3_000);
+  t.deepEqual(store.entryLabels(), ['a'], 'reads again and writes the missing back end');
 });
 
-test('a writer that is killed between read and write leaves the page as it was; the next one writes', async (t) => {
+test('a writer that stops before a write succeeds leaves the page unchanged, and the next writer writes it', async (t) => {
   const clock = new VirtualClock();
   const store = new SimulatedRosterStore();
   const first = new WriterHarness(store, clock);
-  first.list(['a'], 10);
+  first.applyList(['a'], 10);
   store.fault = 'unavailable';
-  await first.run(3_000);
+  await first.advanceConfirmed(3_000);
   first.stop();
-  t.deepEqual(store.names(), []);
+  t.deepEqual(store.entryLabels(), []);
   store.fault = undefined;
   const next = new WriterHarness(store, clock);
-  next.list(['a'], 10);
-  await next.run(3_000);
-  t.deepEqual(store.names(), ['a']);
+  next.applyList(['a'], 10);
+  await next.advanceConfirmed(3_000);
+  t.deepEqual(store.entryLabels(), ['a']);
 });
 
-test('a write without an answer that is done late does not undo a later one', async (t) => {
+test('a timed-out write that the store applies late does not undo a newer write', async (t) => {
   const clock = new VirtualClock();
   const store = new SimulatedRosterStore();
   const first = new WriterHarness(store, clock);
-  first.list(['a'], 10);
+  first.applyList(['a'], 10);
   store.fault = 'late';
-  await first.run(1_000);
+  await first.advanceConfirmed(1_000);
   first.stop();
   store.fault = undefined;
   const next = new WriterHarness(store, clock);
-  next.list(['b'], 20);
-  await next.run(3_000);
-  store.doLateWrite();
-  t.deepEqual(store.names(), ['b']);
+  next.applyList(['b'], 20);
+  await next.advanceConfirmed(3_000);
+  store.completeLateWrite();
+  t.deepEqual(store.entryLabels(), ['b']);
 });
 
-test('an own write that is done late is seen before the next one', async (t) => {
+test('a writer reads its own late write before it writes again', async (t) => {
   const store = new SimulatedRosterStore();
   const daemon = new WriterHarness(store);
-  daemon.list(['a'], 10);
+  daemon.applyList(['a'], 10);
   store.fault = 'late';
-  await daemon.run(1_000);
-  store.doLateWrite();
+  await daemon.advanceConfirmed(1_000);
+  store.completeLateWrite();
   store.fault = undefined;
-  daemon.list(['a', 'b'], 11);
-  await daemon.run(5_000);
-  t.deepEqual(store.names(), ['a', 'b']);
-  t.false(daemon.events.includes(ROSTER_EVENTS.writeConflict.number));
+  daemon.applyList(['a', 'b'], 11);
+  await daemon.advanceConfirmed(5_000);
+  t.deepEqual(store.entryLabels(), ['a', 'b']);
+  t.false(daemon.emittedEvents.includes(ROSTER_EVENTS.writeConflict.number));
 });
 
-test('after a restore of the store from an older copy the roster is read again and written anew', async (t) => {
+test('after a restore of the store from an older backup the roster is read and written again', async (t) => {
   const store = new SimulatedRosterStore();
   const daemon = new WriterHarness(store);
-  daemon.list(['a'], 10);
-  await daemon.run(3_000);
-  const copy = new Map(store.pages);
-  daemon.list(['a', 'b'], 11);
-  await daemon.run(3_000);
-  store.pages = copy;
-  daemon.list(['a', 'b'], 5, {}, 1);
-  await daemon.run(8_000);
-  t.deepEqual(store.names(), ['a', 'b']);
+  daemon.applyList(['a'], 10);
+  await daemon.advanceConfirmed(3_000);
+  const backup = new Map(store.pages);
+  daemon.applyList(['a', 'b'], 11);
+  await daemon.advanceConfirmed(3_000);
+  store.pages = backup;
+  daemon.applyList(['a', 'b'], 5, {}, 1);
+  await daemon.advanceConfirmed(8_000);
+  t.deepEqual(store.entryLabels(), ['a', 'b']);
   t.is(store.pages.get('alpha')?.page.epoch, 1);
 });
 
-test('a page that cannot be read is replaced', async (t) => {
+test('an unreadable page is replaced', async (t) => {
   const store = new SimulatedRosterStore();
   store.unreadable.push({ service: 'alpha', revision: 7, problem: 'it is not an object' });
   const daemon = new WriterHarness(store);
-  daemon.list(['a'], 10);
-  await daemon.run(3_000);
-  t.deepEqual(store.names(), ['a']);
-  t.true(daemon.events.includes(ROSTER_EVENTS.unreadable.number));
+  daemon.applyList(['a'], 10);
+  await daemon.advanceConfirmed(3_000);
+  t.deepEqual(store.entryLabels(), ['a']);
+  t.true(daemon.emittedEvents.includes(ROSTER_EVENTS.unreadable.number));
 });
 
-test('a page above the limit is not written, and the log says so', async (t) => {
+test('a page above the size limit is not written, and this is logged', async (t) => {
   const store = new SimulatedRosterStore();
   const daemon = new WriterHarness(store, new VirtualClock(), 100);
-  daemon.list(['a'], 10);
-  await daemon.run(5_000);
-  t.is(store.writes.length, 0);
-  t.true(daemon.events.includes(ROSTER_EVENTS.tooLarge.number));
+  daemon.applyList(['a'], 10);
+  await daemon.advanceConfirmed(5_000);
+  t.is(store.writtenPages.length, 0);
+  t.true(daemon.emittedEvents.includes(ROSTER_EVENTS.tooLarge.number));
 });
--- a/src/cookie-edge/roster/roster-writer.ts
+++ b/src/cookie-edge/roster/roster-writer.ts
@@ -1,7 +1,8 @@
 /**
- * The task in which the leading reader keeps the roster: reads it once when it begins to lead, then writes the pages
- * that lack something. Owns what is known of the stored pages; `writer-rule.ts` decides when, `roster-pages.ts` what.
- * Relies on the store to refuse a write whose page has changed meanwhile.
+ * Keeps the stored roster up to date while this daemon is the leading reader. Reads the roster once on becoming the
+ * writer, then writes the outdated pages. Owns a cache of the stored pages. `writer-rule.ts` decides when to write and
+ * `roster-pages.ts` decides what to write. Relies on the store to refuse a write to a page that has changed since the
+ * writer read it (compare-and-swap).
  */
 import type { Clock } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
@@ -9,36 +10,36 @@
 import type { RoutingKnowledge, RoutingSourceError } from '../routing/index.js';
 import { ROSTER_CHECK_MS, ROSTER_RETRY_MS } from './constants.js';
 import { ROSTER_EVENTS } from './events.js';
-import { needsWriting, pagesOf } from './roster-pages.js';
+import { needsWriting, buildPages } from './roster-pages.js';
 import type { RosterPage, RosterStore, StoredPage } from './types.js';
 import { decideWriter, type WriterOutcome } from './writer-rule.js';
 
-/** Collaborators. */
 interface RosterWriterOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   readonly knowledge: RoutingKnowledge;
   readonly store: RosterStore;
-  /** Limit of the store for one page, in bytes. */
+  /** Maximum size of a page in the store, in bytes. */
   readonly maxPageBytes: number;
   readonly isLeading: () => boolean;
   readonly fleetSize: () => number;
   readonly isSettled: () => boolean;
-  /** See `WriterSituation.currentWithinMs`. */
-  readonly currentWithinMs: number;
+  /** See `WriterInputs.maxConfirmationAgeMs`. */
+  readonly maxConfirmationAgeMs: number;
 }
 
-/** What is known of the stored pages. */
-interface KnownPages {
-  /** Epoch of the source's history in which they were read: a restore may have changed them. */
+/** Cached copies of the stored pages. */
+interface PageCache {
+  /** Epoch of the source's history in which the pages were read. In a new epoch a restore may have changed them. */
   readonly epoch: number;
+  /** Revision and page of each service; without the page if it is unreadable. */
   readonly byService: Map<string, Partial<StoredPage>>;
 }
 
-/** Writes the roster while this daemon leads. No method throws or rejects. */
+/** Writes the roster while this daemon is the leading reader. No method throws or rejects. */
 export class RosterWriter {
-  private known: KnownPages | undefined;
-  private lastRoundMs = Number.NEGATIVE_INFINITY;
+  private cache: PageCache | undefined;
+  private lastRoundAtMs = Number.NEGATIVE_INFINITY;
   private writeCount = 0;
   private callCount = 0;
 
@@ -64,9 +65,9 @@
 
   private async check(signal: AbortSignal): Promise<void> {
     const outcome = this.decide();
-    if (outcome === 'stand-by') this.known = undefined;
+    if (outcome === 'stand-by') this.cache = undefined;
     if (outcome !== 'write') return;
-    if (this.known?.epoch !== this.epoch && !(await this.readPages(signal))) return;
+    if (this.cache?.epoch !== this.epoch && !(await this.readPages(signal))) return;
     await this.writePages(signal);
   }
 
@@ -75,23 +76,23 @@
   }
 
   private decide(): WriterOutcome {
-    const { clock, knowledge, isLeading, isSettled, currentWithinMs } = this.options;
+    const { clock, knowledge, isLeading, isSettled, maxConfirmationAgeMs } = this.options;
     return decideWriter({
       isLeading: isLeading(),
       isSettled: isSettled(),
-      ageMs: knowledge.ageOf('backends'),
-      currentWithinMs,
-      sinceLastRoundMs: clock.now() - this.lastRoundMs,
+      confirmationAgeMs: knowledge.ageOf('backends'),
+      maxConfirmationAgeMs,
+      sinceLastRoundMs: clock.now() - this.lastRoundAtMs,
     });
   }
 
-  /** Learns what is stored; false when that failed. */
+  /** Reads the stored pages into the cache. Returns false if the read failed. */
   private async readPages(signal: AbortSignal): Promise<boolean> {
     const { epoch } = this;
     this.callCount += 1;
     const response = await this.options.store.readRoster(false, signal);
     if (response.isErr) {
-      await this.waitAfter(response.error, signal);
+      await this.reportAndWait(response.error, signal);
       return false;
     }
     const { pages, unreadable } = response.value;
@@ -102,51 +103,52 @@
       this.options.events.emit(ROSTER_EVENTS.unreadable, { service, problem });
       byService.set(service, { revision });
     }
-    this.known = { epoch, byService };
+    this.cache = { epoch, byService };
     this.options.events.emit(ROSTER_EVENTS.leading, { pages: byService.size, epoch });
     return true;
   }
 
-  /** Writes what lacks something. Its knowledge may have changed during a call, so that the rule is asked each time. */
+  /** Writes the outdated pages. Evaluates the rule before each write, because its inputs may change during a call. */
   private async writePages(signal: AbortSignal): Promise<void> {
-    const lacking = [...pagesOf(this.options.knowledge).values()].filter((page) =>
-      needsWriting(this.known?.byService.get(page.service)?.page, page),
+    const outdatedPages = [...buildPages(this.options.knowledge).values()].filter((page) =>
+      needsWriting(this.cache?.byService.get(page.service)?.page, page),
     );
-    for (const page of lacking) {
+    for (const page of outdatedPages) {
       if (this.decide() !== 'write' || !(await this.writePage(page, signal))) return;
     }
-    if (lacking.length > 0) this.lastRoundMs = this.options.clock.now();
+    if (outdatedPages.length > 0) this.lastRoundAtMs = this.options.clock.now();
   }
 
-  /** False when the round ends. */
+  /** Writes one page. Returns false if the round must end. */
   private async writePage(page: RosterPage, signal: AbortSignal): Promise<boolean> {
     const { store, events, maxPageBytes: maxBytes } = this.options;
-    const { known } = this;
-    if (!known) return false;
+    const { cache } = this;
+    if (!cache) return false;
     this.callCount += 1;
-    const written = { ...page, daemons: this.options.fleetSize() };
-    const condition = { revision: known.byService.get(page.service)?.revision, maxBytes };
-    const response = await store.writePage(written, condition, signal);
+    const pageToWrite = { ...page, daemons: this.options.fleetSize() };
+    const condition = { revision: cache.byService.get(page.service)?.revision, maxBytes };
+    const response = await store.writePage(pageToWrite, condition, signal);
     if (response.isErr) {
-      // The write may be done, or be done later: what is stored must be read before the next one.
-      this.known = undefined;
-      await this.waitAfter(response.error, signal);
+      // The store may have applied the write or may still apply it, so the pages are read again before the next write.
+      this.cache = undefined;
+      await this.reportAndWait(response.error, signal);
       return false;
     }
     const { service, entries } = page;
     if (response.value.kind === 'conflict') {
-      this.known = undefined;
+      this.cache = undefined;
       events.emit(ROSTER_EVENTS.writeConflict, { service });
       return false;
     }
     const { revision } = response.value;
-    known.byService.set(service, { page, revision });
+    cache.byService.set(service, { page, revision });
     this.writeCount += 1;
     events.emit(ROSTER_EVENTS.written, { service, backends: entries.length, revision });
     return true;
   }
 
-  private async waitAfter(error: RoutingSourceError, signal: AbortSignal): Promise<void> {
+  /** Logs a failed call and waits before the next attempt. */
+  private async reportAndWait(error: RoutingSourceError, signal: AbortSignal): Promise<void> {
     if (signal.aborted || error.kind === 'routing.cancelled') return;
     const event = error.kind === 'routing.too-large' ? ROSTER_EVENTS.tooLarge : ROSTER_EVENTS.callFailed;
     this.options.events.emit(event, { kind: error.kind, error: error.problem });
--- a/src/cookie-edge/roster/types.ts
+++ b/src/cookie-edge/roster/types.ts
@@ -1,24 +1,24 @@
 /**
- * The roster: which back ends there are, kept where it outlasts the loss of all daemons and does not lapse. One page a
- * service, each an object of the source's store.
+ * Types of the roster: a list of back ends in the source's store, which survives the loss of all daemons and does not
+ * expire. It has one page for each service, and each page is one object of the store.
  */
 import type Result from 'true-myth/result';
 import type { RoutedBackend, RoutingSourceError } from '../routing/index.js';
 
-/** A back end as the roster names it. */
+/** A back end in the roster. */
 export interface RosterEntry {
-  /** Its last record. The cold time is not kept. */
+  /** The last record of the back end. Its cold time is not stored. */
   readonly record: RoutedBackend;
-  /** It has left; flows to it may still be open. */
+  /** The back end has departed; flows to it may still be open. */
   readonly hasLeft: boolean;
 }
 
-/** The entries of one service. */
+/** The roster entries of one service. */
 export interface RosterPage {
   readonly service: string;
-  /** Epoch of the source's history to which the revisions of the records belong; absent: 0. */
+  /** Epoch of the source's history to which the revisions of the records belong; 0 if absent. */
   readonly epoch?: number;
-  /** Daemons of the fleet when it was written, as its writer estimated; absent: unknown. Alone no reason to write. */
+  /** Number of daemons that the writer estimated; absent if unknown. A change of it alone does not cause a write. */
   readonly daemons?: number;
   readonly entries: readonly RosterEntry[];
 }
@@ -26,33 +26,34 @@
 /** A page as the store holds it. */
 export interface StoredPage {
   readonly page: RosterPage;
-  /** Revision of the object; a write that names another one is refused. */
+  /** Revision of the object. The store refuses a write that specifies another revision. */
   readonly revision: number;
 }
 
-/** What the store holds. */
+/** The contents of the store. */
 export interface StoredRoster {
   readonly pages: readonly StoredPage[];
-  /** Names of pages that cannot be read, by another writer or of a later build, with the reason. */
+  /** Pages that this build cannot read, because another program or a later build wrote them. */
   readonly unreadable: readonly UnreadablePage[];
 }
 
-/** A page that cannot be read. */
+/** A page that this build cannot read. */
 export interface UnreadablePage {
   readonly service: string;
   readonly revision: number;
+  /** Why the page cannot be read. */
   readonly problem: string;
 }
 
-/** What became of a write. `conflict`: the page is not as the writer knew it, and stays as it is. */
+/** Result of a write. `conflict`: the stored page does not have the expected revision, and was not changed. */
 export type RosterWrite =
   { readonly kind: 'written'; readonly revision: number } | { readonly kind: 'conflict' };
 
-/** Where the roster is kept. All calls end when `signal` aborts. */
+/** Storage of the roster. Aborting `signal` ends a call. */
 export interface RosterStore {
-  /** Reads all pages; with `mayBeOld` they may be some seconds old, which costs the store less. */
-  readRoster(mayBeOld: boolean, signal: AbortSignal): Promise<Result<StoredRoster, RoutingSourceError>>;
-  /** Writes a page if it is as the writer knows it. An error says nothing about whether it was done, or will be. */
+  /** Reads all pages. With `allowStale` they may be some seconds old, which costs the store less. */
+  readRoster(allowStale: boolean, signal: AbortSignal): Promise<Result<StoredRoster, RoutingSourceError>>;
+  /** Writes a page if `condition` holds. After an error the write may still have been applied, or be applied later. */
   writePage(
     page: RosterPage,
     condition: PageCondition,
@@ -60,10 +61,10 @@
   ): Promise<Result<RosterWrite, RoutingSourceError>>;
 }
 
-/** When a page is written. */
+/** Preconditions of a write. */
 export interface PageCondition {
-  /** Only if the stored page has this revision; undefined: only if there is none. */
+  /** Revision that the stored page must have; undefined if no page may exist yet. */
   readonly revision: number | undefined;
-  /** Only if the object takes no more than this many bytes. */
+  /** Maximum size of the object in bytes. */
   readonly maxBytes: number;
 }
--- a/src/cookie-edge/roster/writer-rule.ts
+++ b/src/cookie-edge/roster/writer-rule.ts
@@ -1,32 +1,41 @@
 /**
- * Rule: whether this daemon may write the roster now. Does no input or output; times are ms.
+ * Decides whether this daemon may write the roster now. Does no input or output; times are in ms.
  *
- * Prevents a roster that is wiped by a daemon which does not know the back ends itself, and one that many write. Order:
- * only the leading reader writes, which changes when its calls fail. Its list must be believed, since a list that is
- * being filled lacks back ends that live; and confirmed recently, since a daemon that was paused or cut off would put
- * back what has changed meanwhile. Then the interval between rounds. There is no election: two leaders at once are
- * ordered by the conditions of their writes.
+ * Prevents two failures: a daemon with an incomplete list deletes back ends from the roster, and many daemons write the
+ * roster at once. Conditions, in order:
+ *
+ * 1. This daemon is the leading reader. Another daemon becomes the leading reader when the calls of this one fail.
+ * 2. Its list of back ends is settled. A list that is still filling lacks live back ends.
+ * 3. Its list was confirmed recently. A daemon that was paused or cut off would overwrite newer changes.
+ * 4. The minimum interval since the last round of writes has passed.
+ *
+ * There is no leader election. If two daemons lead at once, the revision checks of the store order their writes.
  */
 import { ROSTER_WRITE_INTERVAL_MS } from './constants.js';
 
-/** What the rule looks at. */
-export interface WriterSituation {
-  /** Reader of highest rank, as far as this daemon knows. */
+/** Inputs of `decideWriter`. */
+export interface WriterInputs {
+  /** This daemon is the highest-ranked reader that it knows of. */
   readonly isLeading: boolean;
+  /** The list of back ends is considered complete. */
   readonly isSettled: boolean;
-  /** Age of the last confirmation of the list of back ends. */
-  readonly ageMs: number;
-  /** Within this age a list counts as current: the bound on how fast a change must be in force. */
-  readonly currentWithinMs: number;
+  /** Time since the source last confirmed the list of back ends. */
+  readonly confirmationAgeMs: number;
+  /**
+   * A list counts as current while its confirmation is younger than this. Equals the bound within which a change must
+   * be in force everywhere.
+   */
+  readonly maxConfirmationAgeMs: number;
+  /** Time since the last round of writes. */
   readonly sinceLastRoundMs: number;
 }
 
-/** `stand-by`: what is known of the stored pages must not be relied on later. `wait`: for the next round. */
+/** `stand-by`: do not write, and discard the cached pages. `wait`: too soon after the last round. */
 export type WriterOutcome = 'stand-by' | 'wait' | 'write';
 
-/** Decides at each check. */
-export function decideWriter(situation: WriterSituation): WriterOutcome {
-  const { isLeading, isSettled, ageMs, currentWithinMs, sinceLastRoundMs } = situation;
-  if (!isLeading || !isSettled || ageMs >= currentWithinMs) return 'stand-by';
+/** Decides whether to write; called at each check and before each write. */
+export function decideWriter(inputs: WriterInputs): WriterOutcome {
+  const { isLeading, isSettled, confirmationAgeMs, maxConfirmationAgeMs, sinceLastRoundMs } = inputs;
+  if (!isLeading || !isSettled || confirmationAgeMs >= maxConfirmationAgeMs) return 'stand-by';
   return sinceLastRoundMs < ROSTER_WRITE_INTERVAL_MS ? 'wait' : 'write';
 }
