--- a/src/cookie-edge/daemon/adapters.ts
+++ b/src/cookie-edge/daemon/adapters.ts
@@ -1,7 +1,6 @@
 /**
  * Interfaces that a deployment implements: the edge that carries packets, and the source of routes and back ends. The
- * daemon owns what they return and closes the edge; a deployment relies on `fabric` for the form of a packet and on
- * `routing` for records.
+ * daemon owns the objects that they return and closes the edge. `fabric` defines the packets, `routing` the records.
  */
 import type { Clock } from '../../common/clock.js';
 import type { Endpoint } from '../../common/types.js';
@@ -13,11 +12,11 @@
 
 /** An edge whose socket is bound. */
 export interface BoundCookieEdge extends CookieEdgePort {
-  /** Where it is bound. */
+  /** Address to which the socket is bound. */
   readonly endpoint: Endpoint;
-  /** Monotonic ms at which it was bound, or a moment before: nothing in its socket is older. */
+  /** Monotonic ms at or shortly before the binding: no packet in the socket is older. */
   readonly boundAtMs: number;
-  /** Closes the socket; packets that are sent afterwards are lost. */
+  /** Closes the socket. Packets sent afterwards are lost. */
   close(): Promise<void>;
 }
 
@@ -29,11 +28,10 @@
   readonly clock: Clock;
 }
 
-/** What the deployment's entry point supplies. */
+/** Adapters that the deployment's entry point supplies. */
 export interface DeploymentAdapters {
   /**
-   * Binds the data socket and delivers packets to the handler from then on. Rejects with a `SailquayError` when it
-   * cannot.
+   * Binds the data socket and delivers its packets to the handler. Rejects with a `SailquayError` if the binding fails.
    */
   openEdge(options: CookieEdgeOptions): Promise<BoundCookieEdge>;
   /** Creates the client of the source at `address`, without calling it. */
--- a/src/cookie-edge/daemon/buffered-packets.test.ts
+++ b/src/cookie-edge/daemon/buffered-packets.test.ts
@@ -38,7 +38,7 @@
 ] as const;
 
 for (const { outcome, ...packet } of FLUSHES) {
-  test(`at the opening: ${JSON.stringify(packet)} gives ${outcome}`, (t) => {
+  test(`on flush: ${JSON.stringify(packet)} gives ${outcome}`, (t) => {
     t.is(decideOnFlush(packet), outcome);
   });
 }
--- a/src/cookie-edge/daemon/buffered-packets.ts
+++ b/src/cookie-edge/daemon/buffered-packets.ts
@@ -1,68 +1,70 @@
 /**
- * Rule: hold, deliver or drop a packet that arrives before the daemon knows routes and back ends. Does no input or
- * output; `StartupBuffer` carries the outcomes out.
+ * Decides whether to hold, deliver or drop a packet that arrives before the daemon has routes and back ends. Does no
+ * input or output; `StartupBuffer` acts on the decisions.
  *
- * Prevents two failures. A packet dropped during start-up reaches the daemon again only with its caller's next
- * retransmission, which may come after the caller's deadline. A SYN delivered too late opens one flow at two back ends:
- * its caller has sent a retransmission meanwhile, which another balancer may have placed elsewhere. Both matter most
- * after the loss of all daemons, when nearly every caller has a SYN under way and most of these are retransmissions: on
- * a day of 146 small machines 395 of the 889 packets buffered after such a loss were dropped as too old before the rule
- * counted retransmissions, although their callers had nothing newer under way.
+ * Prevents two failures. A packet dropped during start-up arrives again only with the caller's next retransmission,
+ * which may come after the caller's deadline. A SYN delivered too late can open one flow at two back ends: the caller
+ * may already have sent a retransmission, which another balancer may have placed elsewhere. Both matter most after the
+ * loss of all daemons, when nearly every caller has a pending SYN and most of these SYNs are retransmissions. Without
+ * the retransmission count, a fleet of 146 small machines dropped 395 of 889 buffered packets as too old, although
+ * their callers had not sent a newer SYN.
  *
- * On arrival the switch and the edge come first (nothing can be buffered without them), then the bound on memory. At
- * the opening a packet without SYN is always delivered: the cookie of its flow names the back end. A SYN is delivered
- * while its caller cannot have sent the next retransmission. The age of a SYN is not known exactly: it may have waited
- * in the socket before it was read. Two upper bounds exist, and either suffices: nothing in a socket is older than the
- * binding, and a socket that has been read for a while holds a packet for a moment only. An unknown retransmission
- * count gets the shortest time, that of a first SYN.
+ * On arrival, the mechanism switch and the edge are checked first, because without them no packet can be buffered, and
+ * then the memory bound.
+ *
+ * When the buffer is flushed, a packet that is not a SYN is always delivered, because the cookie of its flow identifies
+ * the back end. A SYN is delivered only if its caller cannot have sent the next retransmission yet. The exact age of a
+ * SYN is unknown, because it may have waited in the socket before it was read. Either of two upper bounds suffices: no
+ * packet in a socket is older than the binding, and a socket that is read continuously holds a packet only briefly. A
+ * SYN with an unknown retransmission count gets the shortest limit, that of a first SYN.
  */
 import { untilNextTransmissionMs } from '../forwarding/syn-schedule.js';
 import { MAX_BUFFERED_PACKETS, MAX_BUFFERED_SYN_AFTER_READ_MS, MAX_BUFFERED_SYN_MS } from './constants.js';
 
-/** What becomes of a packet that arrives before the buffer opens. */
+/** Decision about a packet that arrives before the buffer is flushed. */
 type ArrivalOutcome = 'hold' | 'drop-holding-off' | 'drop-buffer-full';
 
-/** What becomes of a buffered packet at the opening of the buffer. */
+/** Decision about a buffered packet when the buffer is flushed. */
 type FlushOutcome = 'deliver' | 'drop-too-old';
 
 /** State of the buffer when a packet arrives. */
 interface BufferState {
-  /** The mechanism `held-packets` is on. */
+  /** The mechanism `held-packets` is switched on. */
   readonly isBufferingOn: boolean;
-  /** The edge is attached, so that packets can be kept. */
+  /** The edge is attached; without it a packet cannot be kept. */
   readonly isAttached: boolean;
-  /** Packets buffered now. */
+  /** Number of packets in the buffer. */
   readonly bufferedCount: number;
 }
 
-/** What is known of a SYN at the opening; times in ms. */
+/** A buffered SYN when the buffer is flushed; times in ms. */
 interface BufferedSyn {
-  /** How many times its caller had sent the SYN before. */
+  /** Number of times that the caller had sent the SYN before. */
   readonly retransmissions: number;
-  /** Time since the socket was bound: nothing in it is older. */
+  /** Time since the socket was bound: no packet in it is older. */
   readonly boundForMs: number;
-  /** Time since the SYN was read from the socket, where it may have waited for a moment. */
+  /** Time since the SYN was read from the socket, where it may have waited before. */
   readonly readAgoMs: number;
 }
 
-/** A packet at the opening; `retransmissions` is undefined for one that is no SYN. */
+/** A buffered packet when the buffer is flushed; `retransmissions` is undefined if the packet is not a SYN. */
 interface BufferedPacketAge extends Omit<BufferedSyn, 'retransmissions'> {
   readonly retransmissions: number | undefined;
 }
 
-/** Decides on a packet that arrives before the opening. */
+/** Decides whether to buffer a packet that arrives before the buffer is flushed. */
 export function decideOnArrival({ isBufferingOn, isAttached, bufferedCount }: BufferState): ArrivalOutcome {
   if (!isAttached || !isBufferingOn) return 'drop-holding-off';
   return bufferedCount >= MAX_BUFFERED_PACKETS ? 'drop-buffer-full' : 'hold';
 }
 
-/** Decides on a buffered packet at the opening of the buffer. */
+/** Decides whether to deliver a buffered packet when the buffer is flushed. */
 export function decideOnFlush({ retransmissions, boundForMs, readAgoMs }: BufferedPacketAge): FlushOutcome {
   if (retransmissions === undefined) return 'deliver';
   return mayDeliverBufferedSyn({ retransmissions, boundForMs, readAgoMs }) ? 'deliver' : 'drop-too-old';
 }
 
-/** True while the caller of a buffered SYN cannot have sent a further one. */
+/** Returns true if the caller of a buffered SYN cannot have sent the next retransmission yet. */
 export function mayDeliverBufferedSyn({ retransmissions, boundForMs, readAgoMs }: BufferedSyn): boolean {
   const extraTimeMs = untilNextTransmissionMs(retransmissions) - untilNextTransmissionMs(0);
   return (
@@ -71,7 +73,7 @@
   );
 }
 
-/** Longest time in ms that a buffered packet can have waited, in the buffer and in the socket before it was read. */
+/** Upper bound in ms on the time that a buffered packet has waited in the socket and in the buffer. */
 export function longestWaitMs(readAgoMs: number, boundForMs: number): number {
   return Math.min(boundForMs, readAgoMs + MAX_BUFFERED_SYN_AFTER_READ_MS);
 }
--- a/src/cookie-edge/daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -1,8 +1,8 @@
 /**
- * Wires the parts of a daemon on a cookie edge. Owns the order in which they are created, which also is the order in
- * which they draw from the shared random source. Gossip and forwarding call each other, and reading the source calls
- * gossip: a part that is created earlier gets a function that returns the later one, and calls it only after
- * everything is wired.
+ * Creates and wires the components of a daemon on a cookie edge. Their order of creation is also the order in which
+ * they draw from the shared random source. Some dependencies are circular: gossip and forwarding call each other, and
+ * the reading of the source calls gossip. A component that is created earlier therefore gets a function that returns
+ * the later one, and calls it only after all components are wired.
  */
 import type { Clock } from '../../common/clock.js';
 import { hashString } from '../../common/hash.js';
@@ -29,7 +29,7 @@
 import { SourceReading } from './source-reading.js';
 import { StartupBuffer } from './startup-buffer.js';
 
-/** What a daemon needs from its surroundings. */
+/** External dependencies of a daemon. */
 export interface CookieDaemonEnvironment {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -37,13 +37,13 @@
   readonly adapters: DeploymentAdapters;
 }
 
-/** The wired parts. */
+/** The wired components. */
 export interface CookieDaemonComponents extends CookieDaemonEnvironment {
   readonly edge: BoundCookieEdge;
   readonly knowledge: RoutingKnowledge;
   readonly availability: SourceAvailability;
   readonly settlement: BackendSettlement;
-  /** Undefined where the deployment keeps no roster. */
+  /** Undefined if no roster is configured or the mechanism is switched off. */
   readonly roster: RosterTasks | undefined;
   readonly problems: ProblemLog;
   readonly history: SourceHistoryLog;
@@ -59,9 +59,9 @@
   readonly writer: RosterWriter;
 }
 
-/** What every factory uses. */
+/** Dependencies shared by the factory functions. */
 interface Wiring extends CookieDaemonEnvironment {
-  /** The configuration in force, which a reload may change. */
+  /** Returns the configuration in force, which a reload may change. */
   readonly config: () => CookieDaemonConfig;
   readonly isOn: MechanismCheck;
   readonly pauseDetector: PauseDetector;
@@ -70,12 +70,12 @@
   readonly forwarder: () => CookieForwarder;
 }
 
-/** The parts that learn from the source. */
+/** The components that read the source and keep what they read. */
 type SourceParts = ReturnType<typeof createSourceParts>;
 
 /**
- * Binds the sockets, the edge first, and wires everything. Only the first reading of the source runs already, since
- * its response arrives while the rest is wired. Throws a `SailquayError` when a socket cannot be bound.
+ * Binds the sockets, the edge first, and wires all components. Starts only the first read of the source, whose response
+ * can then arrive while the rest is wired. Throws a `SailquayError` if a socket cannot be bound.
  */
 export async function wireCookieDaemon(
   config: () => CookieDaemonConfig,
@@ -149,7 +149,10 @@
   };
 }
 
-/** The tasks run once the daemon does; undefined without a configuration of the roster. */
+/**
+ * Creates the roster tasks, which `CookieDaemon` starts. Returns undefined if no roster is configured or the mechanism
+ * is switched off.
+ */
 function createRoster(wiring: Wiring, parts: SourceParts): RosterTasks | undefined {
   const { clock, events, isOn, spreader } = wiring;
   const { roster, changeBoundsMs } = wiring.config();
@@ -169,7 +172,10 @@
   return { reader: new RosterReader({ clock, events, knowledge, settlement, store }), writer };
 }
 
-/** A start knows few peers at first, but the roster tells how many daemons there were; undefined until it is read. */
+/**
+ * Returns the larger of the fleet sizes known from gossip and from the roster, since a starting daemon knows few peers.
+ * Returns undefined while the read of the roster is pending.
+ */
 function estimateFleetSize(spreader: Spreader, roster: RosterTasks | undefined): number | undefined {
   if (roster?.reader.isPending) return undefined;
   return Math.max(spreader.fleetSize, roster?.reader.recordedFleetSize ?? 0);
@@ -238,7 +244,7 @@
   });
 }
 
-/** Opens the buffer as soon as everything is known that forwarding needs. */
+/** Flushes the buffer as soon as all topics that forwarding needs are known. */
 function flushWhenComplete(
   buffer: StartupBuffer,
   knowledge: RoutingKnowledge,
@@ -251,7 +257,7 @@
   knowledge.subscribe(flushIfComplete);
 }
 
-/** Seeds with the port that all daemons share, where the configuration gives one. */
+/** Returns the seeds; `seedPort`, if configured, replaces their ports. */
 function resolveSeeds({ seeds, seedPort }: CookieDaemonConfig): readonly Endpoint[] {
   return seeds.map(({ host, port }) => ({ host, port: seedPort ?? port }));
 }
--- a/src/cookie-edge/daemon/config.test.ts
+++ b/src/cookie-edge/daemon/config.test.ts
@@ -15,14 +15,14 @@
   source: '10.0.0.9:8169',
 };
 
-test('the smallest configuration is valid, gets defaults, and unknown fields are ignored', (t) => {
+test('a minimal configuration is valid: defaults are added and unknown fields are ignored', (t) => {
   const config = checkCookieDaemonConfig({ ...VALID, future: { field: 1 } }, 'test');
   t.deepEqual(config.source, { host: '10.0.0.9', port: 8169 });
   t.deepEqual(config.seeds, []);
   t.true(config.drain.minMs < config.drain.maxMs);
 });
 
-test('every mechanism can be switched off, and none is unless it is named', (t) => {
+test('every mechanism can be switched off, and all are on by default', (t) => {
   t.deepEqual(checkCookieDaemonConfig(VALID, 'test').switchedOff, []);
   t.deepEqual(checkCookieDaemonConfig({ ...VALID, switchedOff: MECHANISMS }, 'test').switchedOff, [
     ...MECHANISMS,
@@ -54,19 +54,19 @@
 ];
 
 for (const [change, expected] of INVALID_CHANGES) {
-  test(`a wrong value is named with its field: ${JSON.stringify(change)}`, (t) => {
+  test(`an invalid value is reported with its field: ${JSON.stringify(change)}`, (t) => {
     const error = t.throws(() => checkCookieDaemonConfig({ ...VALID, ...change }, 'test'));
     t.regex(error!.message, expected);
     t.regex(error!.message, /Correct the named fields$/);
   });
 }
 
-test('every fault is named at once', (t) => {
+test('all faults are reported in one error', (t) => {
   const error = t.throws(() => checkCookieDaemonConfig({ ...VALID, id: '', zone: '' }, 'test'));
   t.regex(error!.message, /2 fault\(s\)/);
 });
 
-test('files may be JSON or YAML; what is neither, or not there, is said so', async (t) => {
+test('a file may be JSON or YAML, and a malformed or missing file is reported', async (t) => {
   const directory = mkdtempSync(join(tmpdir(), 'sailquay-config-'));
   t.teardown(() => rmSync(directory, { recursive: true }));
   const path = join(directory, 'daemon');
@@ -85,7 +85,7 @@
   t.regex(missing!.message, /Give the path/);
 });
 
-test('a reread names what changed and what needs a restart', (t) => {
+test('a reload reports the changed fields and those that need a restart', (t) => {
   const previous = checkCookieDaemonConfig(VALID, 'test');
   const next = checkCookieDaemonConfig({ ...VALID, zone: 'zone-b', limits: { maxFlows: 9 } }, 'test');
   t.deepEqual(compareConfigs(previous, next), { changed: ['zone', 'limits'], needsRestart: ['zone'] });
--- a/src/cookie-edge/daemon/config.ts
+++ b/src/cookie-edge/daemon/config.ts
@@ -1,7 +1,7 @@
 /**
- * Configuration of a daemon on a cookie edge: one file of JSON or YAML, checked before it is used. Owns the schema and
- * the list of reloadable fields; relies on `run.ts` to reread the file. Ignores unknown fields, since the writer of the
- * file may be newer than this build.
+ * Configuration of a daemon on a cookie edge: one JSON or YAML file, validated before use. Owns the schema and the list
+ * of reloadable fields; `run.ts` rereads the file. Ignores unknown fields, since a newer build may have written the
+ * file.
  */
 import { readFileSync } from 'node:fs';
 import * as z from 'zod/mini';
@@ -20,7 +20,7 @@
 const name = z.string().check(z.regex(NAME_PATTERN, 'use 1 to 63 letters, digits, ".", "_" or "-"'));
 const milliseconds = z.int().check(z.positive());
 
-/** `host:port` with a numeric IPv4 host; port 0 (the kernel chooses) only for own addresses. */
+/** `host:port` with a numeric IPv4 host. Port 0 (the kernel chooses) is valid only for local addresses. */
 function endpoint(minPort: number) {
   const text = z.string().check(
     z.refine((value) => parseEndpoint(value, minPort) !== undefined, {
@@ -44,39 +44,41 @@
   zone: name,
   /** UDP address on which callers' packets arrive. */
   data: localAddress,
-  /** HTTP address of readiness, status and metrics. */
+  /** HTTP address of the readiness, status and metrics pages. */
   admin: localAddress,
-  /** Address of messages between daemons, UDP and TCP. */
+  /** UDP and TCP address for messages between daemons. */
   control: localAddress,
-  /** Control addresses of some other daemons; they may be stale. */
+  /** Control addresses of some peers; they may be stale. */
   seeds: z._default(z.array(remoteAddress), []),
-  /** Control port of all daemons; the ports of `seeds` are ignored when it is given. */
+  /** Control port of all daemons. If given, it replaces the ports of `seeds`. */
   seedPort: z.optional(z.int().check(z.positive(), z.maximum(MAX_PORT))),
   /** Address of the source of routes and back ends. */
   source: remoteAddress,
-  /** Each kind of change must be in force everywhere this many ms after it was made; the tightest bound counts. */
+  /** Bounds in ms within which each kind of change must be in force on all daemons. The smallest bound applies. */
   changeBoundsMs: z._default(z.array(milliseconds).check(z.minLength(1)), [DEFAULT_FRESHNESS_BOUND_MS]),
   /**
-   * A cordon must be in force everywhere this many ms after it was made; cordons are not followed unless it is given.
+   * Bound in ms within which a cordon must be in force on all daemons. Without it the daemon does not read cordons.
    */
   cordonBoundMs: z.optional(milliseconds),
   /**
-   * Region of each zone. Needed where routes are limited to regions: a back end of an unlisted zone serves none of
-   * these.
+   * Region of each zone. Required if routes are limited to regions: such a route never uses a back end whose zone is
+   * not listed here.
    */
   zoneRegions: z._default(z.record(z.string(), z.string()), {}),
-  /** Bounds of `ColdAdmission` on what all balancers send a cold back end, as a factor of its rate and in openings. */
+  /**
+   * Limits of `ColdAdmission` for a cold back end, over all balancers: a factor on its rate, and a number of openings.
+   */
   coldOverage: z._default(z.number().check(z.positive()), defaults.DEFAULT_COLD_OVERAGE),
   coldSlack: z._default(z.number().check(z.nonnegative()), defaults.DEFAULT_COLD_SLACK),
-  /** Longest life of a flow, in ms. */
+  /** Maximum lifetime of a flow in ms. */
   maxFlowAgeMs: z._default(milliseconds, defaults.DEFAULT_MAX_FLOW_AGE_MS),
   /**
-   * Flows per unit of capacity by which another zone must be less loaded; 0 turns the preference of the own zone off.
+   * Flows per unit of capacity by which another zone must be less loaded to be preferred; 0 disables this margin.
    */
   zoneMargin: z._default(z.number().check(z.nonnegative()), defaults.DEFAULT_ZONE_MARGIN),
-  /** Factor on the load of back ends of other zones; 1 leaves only the margin. */
+  /** Factor by which the load of back ends of other zones is multiplied; with 1 only the margin applies. */
   zoneLoadFactor: z._default(z.number().check(z.minimum(1)), defaults.DEFAULT_ZONE_LOAD_FACTOR),
-  /** Outlier detection; the fields are those of `OutlierOptions`. */
+  /** Outlier detection; see `OutlierOptions` for the fields. */
   outliers: z.prefault(
     z.object({
       slowFactor: z._default(z.number().check(z.gt(1)), DEFAULT_OUTLIER_OPTIONS.slowFactor),
@@ -88,9 +90,9 @@
     }),
     {},
   ),
-  /** Keeps a roster of back ends in the source's store; none unless given. */
+  /** Keeps a roster of back ends in the source's store. Without it there is no roster. */
   roster: z.optional(z.object({ maxPageBytes: z.int().check(z.positive()) })),
-  /** Mechanisms that are switched off for an experiment (`src/common/mechanisms.ts`). */
+  /** Mechanisms to switch off for an experiment (`src/common/mechanisms.ts`). */
   switchedOff: z._default(z.array(z.enum(MECHANISMS)), []),
   limits: z.prefault(
     z.object({ maxFlows: z._default(z.int().check(z.positive()), defaults.DEFAULT_MAX_FLOWS) }),
@@ -98,11 +100,11 @@
   ),
   drain: z.prefault(
     z.object({
-      /** Shortest time of forwarding after a stop request. */
+      /** Minimum time of forwarding after a stop request, in ms. */
       minMs: z._default(milliseconds, defaults.DEFAULT_DRAIN_MIN_MS),
-      /** Then the daemon ends after this long without a packet. */
+      /** After `minMs` the daemon exits once no packet has arrived for this many ms. */
       quietMs: z._default(milliseconds, defaults.DEFAULT_DRAIN_QUIET_MS),
-      /** The daemon ends after this long in any case. */
+      /** Maximum time of forwarding after a stop request, in ms. */
       maxMs: z._default(milliseconds, defaults.DEFAULT_DRAIN_MAX_MS),
     }),
     {},
@@ -110,17 +112,17 @@
   log: z.prefault(
     z.object({
       level: z._default(z.enum(['debug', 'info', 'warn', 'error']), 'info'),
-      /** Lines of one event in ten seconds. */
+      /** Maximum number of log lines for each event in ten seconds. */
       burst: z._default(z.int().check(z.positive()), defaults.DEFAULT_LOG_BURST),
     }),
     {},
   ),
 });
 
-/** A checked configuration. */
+/** A validated configuration. */
 export type CookieDaemonConfig = z.output<typeof cookieDaemonConfigSchema>;
 
-/** Fields that a reread puts in force at once; the others need a restart. */
+/** Fields that a reload applies; the others need a restart. */
 const RELOADABLE: ReadonlySet<string> = new Set(['limits', 'drain', 'log', 'seeds', 'seedPort']);
 
 /** Reads a configuration file. Throws `CookieDaemonError`. */
@@ -128,7 +130,7 @@
   return checkCookieDaemonConfig(await parseText(readText(path), path), path);
 }
 
-/** Checks a configuration value and adds the defaults. Throws `cookie-daemon.config-invalid` with every fault. */
+/** Validates a configuration and adds the defaults. Throws `cookie-daemon.config-invalid` with all faults. */
 export function checkCookieDaemonConfig(value: unknown, source: string): CookieDaemonConfig {
   const result = cookieDaemonConfigSchema.safeParse(value);
   if (result.success) return result.data;
@@ -140,7 +142,7 @@
   );
 }
 
-/** Top-level fields whose values differ, and which of them a reread cannot put in force. */
+/** Returns the top-level fields whose values differ, and those among them that a reload cannot apply. */
 export function compareConfigs(
   previous: CookieDaemonConfig,
   next: CookieDaemonConfig,
@@ -158,7 +160,7 @@
   }
 }
 
-/** JSON is read without loading the YAML library, which would make each start slower. */
+/** Parses JSON without loading the YAML library, which would slow down each start. */
 async function parseText(text: string, path: string): Promise<unknown> {
   try {
     if (text.trimStart().startsWith('{')) return JSON.parse(text);
--- a/src/cookie-edge/daemon/connect-probe.test.ts
+++ b/src/cookie-edge/daemon/connect-probe.test.ts
@@ -3,10 +3,10 @@
 import { probeConnect } from './connect-probe.js';
 
 const LOOPBACK = '127.0.0.1';
-/** Far longer than an answer on loopback takes, so that no case depends on it. */
+/** Far longer than an answer on loopback takes, so that no test depends on the time-out. */
 const AMPLE_MS = 60_000;
 
-test('a probe of a process that listens is answered, though it never says anything', async (t) => {
+test('a probe of a listening process is answered even if the process never sends data', async (t) => {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   t.teardown(() => server.close());
@@ -14,7 +14,7 @@
   t.is(await probeConnect({ host: LOOPBACK, port }, AMPLE_MS), 'answered');
 });
 
-test('a probe of an address where nothing listens is refused', async (t) => {
+test('a probe of an address where no process listens is refused', async (t) => {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   const { port } = server.address() as AddressInfo;
--- a/src/cookie-edge/daemon/cookie-daemon.ts
+++ b/src/cookie-edge/daemon/cookie-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * Life of a daemon on a cookie edge: learns routes and back ends, becomes ready, forwards and stops. Owns
- * the configuration in force and the admin server; the rules stand in `readiness.ts` and `shutdown.ts`.
+ * Life cycle of a daemon on a cookie edge: it reads routes and back ends, becomes ready, forwards packets and stops.
+ * Owns the configuration in force and the admin server. `readiness.ts` and `shutdown.ts` contain the rules.
  */
 import { formatEndpoint } from '../../common/types.js';
 import { AdminServer, type Readiness } from '../../observability/admin-server.js';
@@ -13,12 +13,11 @@
 import { describeStatus, summarize } from './status.js';
 
 /**
- * Interval in ms at which a daemon that is not ready compares its readiness with the last one reported. Routers probe
- * far less often.
+ * Interval in ms at which a daemon that is not ready checks its readiness again. Routers probe far less often.
  */
 const READINESS_INTERVAL_MS = 20;
 
-/** One running balancer. */
+/** A running daemon. */
 export class CookieDaemon {
   private admin!: AdminServer;
   private stopPromise: Promise<void> | undefined;
@@ -27,11 +26,11 @@
 
   private constructor(
     private readonly components: CookieDaemonComponents,
-    /** The configuration in force. */
+    /** Holds the configuration in force, which `reload` replaces. */
     private readonly current: { config: CookieDaemonConfig },
   ) {}
 
-  /** Binds the sockets and starts to learn. Throws a `SailquayError` when a socket cannot be bound. */
+  /** Binds the sockets and starts all components. Throws a `SailquayError` if a socket cannot be bound. */
   static async start(
     config: CookieDaemonConfig,
     environment: CookieDaemonEnvironment,
@@ -43,7 +42,7 @@
     return daemon;
   }
 
-  /** Whether new flows may come here, with every reason why not. */
+  /** Returns whether routers may send new flows to this daemon, with every reason against it. */
   readiness(): Readiness {
     const { knowledge } = this.components;
     return decideReadiness({
@@ -55,7 +54,7 @@
     });
   }
 
-  /** Applies the reloadable fields of a new configuration and reports those that need a restart. */
+  /** Applies the reloadable fields of a new configuration and logs the changed fields that need a restart. */
   reload(config: CookieDaemonConfig): void {
     const { changed, needsRestart } = compareConfigs(this.current.config, config);
     const { limits, drain, log, seeds, seedPort } = config;
@@ -66,7 +65,7 @@
     });
   }
 
-  /** Ends readiness, drains, and stops. Further calls return the promise of the first. */
+  /** Reports the daemon as not ready, drains and stops. Later calls return the promise of the first call. */
   stop(): Promise<void> {
     this.stopPromise ??= this.drainAndClose();
     return this.stopPromise;
@@ -95,6 +94,7 @@
     this.reportReadiness();
   }
 
+  /** Logs each change of readiness, and checks again later while the daemon is not ready. */
   private reportReadiness(): void {
     const { ready, reasons } = this.readiness();
     if (ready !== this.lastReportedReady) {
--- a/src/cookie-edge/daemon/errors.ts
+++ b/src/cookie-edge/daemon/errors.ts
@@ -1,9 +1,9 @@
-/** Errors of a daemon on a cookie edge: a configuration that cannot be read, or is invalid. */
+/** Errors of a daemon on a cookie edge: its configuration is unreadable or invalid. */
 import { SailquayError } from '../../common/types.js';
 
 type CookieDaemonErrorKind = 'cookie-daemon.config-unreadable' | 'cookie-daemon.config-invalid';
 
-/** The daemon cannot start, or keeps its old configuration. */
+/** Configuration error: the daemon does not start, or keeps its previous configuration after a reload. */
 export class CookieDaemonError extends SailquayError {
   constructor(
     readonly kind: CookieDaemonErrorKind,
--- a/src/cookie-edge/daemon/events.ts
+++ b/src/cookie-edge/daemon/events.ts
@@ -1,4 +1,4 @@
-/** Events of the life of a daemon on a cookie edge (2100–2199). */
+/** Log events of the life cycle of a daemon on a cookie edge (2100–2199). */
 import { defineEvents } from '../../observability/event.js';
 
 export const COOKIE_DAEMON_EVENTS = defineEvents({
@@ -19,21 +19,22 @@
   drainTimedOut: {
     number: 2104,
     level: 'warn',
-    message: 'Drain time-out: packets still arrived',
-    action: 'Check that the routers remove a balancer that is not ready',
+    message: 'Drain timed out while packets still arrived',
+    action: 'Check that routers stop sending packets to a balancer that is not ready',
   },
   stopped: { number: 2105, level: 'info', message: 'Daemon stopped', action: 'none' },
   configReread: {
     number: 2106,
     level: 'info',
     message: 'Configuration reloaded',
-    action: 'Restart the daemon for the fields under needsRestart',
+    action: 'Restart the daemon to apply the fields in needsRestart',
   },
   configRejected: {
     number: 2107,
     level: 'error',
-    message: 'Configuration reload rejected: invalid; the old one stays in force',
-    action: 'Correct the named fields',
+    message:
+      'Configuration reload rejected: the file is unreadable or invalid; the previous configuration stays in force',
+    action: 'Correct the file or the fields that the error names',
   },
   heldPacketsDelivered: {
     number: 2109,
@@ -45,6 +46,6 @@
     number: 2108,
     level: 'error',
     message: 'Uncaught error; the daemon exits',
-    action: 'Report it with the preceding log lines',
+    action: 'Report the error with the preceding log lines',
   },
 });
--- a/src/cookie-edge/daemon/metrics.ts
+++ b/src/cookie-edge/daemon/metrics.ts
@@ -1,7 +1,7 @@
 /**
- * Metrics of a daemon on a cookie edge, in Prometheus' text format: a table of definitions, and the page rendered
- * from it. Owns no numbers; the parts count for themselves. The metrics library is loaded at the first scrape, not at
- * the start.
+ * Metrics of a daemon on a cookie edge in Prometheus' text format: a table of definitions, and the page rendered from
+ * it. Keeps no counters; reads those of the components. Loads the metrics library at the first scrape, not at the
+ * start.
  */
 import type { Readiness } from '../../observability/admin-server.js';
 import type { MetricDefinition } from '../../observability/metrics-page.js';
@@ -11,12 +11,12 @@
 const MICROSECONDS_PER_SECOND = 1_000_000;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What the metrics are read from. */
+/** The components and the readiness from which the metrics are read. */
 interface MetricsSource extends CookieDaemonComponents {
   readonly readiness: Readiness;
 }
 
-/** Type, name without prefix, help, how the value is read, and the label of a metric that has one. */
+/** Type, name without prefix, help text, function that reads the value, and the label, if any. */
 type MetricRow = readonly [
   type: MetricDefinition<MetricsSource>['type'],
   name: string,
@@ -196,7 +196,7 @@
   ['gauge', 'process_resident_memory_bytes', 'Resident memory', () => process.memoryUsage.rss()],
 ];
 
-/** Renders the page. */
+/** Renders the metrics page. */
 export async function renderMetrics(
   components: CookieDaemonComponents,
   readiness: Readiness,
@@ -209,7 +209,7 @@
   return { contentType: page.contentType, text: `${text}${histograms.join('\n')}\n` };
 }
 
-/** Lines of the histograms, which are counted without the library. */
+/** Renders the histograms, which do not use the metrics library. */
 function renderHistograms({ forwarder }: CookieDaemonComponents): readonly string[] {
   return [
     ...forwarder.statistics.handshake.render(
--- a/src/cookie-edge/daemon/readiness.test.ts
+++ b/src/cookie-edge/daemon/readiness.test.ts
@@ -4,12 +4,12 @@
 const READY_INPUTS = { isStopping: false, hasRoutes: true, missingTopics: [] } as const;
 
 const CASES = [
-  { name: 'everything is known', change: {}, reasons: [] },
+  { name: 'all topics are known', change: {}, reasons: [] },
   { name: 'a stop was requested', change: { isStopping: true }, reasons: ['stopping'] },
   { name: 'no routes yet', change: { hasRoutes: false }, reasons: ['no routes'] },
   { name: 'no back ends yet', change: { missingTopics: ['backends'] }, reasons: ['no backends'] },
   {
-    name: 'nothing is known, and a stop was requested',
+    name: 'no topic is known, and a stop was requested',
     change: { isStopping: true, hasRoutes: false, missingTopics: ['backends', 'cordons'] },
     reasons: ['stopping', 'no routes', 'no backends', 'no cordons'],
   },
--- a/src/cookie-edge/daemon/readiness.ts
+++ b/src/cookie-edge/daemon/readiness.ts
@@ -1,14 +1,14 @@
 /**
- * Rule: whether routers may send new flows to this daemon. Does no input or output.
+ * Decides whether routers may send new flows to this daemon. Does no input or output.
  *
- * Prevents new flows at a daemon that would refuse them for lack of knowledge, or that is about to end. Reports every
- * reason and not only the first, the stop before missing topics. Knowledge of any age counts, so that a daemon that is
- * cut off from the source keeps serving.
+ * Prevents new flows from reaching a daemon that would refuse them for lack of routes or back ends, or that is about to
+ * stop. Reports all reasons, a requested stop before missing topics. Routes and back ends of any age count, so that a
+ * daemon that is cut off from the source keeps serving.
  */
 import type { Readiness } from '../../observability/admin-server.js';
 import type { RoutingTopic } from '../routing/index.js';
 
-/** Why the daemon is not ready, as the readiness page and event 2102 name it. */
+/** Reason why the daemon is not ready, as shown on the readiness page and in event 2102. */
 type UnreadyReason = 'stopping' | `no ${RoutingTopic}`;
 
 /** Inputs of the rule. */
@@ -17,11 +17,11 @@
   readonly isStopping: boolean;
   /** A table of routes is in force. */
   readonly hasRoutes: boolean;
-  /** Topics that are followed besides routes and of which no revision was received, in their order. */
+  /** Topics other than routes that the daemon follows but has received no revision of, in order. */
   readonly missingTopics: readonly RoutingTopic[];
 }
 
-/** Decides whether the daemon is ready, with every reason why not. */
+/** Returns whether the daemon is ready, with every reason against it. */
 export function decideReadiness({ isStopping, hasRoutes, missingTopics }: ReadinessInputs): Readiness {
   const reasons: UnreadyReason[] = [];
   if (isStopping) reasons.push('stopping');
--- a/src/cookie-edge/daemon/run.ts
+++ b/src/cookie-edge/daemon/run.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a daemon on a cookie edge as the process. Owns the configuration file, the log, signals, uncaught errors and
- * the exit code; relies on `CookieDaemon` for the rest.
+ * Runs a daemon on a cookie edge as a process. Handles the configuration file, the log, signals, uncaught errors and
+ * the exit code; `CookieDaemon` does the rest.
  */
 import { statSync } from 'node:fs';
 import { SystemClock, type Clock } from '../../common/clock.js';
@@ -15,12 +15,12 @@
 import { CookieDaemon } from './cookie-daemon.js';
 import { COOKIE_DAEMON_EVENTS } from './events.js';
 
-/** Largest seed of the random source, which takes 31 bits. */
+/** Largest seed of the random source: 31 bits. */
 const MAX_SEED = 0x7fff_ffff;
 const EXIT_SUCCESS = 0;
 const EXIT_FAILURE = 1;
 
-/** Runs until SIGTERM or SIGINT has been carried out; resolves to the exit code. Throws when it cannot start. */
+/** Runs until the daemon has stopped after SIGTERM or SIGINT. Resolves to the exit code; rejects if it cannot start. */
 export async function runCookieDaemon(configPath: string, adapters: DeploymentAdapters): Promise<number> {
   const config = await loadCookieDaemonConfig(configPath);
   const clock = new SystemClock();
@@ -42,7 +42,7 @@
   return EXIT_SUCCESS;
 }
 
-/** Collaborators of rereading the configuration. */
+/** Arguments for reloading the configuration. */
 interface ReloadContext {
   readonly configPath: string;
   readonly clock: Clock;
@@ -50,7 +50,7 @@
   readonly daemon: CookieDaemon;
 }
 
-/** Rereads the file on SIGHUP, and when its modification time changes without a signal. */
+/** Reloads the configuration on SIGHUP and when the modification time of its file changes. */
 function reloadOnChange(context: ReloadContext): void {
   const { configPath, clock } = context;
   let lastModifiedMs = modificationTimeMs(configPath);
@@ -73,6 +73,7 @@
   return statSync(path, { throwIfNoEntry: false })?.mtimeMs;
 }
 
+/** Applies the new configuration; logs the error and keeps the previous one if it is unreadable or invalid. */
 async function reloadConfig({ configPath, events, daemon }: ReloadContext): Promise<void> {
   try {
     const config = await loadCookieDaemonConfig(configPath);
@@ -84,6 +85,7 @@
   }
 }
 
+/** Stops the daemon on SIGTERM or SIGINT; resolves when it has stopped. */
 function waitForStop(daemon: CookieDaemon): Promise<void> {
   return new Promise((resolve, reject) => {
     const onSignal = (): void => {
--- a/src/cookie-edge/daemon/shutdown.test.ts
+++ b/src/cookie-edge/daemon/shutdown.test.ts
@@ -5,7 +5,7 @@
 const TIMES = { minMs: 1_300, quietMs: 400, maxMs: 3_000 };
 const STEPS = ['leave', 'cancelTimers', 'stopReading', 'close'];
 
-/** Steps of a stop, each with its time, while a packet arrives every 50 ms until `lastPacketMs`. */
+/** Runs a shutdown while a packet arrives every 50 ms until `lastPacketMs`; returns its steps and its duration. */
 async function runShutdown(lastPacketMs: number): Promise<{ names: string[]; endedMs: number }> {
   const clock = new VirtualClock();
   const startedMs = clock.now();
@@ -27,9 +27,9 @@
 }
 
 const CASES = [
-  { name: 'routers that turn away at once', lastPacketMs: 0, steps: STEPS, endedMs: 1_700 },
-  { name: 'routers that turn away after a while', lastPacketMs: 2_000, steps: STEPS, endedMs: 2_400 },
-  { name: 'routers that never turn away', lastPacketMs: 9_000, steps: ['timeout', ...STEPS], endedMs: 3_000 },
+  { name: 'routers stop sending at once', lastPacketMs: 0, steps: STEPS, endedMs: 1_700 },
+  { name: 'routers stop sending after a while', lastPacketMs: 2_000, steps: STEPS, endedMs: 2_400 },
+  { name: 'routers never stop sending', lastPacketMs: 9_000, steps: ['timeout', ...STEPS], endedMs: 3_000 },
 ];
 
 for (const { name, lastPacketMs, steps, endedMs } of CASES) {
--- a/src/cookie-edge/daemon/shutdown.ts
+++ b/src/cookie-edge/daemon/shutdown.ts
@@ -1,33 +1,34 @@
 /**
- * Rule: in which order a daemon stops, and how long it keeps forwarding.
+ * Stops a daemon: defines the order of the steps and how long the daemon keeps forwarding.
  *
- * Prevents packets that reach a closed socket while routers still send them. The daemon is unready from the request
- * on. It forwards for `minMs` in any case, because routers need failed readiness probes to notice, and then until no
- * packet came for `quietMs`, but for `maxMs` in all (`waitUntilQuiet` decides that). Until then it takes part in
- * gossip; then it announces its leave, cancels its timers, ends the calls to the source, and closes the sockets
- * together.
+ * Prevents routers from sending packets to a closed socket. The daemon reports itself not ready from the stop request
+ * on. It forwards for at least `minMs`, because routers notice only after failed readiness probes. It then forwards
+ * until no packet has arrived for `quietMs`, but for no more than `maxMs` in total (`waitUntilQuiet` decides this), and
+ * takes part in gossip all that time. Finally it announces its leave, cancels its timers, aborts the calls to the
+ * source and closes all sockets at once.
  */
 import type { Clock } from '../../common/clock.js';
 import { delay, waitUntilQuiet } from '../../common/drain.js';
 
-/** Times of a stop in ms; see the fields of the configuration. */
+/** Durations in ms; see `drain` in the configuration. */
 interface DrainTimes {
   readonly minMs: number;
   readonly quietMs: number;
   readonly maxMs: number;
 }
 
-/** What a stop acts on, in the order of its use. */
+/** Steps of a stop and their dependencies, in order of use. */
 interface ShutdownSteps {
   readonly clock: Clock;
   /** Packets received since start. */
   readonly packetsReceived: () => number;
-  /** Called when packets still arrive at the end of the longest time. */
+  /** Called if packets still arrive when `maxMs` has passed. */
   readonly onTimeout: () => void;
-  /** Announces to peers that this daemon stops. */
+  /** Announces to the peers that this daemon leaves. */
   readonly leave: () => void;
   /** Cancels the timers of forwarding and gossip. */
   readonly cancelTimers: () => void;
+  /** Aborts the calls to the source. */
   readonly stopReading: () => void;
   /** Closes all sockets. */
   readonly close: () => Promise<unknown>;
--- a/src/cookie-edge/daemon/source-reading.ts
+++ b/src/cookie-edge/daemon/source-reading.ts
@@ -1,11 +1,12 @@
 /**
- * Starts and stops this daemon's calls to the source. Owns the followers of all topics: the first reading at the start,
- * and following while this daemon is a reader. Relies on `SourceFollower` and `LoadReader` for the calls themselves.
+ * Starts and stops this daemon's calls to the source: one read of each topic at the start, and continuous following
+ * while this daemon is a reader. Owns one `SourceFollower` for each topic. The followers and `LoadReader` make the
+ * calls.
  */
 import type { LoadReader } from '../load/index.js';
 import { SourceFollower, type SourceFollowerOptions } from '../routing/index.js';
 
-/** First reading and following of all topics. */
+/** Reads all topics once at the start, and follows them while this daemon is a reader. */
 export class SourceReading {
   private readonly followers: readonly SourceFollower[];
   private followAbort: AbortController | undefined;
@@ -23,7 +24,7 @@
     return this.followers.reduce((sum, { calls }) => sum + calls, this.loadReader.calls);
   }
 
-  /** Reads every topic once, unless gossip brings it sooner. */
+  /** Reads every topic once, unless gossip delivers it first. */
   readFirst(): void {
     const readings = this.followers.map((follower) => follower.readFirst(this.lifetimeAbort.signal));
     void Promise.all(readings).then(() => {
@@ -31,7 +32,7 @@
     });
   }
 
-  /** Starts following, or ends it and aborts the calls under way. */
+  /** Starts to follow all topics, or stops and aborts the calls in progress. */
   setFollowing(isReading: boolean): void {
     if (isReading === (this.followAbort !== undefined)) return;
     if (!isReading) return this.stopFollowing();
@@ -42,7 +43,7 @@
     void this.loadReader.run(followAbort.signal);
   }
 
-  /** Aborts every call. */
+  /** Aborts all calls. */
   stop(): void {
     this.lifetimeAbort.abort();
     this.stopFollowing();
--- a/src/cookie-edge/daemon/startup-buffer.test.ts
+++ b/src/cookie-edge/daemon/startup-buffer.test.ts
@@ -21,7 +21,7 @@
   cookie: 7,
 };
 
-/** A buffer on a virtual clock whose edge delivers the packets that it kept, as the real one does. */
+/** A buffer on a virtual clock with an edge that, as the real one, delivers the packets that it kept. */
 function createBuffer() {
   const clock = new VirtualClock();
   const buffer = new StartupBuffer({ clock, events: SILENT_EVENT_LOG });
@@ -47,7 +47,7 @@
 
 const syn = (sourcePort: number): Partial<CookiePacket> => ({ syn: true, ack: false, cookie: 0, sourcePort });
 
-test('what comes before anything is known is handled once it is, in its order', (t) => {
+test('buffered packets are delivered in order of arrival when the buffer is flushed', (t) => {
   const { clock, buffer, handled, handler, deliver } = createBuffer();
   deliver({ sourcePort: 1 });
   clock.advance(20);
@@ -60,7 +60,7 @@
   t.deepEqual(handled, ['data 1', 'syn 2', 'data 3']);
 });
 
-test('a SYN of which the caller may have sent a copy meanwhile is not placed; packets of open flows go on', (t) => {
+test('a SYN whose caller may have retransmitted it is dropped; packets of open flows are delivered', (t) => {
   const { clock, buffer, handled, handler, deliver } = createBuffer();
   deliver(syn(1));
   deliver({ sourcePort: 2 });
@@ -69,7 +69,7 @@
   t.deepEqual(handled, ['data 2']);
 });
 
-test('long after the binding only a SYN that was just read is placed', (t) => {
+test('long after the binding only a SYN that was just read is delivered', (t) => {
   const { clock, buffer, handled, handler, deliver } = createBuffer();
   clock.advance(1_000);
   deliver(syn(1));
@@ -80,14 +80,14 @@
   t.deepEqual(handled, ['syn 2']);
 });
 
-test('what is held is bounded', (t) => {
+test('the number of buffered packets is bounded', (t) => {
   const { buffer, handled, handler, deliver } = createBuffer();
   for (let port = 1; port <= MAX_BUFFERED_PACKETS + 5; port += 1) deliver({ sourcePort: port });
   buffer.flushTo(handler);
   t.is(handled.length, MAX_BUFFERED_PACKETS);
 });
 
-test('drops before the opening are nobody’s, and afterwards the handler counts them', (t) => {
+test('drops reported before the flush are ignored, and later ones reach the handler', (t) => {
   const { buffer, handled, handler } = createBuffer();
   buffer.onDrop('truncated');
   buffer.flushTo(handler);
--- a/src/cookie-edge/daemon/startup-buffer.ts
+++ b/src/cookie-edge/daemon/startup-buffer.ts
@@ -1,7 +1,7 @@
 /**
- * Buffers packets from the binding of the edge until routes and back ends are known, and then delivers them. Carries
- * out the rule in `buffered-packets.ts`. Owns the buffered packets; relies on the edge to keep a packet's bytes until
- * it is delivered.
+ * Buffers packets from the binding of the edge until routes and back ends are known, and then delivers them. Applies
+ * the rule in `buffered-packets.ts`. Owns the buffered packets; relies on the edge to keep a packet's bytes until it is
+ * delivered.
  */
 import type { Clock } from '../../common/clock.js';
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
@@ -12,27 +12,27 @@
 import { decideOnFlush, decideOnArrival, longestWaitMs } from './buffered-packets.js';
 import { COOKIE_DAEMON_EVENTS } from './events.js';
 
-/** A packet that waits for the opening of the buffer. */
+/** A packet that waits for the flush. */
 interface BufferedPacket {
-  /** How many times its caller had sent this SYN before; undefined for a packet that is no SYN. */
+  /** Number of times that the caller had sent this SYN before; undefined if the packet is not a SYN. */
   readonly retransmissions: number | undefined;
-  /** Monotonic ms at which it was read; it may have waited in the socket since the binding. */
+  /** Monotonic ms at which the packet was read from the socket, where it may have waited since the binding. */
   readonly readAtMs: number;
+  /** Passes the packet to `onPacket`; `waitedMs` is an upper bound on its waiting time. */
   readonly deliver: (waitedMs: number) => void;
 }
 
 /** The part of an edge that the buffer uses. */
 type BufferedEdge = Pick<BoundCookieEdge, 'keepPacket' | 'boundAtMs'>;
 
-/** Collaborators of a buffer. */
 interface StartupBufferOptions {
   readonly clock: Clock;
   readonly events: EventLog;
-  /** Mechanisms that are on; all unless given. */
+  /** Returns whether a mechanism is switched on; all are on by default. */
   readonly isOn?: MechanismCheck;
 }
 
-/** Handler of the edge during start-up. Call `attach` as soon as the edge is bound, and `open` once. */
+/** Packet handler of the edge. Call `attach` as soon as the edge is bound, and `flushTo` once. */
 export class StartupBuffer implements CookieEdgeHandler {
   private handler: CookieEdgeHandler | undefined;
   private edge: BufferedEdge | undefined;
@@ -42,18 +42,20 @@
 
   constructor(private readonly options: StartupBufferOptions) {}
 
-  /** True until `open` is called. */
+  /** True until `flushTo` is called. */
   get isBuffering(): boolean {
     return this.handler === undefined;
   }
 
-  /** Sets the edge that was just bound. */
+  /** Sets the edge. Packets that arrive earlier are dropped. */
   attach(edge: BufferedEdge): void {
     this.edge = edge;
     this.edgeBoundAtMs = edge.boundAtMs;
   }
 
-  /** Delivers the buffered packets that are not too old to `handler`, in their order, and from now on every packet. */
+  /**
+   * Delivers to `handler` the buffered packets that are not too old, in order of arrival, and then every new packet.
+   */
   flushTo(handler: CookieEdgeHandler): void {
     this.handler = handler;
     const nowMs = this.options.clock.now();
--- a/src/cookie-edge/daemon/status.ts
+++ b/src/cookie-edge/daemon/status.ts
@@ -1,4 +1,4 @@
-/** Status page of a daemon on a cookie edge, and the numbers of its last log line. Owns nothing: reads the parts. */
+/** Status page of a daemon on a cookie edge, and the totals in its last log line. Reads both from the components. */
 import type { Readiness } from '../../observability/admin-server.js';
 import type { BackendKnowledge, RoutingTopic } from '../routing/index.js';
 import type { CookieDaemonComponents } from './components.js';
@@ -15,14 +15,14 @@
   readonly readiness: Readiness;
   readonly routesVersion: number | undefined;
   readonly backends: BackendCounts;
-  /** How far the list of back ends is known. */
+  /** Whether the list of back ends is unknown, settling or settled. */
   readonly backendKnowledge: BackendKnowledge;
-  /** Ids of back ends of the roster that are not listed yet. */
+  /** Ids of back ends from the roster that are not in the list yet. */
   readonly awaitedBackends: readonly string[];
   readonly heldOpenings: number;
   readonly openFlows: number;
   readonly outstandingRequests: number;
-  /** Ids of outliers that are avoided now. */
+  /** Ids of outliers that get no new flows now. */
   readonly avoidedBackends: readonly string[];
   readonly cordonedZones: readonly string[];
   readonly knowledgeAgeMs: Readonly<Partial<Record<RoutingTopic, number>>>;
@@ -32,7 +32,7 @@
   readonly peers: number;
 }
 
-/** Reads the status page from the parts. */
+/** Builds the status page. */
 export function describeStatus(components: CookieDaemonComponents, readiness: Readiness): CookieDaemonStatus {
   const { knowledge, settlement, forwarder, availability, spreader } = components;
   return {
@@ -54,7 +54,7 @@
   };
 }
 
-/** Totals for the last log line. */
+/** Returns the totals since start for the last log line. */
 export function summarize({
   forwarder,
   reading,
@@ -94,7 +94,7 @@
   return counts;
 }
 
-/** Age of each topic that is followed, in the unit that `convert` makes of milliseconds. */
+/** Returns the age of each followed topic; `convert` converts it from ms. */
 export function topicAges(
   { knowledge }: CookieDaemonComponents,
   convert: (ageMs: number) => number,
@@ -102,7 +102,7 @@
   return Object.fromEntries(knowledge.topics.map((topic) => [topic, convert(knowledge.ageOf(topic))]));
 }
 
-/** Revision of the source up to which each topic that is followed is known; -1 before the first answer. */
+/** Returns the latest known source revision of each followed topic; -1 before the first response. */
 export function topicRevisions({
   knowledge,
 }: CookieDaemonComponents): Readonly<Partial<Record<RoutingTopic, number>>> {
