--- a/src/cookie-edge/daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -71,7 +71,7 @@
 }
 
 /** The components that read the source and keep what they read. */
-type SourceParts = ReturnType<typeof createSourceParts>;
+type SourceComponents = ReturnType<typeof createSourceComponents>;
 
 /**
  * Binds the sockets, the edge first, and wires all components. Starts only the first read of the source, whose response
@@ -96,20 +96,20 @@
     spreader: () => spreader,
     forwarder: () => forwarder,
   };
-  const sourceParts = createSourceParts(wiring);
-  const { knowledge, availability, reading } = sourceParts;
+  const sourceComponents = createSourceComponents(wiring);
+  const { knowledge, availability, reading } = sourceComponents;
   reading.readFirst();
   const transport = await NetworkTransport.open(config().control, events);
-  const spreader = createSpreader(wiring, sourceParts, transport);
+  const spreader = createSpreader(wiring, sourceComponents, transport);
   availability.setMinimumRetryDelay(() => spreader.minimumRetryDelayMs());
-  const roster = createRoster(wiring, sourceParts);
+  const roster = createRoster(wiring, sourceComponents);
   const fleetSize = (): number | undefined => estimateFleetSize(spreader, roster);
-  const forwarder = createForwarder(wiring, sourceParts, edge, fleetSize);
+  const forwarder = createForwarder(wiring, sourceComponents, edge, fleetSize);
   flushWhenComplete(buffer, knowledge, forwarder);
-  return { ...environment, ...sourceParts, edge, transport, roster, spreader, forwarder };
+  return { ...environment, ...sourceComponents, edge, transport, roster, spreader, forwarder };
 }
 
-function createSourceParts(wiring: Wiring) {
+function createSourceComponents(wiring: Wiring) {
   const { clock, random, events, adapters, isOn, spreader } = wiring;
   const { source: address, maxFlowAgeMs, changeBoundsMs, cordonBoundMs } = wiring.config();
   const retentionMs = isOn('departed-backends') ? maxFlowAgeMs : 0;
@@ -153,11 +153,11 @@
  * Creates the roster tasks, which `CookieDaemon` starts. Returns undefined if no roster is configured or the mechanism
  * is switched off.
  */
-function createRoster(wiring: Wiring, parts: SourceParts): RosterTasks | undefined {
+function createRoster(wiring: Wiring, sourceComponents: SourceComponents): RosterTasks | undefined {
   const { clock, events, isOn, spreader } = wiring;
   const { roster, changeBoundsMs } = wiring.config();
   if (!roster || !isOn('roster')) return undefined;
-  const { source: store, knowledge, settlement } = parts;
+  const { source: store, knowledge, settlement } = sourceComponents;
   const writer = new RosterWriter({
     clock,
     events,
@@ -181,9 +181,13 @@
   return Math.max(spreader.fleetSize, roster?.reader.recordedFleetSize ?? 0);
 }
 
-function createSpreader(wiring: Wiring, parts: SourceParts, transport: NetworkTransport): Spreader {
+function createSpreader(
+  wiring: Wiring,
+  sourceComponents: SourceComponents,
+  transport: NetworkTransport,
+): Spreader {
   const { clock, random, events, config, isOn, pauseDetector, loadView, forwarder } = wiring;
-  const { knowledge, timings, availability, settlement, reading } = parts;
+  const { knowledge, timings, availability, settlement, reading } = sourceComponents;
   const { id, zone } = config();
   return new Spreader({
     selfId: id,
@@ -210,7 +214,7 @@
 
 function createForwarder(
   wiring: Wiring,
-  { knowledge, settlement }: SourceParts,
+  { knowledge, settlement }: SourceComponents,
   edge: BoundCookieEdge,
   fleetSize: () => number | undefined,
 ): CookieForwarder {
--- a/src/cookie-edge/daemon/startup-buffer.test.ts
+++ b/src/cookie-edge/daemon/startup-buffer.test.ts
@@ -45,13 +45,18 @@
   return { clock, buffer, handled, handler, deliver };
 }
 
-const syn = (sourcePort: number): Partial<CookiePacket> => ({ syn: true, ack: false, cookie: 0, sourcePort });
+const synFrom = (sourcePort: number): Partial<CookiePacket> => ({
+  syn: true,
+  ack: false,
+  cookie: 0,
+  sourcePort,
+});
 
 test('buffered packets are delivered in order of arrival when the buffer is flushed', (t) => {
   const { clock, buffer, handled, handler, deliver } = createBuffer();
   deliver({ sourcePort: 1 });
   clock.advance(20);
-  deliver(syn(2));
+  deliver(synFrom(2));
   clock.advance(20);
   t.deepEqual(handled, []);
   buffer.flushTo(handler);
@@ -62,7 +67,7 @@
 
 test('a SYN whose caller may have retransmitted it is dropped; packets of open flows are delivered', (t) => {
   const { clock, buffer, handled, handler, deliver } = createBuffer();
-  deliver(syn(1));
+  deliver(synFrom(1));
   deliver({ sourcePort: 2 });
   clock.advance(MAX_BUFFERED_SYN_MS + 1);
   buffer.flushTo(handler);
@@ -72,9 +77,9 @@
 test('long after the binding only a SYN that was just read is delivered', (t) => {
   const { clock, buffer, handled, handler, deliver } = createBuffer();
   clock.advance(1_000);
-  deliver(syn(1));
+  deliver(synFrom(1));
   clock.advance(10);
-  deliver(syn(2));
+  deliver(synFrom(2));
   clock.advance(MAX_BUFFERED_SYN_AFTER_READ_MS);
   buffer.flushTo(handler);
   t.deepEqual(handled, ['syn 2']);
--- a/src/cookie-edge/daemon/startup-buffer.ts
+++ b/src/cookie-edge/daemon/startup-buffer.ts
@@ -37,7 +37,7 @@
   private handler: CookieEdgeHandler | undefined;
   private edge: BufferedEdge | undefined;
   private edgeBoundAtMs = 0;
-  private buffered: BufferedPacket[] = [];
+  private bufferedPackets: BufferedPacket[] = [];
   private overflowCount = 0;
 
   constructor(private readonly options: StartupBufferOptions) {}
@@ -60,12 +60,12 @@
     this.handler = handler;
     const nowMs = this.options.clock.now();
     const boundForMs = nowMs - this.edgeBoundAtMs;
-    const deliverable = this.buffered.filter(
+    const deliverable = this.bufferedPackets.filter(
       ({ retransmissions, readAtMs }) =>
         decideOnFlush({ retransmissions, boundForMs, readAgoMs: nowMs - readAtMs }) === 'deliver',
     );
-    const bufferedCount = this.buffered.length;
-    this.buffered = [];
+    const bufferedCount = this.bufferedPackets.length;
+    this.bufferedPackets = [];
     for (const { deliver, readAtMs } of deliverable) deliver(longestWaitMs(nowMs - readAtMs, boundForMs));
     if (bufferedCount === 0) return;
     this.options.events.emit(COOKIE_DAEMON_EVENTS.heldPacketsDelivered, {
@@ -83,11 +83,11 @@
     const outcome = decideOnArrival({
       isBufferingOn: isOn('held-packets'),
       isAttached: edge !== undefined,
-      bufferedCount: this.buffered.length,
+      bufferedCount: this.bufferedPackets.length,
     });
     if (outcome === 'drop-buffer-full') this.overflowCount += 1;
     if (outcome !== 'hold' || !edge) return;
-    this.buffered.push({
+    this.bufferedPackets.push({
       retransmissions: packet.syn && !packet.ack ? packet.retransmissionCount : undefined,
       readAtMs: this.options.clock.now(),
       deliver: edge.keepPacket(),
--- a/src/cookie-edge/roster/roster-pages.ts
+++ b/src/cookie-edge/roster/roster-pages.ts
@@ -31,15 +31,15 @@
   );
 }
 
-/** Returns true if `stored` differs from `wanted` in a way that justifies a write. */
-export function needsWriting(stored: RosterPage | undefined, wanted: RosterPage): boolean {
-  const unmatched = new Map(stored?.entries.map((entry) => [entry.record.id, entry]));
-  for (const entry of wanted.entries) {
-    const storedEntry = unmatched.get(entry.record.id);
-    unmatched.delete(entry.record.id);
+/** Returns true if `storedPage` differs from `desiredPage` in a way that justifies a write. */
+export function needsWriting(storedPage: RosterPage | undefined, desiredPage: RosterPage): boolean {
+  const unmatchedById = new Map(storedPage?.entries.map((entry) => [entry.record.id, entry]));
+  for (const entry of desiredPage.entries) {
+    const storedEntry = unmatchedById.get(entry.record.id);
+    unmatchedById.delete(entry.record.id);
     if (storedEntry ? !isSameEntry(storedEntry, entry) : !entry.hasLeft) return true;
   }
-  return [...unmatched.values()].some(({ hasLeft }) => !hasLeft);
+  return [...unmatchedById.values()].some(({ hasLeft }) => !hasLeft);
 }
 
 /** Compares the fields whose change justifies a write. */
--- a/src/cookie-edge/roster/roster-writer.ts
+++ b/src/cookie-edge/roster/roster-writer.ts
@@ -59,16 +59,16 @@
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await pause(this.options.clock, ROSTER_CHECK_MS, signal);
-      if (!signal.aborted) await this.check(signal);
+      if (!signal.aborted) await this.checkOnce(signal);
     }
   }
 
-  private async check(signal: AbortSignal): Promise<void> {
+  private async checkOnce(signal: AbortSignal): Promise<void> {
     const outcome = this.decide();
     if (outcome === 'stand-by') this.cache = undefined;
     if (outcome !== 'write') return;
     if (this.cache?.epoch !== this.epoch && !(await this.readPages(signal))) return;
-    await this.writePages(signal);
+    await this.writeOutdatedPages(signal);
   }
 
   private get epoch(): number {
@@ -109,7 +109,7 @@
   }
 
   /** Writes the outdated pages. Evaluates the rule before each write, because its inputs may change during a call. */
-  private async writePages(signal: AbortSignal): Promise<void> {
+  private async writeOutdatedPages(signal: AbortSignal): Promise<void> {
     const outdatedPages = [...buildPages(this.options.knowledge).values()].filter((page) =>
       needsWriting(this.cache?.byService.get(page.service)?.page, page),
     );
