--- a/src/cookie-edge/daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -1,8 +1,8 @@
 /**
- * Wires the parts of a daemon on a cookie edge. Owns the order in which they are created, which also is the order in
- * which they draw from the shared random source. Gossip and forwarding call each other, and reading the source calls
- * gossip: a part that is created earlier gets a function that returns the later one, and calls it only after
- * everything is wired.
+ * Creates and wires the components of a daemon on a cookie edge. Their order of creation is also the order in which
+ * they draw from the shared random source. Some dependencies are circular: gossip and forwarding call each other, and
+ * the reading of the source calls gossip. A component that is created earlier therefore gets a function that returns
+ * the later one, and calls it only after all components are wired.
  */
 import type { Clock } from '../../common/clock.js';
 import { hashString } from '../../common/hash.js';
@@ -29,7 +29,7 @@
 import { SourceReading } from './source-reading.js';
 import { StartupBuffer } from './startup-buffer.js';
 
-/** What a daemon needs from its surroundings. */
+/** External dependencies of a daemon. */
 export interface CookieDaemonEnvironment {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -37,14 +37,14 @@
   readonly adapters: DeploymentAdapters;
 }
 
-/** The wired parts. */
+/** The wired components. */
 export interface CookieDaemonComponents extends CookieDaemonEnvironment {
   readonly edge: BoundCookieEdge;
   readonly knowledge: RoutingKnowledge;
   readonly availability: SourceAvailability;
   readonly settlement: BackendSettlement;
-  /** Undefined where the deployment keeps no roster. */
-  readonly roster: Roster | undefined;
+  /** Undefined if no roster is configured or the mechanism is switched off. */
+  readonly roster: RosterTasks | undefined;
   readonly problems: ProblemLog;
   readonly history: SourceHistoryLog;
   readonly reading: SourceReading;
@@ -54,28 +54,28 @@
 }
 
 /** The tasks that read and write the roster. */
-interface Roster {
+interface RosterTasks {
   readonly reader: RosterReader;
   readonly writer: RosterWriter;
 }
 
-/** What every factory uses. */
+/** Dependencies shared by the factory functions. */
 interface Wiring extends CookieDaemonEnvironment {
-  /** The configuration in force, which a reload may change. */
+  /** Returns the configuration in force, which a reload may change. */
   readonly config: () => CookieDaemonConfig;
   readonly isOn: MechanismCheck;
-  readonly pauses: PauseDetector;
-  readonly loads: LoadView;
+  readonly pauseDetector: PauseDetector;
+  readonly loadView: LoadView;
   readonly spreader: () => Spreader;
   readonly forwarder: () => CookieForwarder;
 }
 
-/** The parts that learn from the source. */
-type SourceParts = ReturnType<typeof createSourceParts>;
+/** The components that read the source and keep what they read. */
+type SourceComponents = ReturnType<typeof createSourceComponents>;
 
 /**
- * Binds the sockets, the edge first, and wires everything. Only the first reading of the source runs already, since
- * its response arrives while the rest is wired. Throws a `SailquayError` when a socket cannot be bound.
+ * Binds the sockets, the edge first, and wires all components. Starts only the first read of the source, whose response
+ * can then arrive while the rest is wired. Throws a `SailquayError` if a socket cannot be bound.
  */
 export async function wireCookieDaemon(
   config: () => CookieDaemonConfig,
@@ -84,32 +84,32 @@
   const { clock, events, adapters } = environment;
   const isOn = allBut(config().switchedOff);
   const buffer = new StartupBuffer({ clock, events, isOn });
-  const pauses = new PauseDetector(clock.now(), HOUSEKEEPING_TICK_MS);
+  const pauseDetector = new PauseDetector(clock.now(), HOUSEKEEPING_TICK_MS);
   const edge = await adapters.openEdge({ data: config().data, handler: buffer, events, clock });
   buffer.attach(edge);
   const wiring: Wiring = {
     ...environment,
     config,
     isOn,
-    pauses,
-    loads: new LoadView(),
+    pauseDetector,
+    loadView: new LoadView(),
     spreader: () => spreader,
     forwarder: () => forwarder,
   };
-  const sourceParts = createSourceParts(wiring);
-  const { knowledge, availability, reading } = sourceParts;
+  const sourceComponents = createSourceComponents(wiring);
+  const { knowledge, availability, reading } = sourceComponents;
   reading.readFirst();
   const transport = await NetworkTransport.open(config().control, events);
-  const spreader = createSpreader(wiring, sourceParts, transport);
+  const spreader = createSpreader(wiring, sourceComponents, transport);
   availability.setMinimumRetryDelay(() => spreader.minimumRetryDelayMs());
-  const roster = createRoster(wiring, sourceParts);
-  const fleetSize = (): number | undefined => fleetSizeOf(spreader, roster);
-  const forwarder = createForwarder(wiring, sourceParts, edge, fleetSize);
-  openWhenComplete(buffer, knowledge, forwarder);
-  return { ...environment, ...sourceParts, edge, transport, roster, spreader, forwarder };
+  const roster = createRoster(wiring, sourceComponents);
+  const fleetSize = (): number | undefined => estimateFleetSize(spreader, roster);
+  const forwarder = createForwarder(wiring, sourceComponents, edge, fleetSize);
+  flushWhenComplete(buffer, knowledge, forwarder);
+  return { ...environment, ...sourceComponents, edge, transport, roster, spreader, forwarder };
 }
 
-function createSourceParts(wiring: Wiring) {
+function createSourceComponents(wiring: Wiring) {
   const { clock, random, events, adapters, isOn, spreader } = wiring;
   const { source: address, maxFlowAgeMs, changeBoundsMs, cordonBoundMs } = wiring.config();
   const retentionMs = isOn('departed-backends') ? maxFlowAgeMs : 0;
@@ -128,7 +128,7 @@
   const logs = { problems: new ProblemLog(events), history: new SourceHistoryLog(events) };
   const recordsMayLapse = (): boolean => availability.recordsMayLapse();
   const settlement = new BackendSettlement({ clock, events, knowledge, recordsMayLapse });
-  const following = {
+  const followerOptions = {
     clock,
     source,
     knowledge,
@@ -145,16 +145,19 @@
     availability,
     settlement,
     ...logs,
-    reading: new SourceReading(following, loadReader),
+    reading: new SourceReading(followerOptions, loadReader),
   };
 }
 
-/** The tasks run once the daemon does; undefined without a configuration of the roster. */
-function createRoster(wiring: Wiring, parts: SourceParts): Roster | undefined {
+/**
+ * Creates the roster tasks, which `CookieDaemon` starts. Returns undefined if no roster is configured or the mechanism
+ * is switched off.
+ */
+function createRoster(wiring: Wiring, sourceComponents: SourceComponents): RosterTasks | undefined {
   const { clock, events, isOn, spreader } = wiring;
   const { roster, changeBoundsMs } = wiring.config();
   if (!roster || !isOn('roster')) return undefined;
-  const { source: store, knowledge, settlement } = parts;
+  const { source: store, knowledge, settlement } = sourceComponents;
   const writer = new RosterWriter({
     clock,
     events,
@@ -164,25 +167,32 @@
     isLeading: () => spreader().isLeadingReader,
     fleetSize: () => spreader().fleetSize,
     isSettled: () => !settlement.isUnsettled,
-    currentWithinMs: Math.min(...changeBoundsMs),
+    maxConfirmationAgeMs: Math.min(...changeBoundsMs),
   });
   return { reader: new RosterReader({ clock, events, knowledge, settlement, store }), writer };
 }
 
-/** A start knows few peers at first, but the roster tells how many daemons there were; undefined until it is read. */
-function fleetSizeOf(spreader: Spreader, roster: Roster | undefined): number | undefined {
+/**
+ * Returns the larger of the fleet sizes known from gossip and from the roster, since a starting daemon knows few peers.
+ * Returns undefined while the read of the roster is pending.
+ */
+function estimateFleetSize(spreader: Spreader, roster: RosterTasks | undefined): number | undefined {
   if (roster?.reader.isPending) return undefined;
-  return Math.max(spreader.fleetSize, roster?.reader.daemons ?? 0);
+  return Math.max(spreader.fleetSize, roster?.reader.recordedFleetSize ?? 0);
 }
 
-function createSpreader(wiring: Wiring, parts: SourceParts, transport: NetworkTransport): Spreader {
-  const { clock, random, events, config, isOn, pauses, loads, forwarder } = wiring;
-  const { knowledge, timings, availability, settlement, reading } = parts;
+function createSpreader(
+  wiring: Wiring,
+  sourceComponents: SourceComponents,
+  transport: NetworkTransport,
+): Spreader {
+  const { clock, random, events, config, isOn, pauseDetector, loadView, forwarder } = wiring;
+  const { knowledge, timings, availability, settlement, reading } = sourceComponents;
   const { id, zone } = config();
   return new Spreader({
     selfId: id,
     zone,
-    seeds: () => seedsOf(config()),
+    seeds: () => resolveSeeds(config()),
     transport,
     knowledge,
     clock,
@@ -190,13 +200,13 @@
     events,
     timings,
     isOn,
-    setReading: (isReading) => reading.set(isReading),
-    recordArrival: () => pauses.recordRead('peers'),
-    mayHaveWaited: () => pauses.mayHaveWaited(clock.now()),
+    setReading: (isReading) => reading.setFollowing(isReading),
+    recordArrival: () => pauseDetector.recordRead('peers'),
+    mayHaveWaited: () => pauseDetector.mayHaveWaited(clock.now()),
     recordsMayLapse: () => availability.recordsMayLapse(),
     isUnsettled: () => settlement.isUnsettled,
     onSettledPeer: () => settlement.recordSettledPeer(),
-    applyLoadReport: (report) => isOn('reported-load') && loads.applyReport(report),
+    applyLoadReport: (report) => isOn('reported-load') && loadView.applyReport(report),
     applyBadAnswerReport: (report) => forwarder().applyBadAnswerReport(report),
     applyEjectionReport: ({ backendId, atMs }) => forwarder().applyEjectionReport(backendId, atMs),
   });
@@ -204,11 +214,11 @@
 
 function createForwarder(
   wiring: Wiring,
-  { knowledge, settlement }: SourceParts,
+  { knowledge, settlement }: SourceComponents,
   edge: BoundCookieEdge,
   fleetSize: () => number | undefined,
 ): CookieForwarder {
-  const { clock, random, events, config, isOn, pauses, loads, spreader } = wiring;
+  const { clock, random, events, config, isOn, pauseDetector, loadView, spreader } = wiring;
   const { id, zone, zoneMargin, zoneLoadFactor, maxFlowAgeMs, zoneRegions, outliers } = config();
   const { coldOverage: overage, coldSlack: slack } = config();
   return createCookieForwarder({
@@ -220,9 +230,9 @@
     fleetSize,
     hasLearntFromPeers: () => spreader().hasLearntDeparted,
     edge,
-    pauses,
+    pauses: pauseDetector,
     isOn,
-    loads,
+    loads: loadView,
     zone,
     zoneMargin,
     zoneLoadFactor,
@@ -238,20 +248,20 @@
   });
 }
 
-/** Opens the buffer as soon as everything is known that forwarding needs. */
-function openWhenComplete(
+/** Flushes the buffer as soon as all topics that forwarding needs are known. */
+function flushWhenComplete(
   buffer: StartupBuffer,
   knowledge: RoutingKnowledge,
   forwarder: CookieForwarder,
 ): void {
-  const openIfComplete = (): void => {
-    if (buffer.isClosed && knowledge.isComplete()) buffer.open(forwarder);
+  const flushIfComplete = (): void => {
+    if (buffer.isBuffering && knowledge.isComplete()) buffer.flushTo(forwarder);
   };
-  openIfComplete();
-  knowledge.subscribe(openIfComplete);
+  flushIfComplete();
+  knowledge.subscribe(flushIfComplete);
 }
 
-/** Seeds with the port that all daemons share, where the configuration gives one. */
-function seedsOf({ seeds, seedPort }: CookieDaemonConfig): readonly Endpoint[] {
+/** Returns the seeds; `seedPort`, if configured, replaces their ports. */
+function resolveSeeds({ seeds, seedPort }: CookieDaemonConfig): readonly Endpoint[] {
   return seeds.map(({ host, port }) => ({ host, port: seedPort ?? port }));
 }
--- a/src/cookie-edge/daemon/cookie-daemon.ts
+++ b/src/cookie-edge/daemon/cookie-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * Life of a daemon on a cookie edge: learns routes and back ends, becomes ready, forwards and stops. Owns
- * the configuration in force and the admin server; the rules stand in `readiness.ts` and `shutdown.ts`.
+ * Life cycle of a daemon on a cookie edge: it reads routes and back ends, becomes ready, forwards packets and stops.
+ * Owns the configuration in force and the admin server. `readiness.ts` and `shutdown.ts` contain the rules.
  */
 import { formatEndpoint } from '../../common/types.js';
 import { AdminServer, type Readiness } from '../../observability/admin-server.js';
@@ -13,25 +13,24 @@
 import { describeStatus, summarize } from './status.js';
 
 /**
- * Interval in ms at which a daemon that is not ready compares its readiness with the last one reported. Routers probe
- * far less often.
+ * Interval in ms at which a daemon that is not ready checks its readiness again. Routers probe far less often.
  */
 const READINESS_INTERVAL_MS = 20;
 
-/** One running balancer. */
+/** A running daemon. */
 export class CookieDaemon {
   private admin!: AdminServer;
-  private stopped: Promise<void> | undefined;
-  private lastReady: boolean | undefined;
-  private readonly running = new AbortController();
+  private stopPromise: Promise<void> | undefined;
+  private lastReportedReady: boolean | undefined;
+  private readonly abortController = new AbortController();
 
   private constructor(
     private readonly components: CookieDaemonComponents,
-    /** The configuration in force. */
+    /** Holds the configuration in force, which `reload` replaces. */
     private readonly current: { config: CookieDaemonConfig },
   ) {}
 
-  /** Binds the sockets and starts to learn. Throws a `SailquayError` when a socket cannot be bound. */
+  /** Binds the sockets and starts all components. Throws a `SailquayError` if a socket cannot be bound. */
   static async start(
     config: CookieDaemonConfig,
     environment: CookieDaemonEnvironment,
@@ -39,15 +38,15 @@
     const current = { config };
     const components = await wireCookieDaemon(() => current.config, environment);
     const daemon = new CookieDaemon(components, current);
-    await daemon.run();
+    await daemon.startComponents();
     return daemon;
   }
 
-  /** Whether new flows may come here, with every reason why not. */
+  /** Returns whether routers may send new flows to this daemon, with every reason against it. */
   readiness(): Readiness {
     const { knowledge } = this.components;
     return decideReadiness({
-      isStopping: this.stopped !== undefined,
+      isStopping: this.stopPromise !== undefined,
       hasRoutes: knowledge.routes() !== undefined,
       missingTopics: knowledge.topics.filter(
         (topic) => topic !== 'routes' && knowledge.revisionOf(topic) < 0,
@@ -55,7 +54,7 @@
     });
   }
 
-  /** Applies the reloadable fields of a new configuration and reports those that need a restart. */
+  /** Applies the reloadable fields of a new configuration and logs the changed fields that need a restart. */
   reload(config: CookieDaemonConfig): void {
     const { changed, needsRestart } = compareConfigs(this.current.config, config);
     const { limits, drain, log, seeds, seedPort } = config;
@@ -66,19 +65,19 @@
     });
   }
 
-  /** Ends readiness, drains, and stops. Further calls return the promise of the first. */
+  /** Reports the daemon as not ready, drains and stops. Later calls return the promise of the first call. */
   stop(): Promise<void> {
-    this.stopped ??= this.drainAndClose();
-    return this.stopped;
+    this.stopPromise ??= this.drainAndClose();
+    return this.stopPromise;
   }
 
-  private async run(): Promise<void> {
-    const { components, running } = this;
+  private async startComponents(): Promise<void> {
+    const { components, abortController } = this;
     const { forwarder, spreader, roster, edge, events } = components;
-    forwarder.start(running.signal);
-    spreader.start(running.signal);
-    void roster?.reader.run(running.signal);
-    void roster?.writer.run(running.signal);
+    forwarder.start(abortController.signal);
+    spreader.start(abortController.signal);
+    void roster?.reader.run(abortController.signal);
+    void roster?.writer.run(abortController.signal);
     this.admin = await AdminServer.listen(this.current.config.admin, {
       readiness: () => this.readiness(),
       status: () => describeStatus(components, this.readiness()),
@@ -95,17 +94,18 @@
     this.reportReadiness();
   }
 
+  /** Logs each change of readiness, and checks again later while the daemon is not ready. */
   private reportReadiness(): void {
     const { ready, reasons } = this.readiness();
-    if (ready !== this.lastReady) {
-      this.lastReady = ready;
+    if (ready !== this.lastReportedReady) {
+      this.lastReportedReady = ready;
       this.components.events.emit(ready ? COOKIE_DAEMON_EVENTS.ready : COOKIE_DAEMON_EVENTS.notReady, {
         reasons: reasons.join(','),
         version: this.components.knowledge.routes()?.table.version,
         uptimeMs: Math.round(process.uptime() * 1_000),
       });
     }
-    if (!ready && !this.stopped) {
+    if (!ready && !this.stopPromise) {
       this.components.clock.schedule(READINESS_INTERVAL_MS, () => this.reportReadiness());
     }
   }
@@ -120,7 +120,7 @@
       packetsReceived: () => forwarder.statistics.packets,
       onTimeout: () => events.emit(COOKIE_DAEMON_EVENTS.drainTimedOut, { maxMs }),
       leave: () => spreader.leave(),
-      cancelTimers: () => this.running.abort(),
+      cancelTimers: () => this.abortController.abort(),
       stopReading: () => reading.stop(),
       close: () => Promise.all([this.admin.close(), edge.close(), transport.close()]),
     });
