--- a/contract/surfaces/operator-metrics.ts
+++ b/contract/surfaces/operator-metrics.ts
@@ -81,7 +81,7 @@
     reading: { calls: 1 },
     problems: { count: 1 },
     history: { counts: { historyGone: 1, olderRevision: 1 } },
-    spreader: { isReading: true, peerCount: 1, statistics: { bytesSent: 1, bytesReceived: 1, fetches: 1 } },
+    gossipNode: { isReading: true, peerCount: 1, statistics: { bytesSent: 1, bytesReceived: 1, fetches: 1 } },
   };
   return parts as unknown as CookieDaemonComponents;
 }
--- a/contract/surfaces/wire-hashes.ts
+++ b/contract/surfaces/wire-hashes.ts
@@ -181,9 +181,9 @@
     () => true,
   );
   for (let index = 1; index <= 8; index += 1) {
-    role.record({ id: `daemon-${index}`, confirmedAtMs: index === 4 ? 6_000 : 9_000 });
+    role.recordReader({ id: `daemon-${index}`, confirmedAtMs: index === 4 ? 6_000 : 9_000 });
   }
-  return role.leadingReaders(10_000, 8).map(({ id }) => id);
+  return role.readersToAdvertise(10_000, 8).map(({ id }) => id);
 }
 
 /** Tags of busy back ends, which reports name them by. */
@@ -195,12 +195,12 @@
     capacity: 4,
     calls: 0,
   }));
-  rates.record(counts, 0);
-  rates.record(
+  rates.updateCounts(counts, 0);
+  rates.updateCounts(
     counts.map((count, index) => ({ ...count, calls: index < 2 ? 1_000 * (index + 2) : 10 })),
     1_000,
   );
-  return rates.busy().map(({ tag, level }) => ({ tag, level: level.toPrecision(12) }));
+  return rates.findBusyBackends().map(({ tag, level }) => ({ tag, level: level.toPrecision(12) }));
 }
 
 /** Ranks, digests and delays among the daemons of a cookie edge. */
--- a/contract/surfaces/wire-packets.ts
+++ b/contract/surfaces/wire-packets.ts
@@ -3,7 +3,7 @@
   decodePacket as decodePlatformPacket,
   emptyPacket,
   encodeReset,
-  encodeTarget,
+  encodeBackendPrefix,
   writeCookie,
 } from '../../platform/packet-codec.js';
 import { headerChecksum, tcpChecksum } from '../../src/fabric/checksum.js';
@@ -69,7 +69,7 @@
     received: mapValues(CALLER_PACKETS, decodeCallerPacket),
     withCookie: packetWithCookie(),
     reset: toHex(encodeReset(RESET_TARGET)),
-    targets: Object.fromEntries(TARGET_IDS.map((id) => [id, toHex(encodeTarget(id))])),
+    targets: Object.fromEntries(TARGET_IDS.map((id) => [id, toHex(encodeBackendPrefix(id))])),
   });
 }
 
--- a/contract/surfaces/wire-stores.ts
+++ b/contract/surfaces/wire-stores.ts
@@ -223,9 +223,15 @@
 /** Records of each kind as the product reads them. */
 export function computePlatformRecords(): Promise<unknown> {
   return Promise.resolve({
-    configs: mapValues<unknown>(CONFIGS, (spec) => readRecord(spec, (decoder, it) => decoder.config(it))),
-    backends: mapValues<unknown>(BACKENDS, (spec) => readRecord(spec, (decoder, it) => decoder.backend(it))),
-    neverMade: toPlain(new RecordDecoder().backend({ meta: { name: 'b', revision: 3 }, spec: BACKEND })),
+    configs: mapValues<unknown>(CONFIGS, (spec) =>
+      readRecord(spec, (decoder, it) => decoder.decodeConfig(it)),
+    ),
+    backends: mapValues<unknown>(BACKENDS, (spec) =>
+      readRecord(spec, (decoder, it) => decoder.decodeBackend(it)),
+    ),
+    neverMade: toPlain(
+      new RecordDecoder().decodeBackend({ meta: { name: 'b', revision: 3 }, spec: BACKEND }),
+    ),
     callCounts: mapValues<unknown>(BACKENDS, (spec) => decodeCallCount(stored(spec)) ?? null),
     evacuation: decodeEvacuation(stored({ anything: 1 }, 'zone-b')),
   });
--- a/src/cookie-edge/admission/index.ts
+++ b/src/cookie-edge/admission/index.ts
@@ -4,8 +4,8 @@
  * began; does no input or output.
  *
  * ```ts
- * const admission = new CrowdAdmission({ knowledge, fleetSize, inProgressAt });
- * if (admission.mustYield(route, { waitedMs, isLastChance }, nowMs)) hold(packet);
+ * const admission = new RecoveryAdmission({ knowledge, fleetSize, inProgressAt });
+ * if (admission.shouldDefer(route, { waitedMs, isLastChance }, nowMs)) hold(packet);
  * ```
  */
-export { CrowdAdmission, type WaitingCaller } from './recovery-admission.js';
+export { RecoveryAdmission, type WaitingCaller } from './recovery-admission.js';
--- a/src/cookie-edge/admission/recovery-admission.ts
+++ b/src/cookie-edge/admission/recovery-admission.ts
@@ -25,13 +25,13 @@
 }
 
 /** Admission of openings by one daemon. Times are monotonic ms. */
-export class CrowdAdmission {
+export class RecoveryAdmission {
   private recoveryStartedAtMs: number | undefined;
 
   constructor(private readonly options: RecoveryAdmissionOptions) {}
 
   /** Starts a recovery. The caller calls this whenever it holds an opening because no back end is listed. */
-  recordReturn(nowMs: number): void {
+  startRecovery(nowMs: number): void {
     this.recoveryStartedAtMs = nowMs;
   }
 
@@ -39,14 +39,14 @@
    * True during a recovery, while late openings may be deferred. The first call starts one, so that the first opening
    * after the start of the daemon begins a recovery.
    */
-  isReturning(nowMs: number): boolean {
+  isRecovering(nowMs: number): boolean {
     this.recoveryStartedAtMs ??= nowMs;
     return nowMs - this.recoveryStartedAtMs < RECOVERY_MS;
   }
 
   /** True when the caller of this method should hold an opening of `route` so that others go first. */
-  mustYield({ targets, targetLatencyMs }: Route, caller: WaitingCaller, nowMs: number): boolean {
-    if (!this.isReturning(nowMs)) return false;
+  shouldDefer({ targets, targetLatencyMs }: Route, caller: WaitingCaller, nowMs: number): boolean {
+    if (!this.isRecovering(nowMs)) return false;
     const { fleetSize, inProgressAt } = this.options;
     let [slots, inProgress] = [0, 0];
     for (const { service } of targets) {
--- a/src/cookie-edge/backend-health/address-reuse.test.ts
+++ b/src/cookie-edge/backend-health/address-reuse.test.ts
@@ -15,7 +15,7 @@
 
 /** A daemon that has just started and read the list `records`. */
 function startWithList(records: readonly RoutedBackend[]): ForwarderHarness {
-  return new ForwarderHarness().know(records, { services: SERVICES }, LISTED_REVISION);
+  return new ForwarderHarness().applyRecords(records, { services: SERVICES }, LISTED_REVISION);
 }
 
 /** Applies an update that follows revision `since`; -1 for a complete state. */
@@ -26,7 +26,7 @@
 
 /** Delivers a packet of a flow that another daemon placed at `id`; returns its back end, or undefined after a reset. */
 function forwardByCookie(harness: ForwarderHarness, port: number, id: string): string | undefined {
-  return harness.goOn(port, hashString(id), REQUEST)?.backend;
+  return harness.sendMidFlow(port, hashString(id), REQUEST)?.backend;
 }
 
 test('flows at a reused address are not reset when the record of the crashed predecessor was created anew later', (t) => {
@@ -38,10 +38,10 @@
   ]) {
     const harness = startWithList(list);
     t.is(forwardByCookie(harness, 41_000, 'y'), 'y', 'while both are listed');
-    harness.depart('x', LISTED_REVISION + 1);
+    harness.removeRecord('x', LISTED_REVISION + 1);
     harness.clock.advance(HOUSEKEEPING_TICK_MS);
     t.is(forwardByCookie(harness, 41_001, 'y'), 'y', 'after the late record has expired');
-    t.is(harness.goOn(41_000, hashString('y'))?.backend, 'y');
+    t.is(harness.sendMidFlow(41_000, hashString('y'))?.backend, 'y');
     t.is(harness.resets.length, 0);
   }
 });
@@ -87,7 +87,7 @@
   harness.clock.advance(CREATION_HISTORY_UPTIME_MS);
   const successor = backendAt('y', LISTED_REVISION + 1, { ...ADDRESS, service: 'beta' });
   applyUpdate(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 1, { backends: [successor] }));
-  harness.depart('x', LISTED_REVISION + 2);
+  harness.removeRecord('x', LISTED_REVISION + 2);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
   t.is(forwardByCookie(harness, 41_000, 'x'), undefined);
   const recordedAgain = backendAt('x', LISTED_REVISION + 3, ADDRESS);
@@ -98,12 +98,12 @@
 });
 
 test('no flow is reset because of a later record before peers have sent when both back ends were first created', (t) => {
-  const surroundings = { hasLearntFromPeers: () => false };
+  const surroundings = { hasReceivedDeparted: () => false };
   const harness = new ForwarderHarness(undefined, 1, [], surroundings);
-  harness.know([backendAt('x', 5, ADDRESS)], { services: SERVICES }, LISTED_REVISION);
+  harness.applyRecords([backendAt('x', 5, ADDRESS)], { services: SERVICES }, LISTED_REVISION);
   const successor = backendAt('y', LISTED_REVISION + 1, { ...ADDRESS, service: 'beta' });
   applyUpdate(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 1, { backends: [successor] }));
-  harness.depart('x', LISTED_REVISION + 2);
+  harness.removeRecord('x', LISTED_REVISION + 2);
   harness.clock.advance(2 * CREATION_HISTORY_UPTIME_MS);
   t.is(forwardByCookie(harness, 41_000, 'x'), 'x');
   t.is(harness.resets.length, 0);
--- a/src/cookie-edge/backend-health/dead-backends-test-support.ts
+++ b/src/cookie-edge/backend-health/dead-backends-test-support.ts
@@ -1,7 +1,7 @@
 /** Forwarder harnesses with simulated probe outcomes. For tests only. */
 import { VirtualClock } from '../../common/clock.js';
 import type { Endpoint } from '../../common/types.js';
-import { backends, ForwarderHarness, type HarnessSurroundings } from '../forwarding/cookie-test-support.js';
+import { backends, ForwarderHarness, type HarnessOptions } from '../forwarding/cookie-test-support.js';
 import type { ProbeOutcome } from './backend-prober.js';
 
 /** Time after which a caller retransmits data, in ms. */
@@ -19,7 +19,7 @@
  */
 export function setUp(
   count: number,
-  surroundings: HarnessSurroundings = {},
+  surroundings: HarnessOptions = {},
 ): { harness: ForwarderHarness; unreachable: UnreachableHosts; probed: string[] } {
   const unreachable: UnreachableHosts = new Map();
   const probed: string[] = [];
@@ -28,7 +28,7 @@
     return Promise.resolve(unreachable.get(host) ?? 'answered');
   };
   const harness = new ForwarderHarness(new VirtualClock(), 1, [], { probe, ...surroundings });
-  harness.know(backends(count), { services: SERVICES });
+  harness.applyRecords(backends(count), { services: SERVICES });
   return { harness, unreachable, probed };
 }
 
@@ -70,11 +70,11 @@
   flow: { port: number; cookie: number },
   aliveFlows: readonly { port: number; cookie: number }[],
 ): Promise<void> {
-  harness.goOn(flow.port, flow.cookie, REQUEST);
+  harness.sendMidFlow(flow.port, flow.cookie, REQUEST);
   harness.clock.advance(RETRANSMISSION_DELAY_MS);
-  harness.goOn(flow.port, flow.cookie, REQUEST);
+  harness.sendMidFlow(flow.port, flow.cookie, REQUEST);
   for (const [index, { port, cookie }] of aliveFlows.entries()) {
-    harness.goOn(port, cookie, { acknowledgement: 1_000 + index + harness.clock.now() });
+    harness.sendMidFlow(port, cookie, { acknowledgement: 1_000 + index + harness.clock.now() });
   }
   await waitForProbes();
 }
--- a/src/cookie-edge/backend-health/dead-backends.test.ts
+++ b/src/cookie-edge/backend-health/dead-backends.test.ts
@@ -53,7 +53,7 @@
   const { harness, unreachable } = setUp(2);
   const flows = openFlowAtEach(harness);
   const { port, cookie } = flows.get('a')!;
-  harness.goOn(port, cookie, { acknowledgement: 77_777 });
+  harness.sendMidFlow(port, cookie, { acknowledgement: 77_777 });
   unreachable.set(hostOf('a'), 'refused');
   await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
   const reset = harness.resets.find(({ sourcePort }) => sourcePort === port);
@@ -102,7 +102,7 @@
     if (outcome === 'silent') await pause(clock, timeoutMs);
     return outcome;
   };
-  const harness = new ForwarderHarness(clock, 1, [], { probe }).know(backends(count));
+  const harness = new ForwarderHarness(clock, 1, [], { probe }).applyRecords(backends(count));
   return { harness, flows: openFlowAtEach(harness), unreachable };
 }
 
@@ -136,7 +136,7 @@
 test('an unanswered probe is not gossiped after another daemon gossiped an ejection of the same back end', async (t) => {
   const { harness, flows } = setUpSilent();
   harness.forwarder.applyEjectionReport('a', harness.clock.now());
-  harness.goOn(flows.get('b')!.port, flows.get('b')!.cookie, { acknowledgement: 9_000 });
+  harness.sendMidFlow(flows.get('b')!.port, flows.get('b')!.cookie, { acknowledgement: 9_000 });
   await advanceInSteps(harness.clock, PROBE_SPACING_MS + 100);
   t.deepEqual(harness.gossipedEjections, []);
 });
@@ -159,7 +159,7 @@
     await pause(clock, isFirst ? PROBE_SPACING_MS + 100 : timeoutMs);
     return isFirst ? 'answered' : 'silent';
   };
-  const harness = new ForwarderHarness(clock, 1, [], { probe }).know(backends(2));
+  const harness = new ForwarderHarness(clock, 1, [], { probe }).applyRecords(backends(2));
   const flows = openFlowAtEach(harness);
   await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
   await advanceInSteps(clock, 3 * PROBE_TIMEOUT_MS);
@@ -171,7 +171,7 @@
   const { harness } = setUp(2, {
     probe: () => {
       const { port, cookie } = flows.get('a')!;
-      harness.goOn(port, cookie, { acknowledgement: 5_000 });
+      harness.sendMidFlow(port, cookie, { acknowledgement: 5_000 });
       return Promise.resolve('silent');
     },
   });
@@ -206,7 +206,7 @@
   const chosenBackends = new Set<string | undefined>();
   for (let step = 0; step * STEP_MS < milliseconds; step += 1) {
     for (const { port, cookie } of aliveFlows) {
-      harness.goOn(port, cookie, { acknowledgement: 100_000 + harness.clock.now() });
+      harness.sendMidFlow(port, cookie, { acknowledgement: 100_000 + harness.clock.now() });
     }
     chosenBackends.add(harness.open(fromPort + step)?.backend);
     await advanceInSteps(harness.clock, STEP_MS);
@@ -255,21 +255,21 @@
   const flows = openFlowAtEach(harness);
   unreachable.set(hostOf('a'), 'refused');
   await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
-  t.is(harness.goOn(49_999, flows.get('a')!.cookie, REQUEST)?.backend, undefined);
+  t.is(harness.sendMidFlow(49_999, flows.get('a')!.cookie, REQUEST)?.backend, undefined);
   harness.clock.advance(2_500);
-  t.is(harness.goOn(49_999, flows.get('a')!.cookie, REQUEST)?.backend, 'a', 'the verdict has expired');
+  t.is(harness.sendMidFlow(49_999, flows.get('a')!.cookie, REQUEST)?.backend, 'a', 'the verdict has expired');
 });
 
 test('two deaths in a zone cause probes of its other back ends, and of none in another zone', async (t) => {
   const { harness, unreachable, probed } = setUp(0);
   const zones = ['north', 'north', 'north', 'south', 'south', 'south'];
-  harness.know(backends(6).map((backend, index) => ({ ...backend, zone: zones[index]! })));
+  harness.applyRecords(backends(6).map((backend, index) => ({ ...backend, zone: zones[index]! })));
   const flows = openFlowAtEach(harness);
   for (const id of ['a', 'b', 'c']) unreachable.set(hostOf(id), 'silent');
   await retransmitRequest(harness, flows.get('a')!, [flows.get('d')!]);
   t.false(probed.includes(hostOf('c')));
   await retransmitRequest(harness, flows.get('b')!, [flows.get('d')!]);
-  harness.goOn(flows.get('d')!.port, flows.get('d')!.cookie, { acknowledgement: 90_000 });
+  harness.sendMidFlow(flows.get('d')!.port, flows.get('d')!.cookie, { acknowledgement: 90_000 });
   await waitForProbes();
   t.true(probed.includes(hostOf('c')));
   t.false(probed.includes(hostOf('e')));
--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -30,7 +30,7 @@
   readonly resetter: FlowResetter;
   readonly events: EventLog;
   /** Called with each back end that is or may be dead, to gossip it, so that daemons with flows there probe it too. */
-  readonly onDoubt: (backendId: string, nowMs: number) => void;
+  readonly onSuspect: (backendId: string, nowMs: number) => void;
 }
 
 /** Detects dead back ends for one daemon. Times are monotonic ms. */
@@ -55,7 +55,7 @@
   }
 
   /** Probes a back end that may be dead, if `decideProbe` allows it. */
-  probeIfInDoubt(state: LocalBackendState): void {
+  probeIfNeeded(state: LocalBackendState): void {
     if (!this.options.isOn('dead-back-ends')) return;
     const nowMs = this.options.clock.now();
     const decision = decideProbe({
@@ -72,7 +72,7 @@
   }
 
   /** Discards what probes found about a back end. */
-  forget(backend: KnownBackend): void {
+  removeBackend(backend: KnownBackend): void {
     this.lastAnswerAtMs.delete(this.options.states.of(backend));
   }
 
@@ -122,7 +122,7 @@
 
   /** Gossips that a back end is or may be dead, unless this or another daemon has just reported it. */
   private gossipEjection(state: LocalBackendState, nowMs: number): void {
-    if (state.applyEjectionReport(nowMs)) this.options.onDoubt(state.backend.id, nowMs);
+    if (state.applyEjectionReport(nowMs)) this.options.onSuspect(state.backend.id, nowMs);
   }
 
   /**
@@ -154,7 +154,7 @@
    * at the same address, because its answers to probes would revive the dead one.
    */
   private canRenew(state: LocalBackendState): boolean {
-    const isUndisputed = state.standing === 'undisputed';
+    const isUndisputed = state.addressStatus === 'undisputed';
     return isUndisputed && !state.backend.departed && state.isDead(this.options.clock.now());
   }
 
@@ -183,7 +183,7 @@
     this.lastDeathByZone.set(zone, death);
     if (!isSecondZoneDeath(previousDeath, death)) return;
     for (const neighbour of this.options.states.all()) {
-      if (neighbour.backend.record.zone === zone) this.probeIfInDoubt(neighbour);
+      if (neighbour.backend.record.zone === zone) this.probeIfNeeded(neighbour);
     }
   }
 }
--- a/src/cookie-edge/backend-health/flow-resetter.ts
+++ b/src/cookie-edge/backend-health/flow-resetter.ts
@@ -34,7 +34,7 @@
     const nowMs = this.options.clock.now();
     // Does not reset openings: another daemon may have received a retransmission of the SYN and opened the flow at
     // another back end, and a reset would end that flow. The next retransmission that arrives here is placed anew.
-    const flows = this.options.cache.flowsAt(state).filter(({ phase }) => phase !== 'opening');
+    const flows = this.options.cache.openFlowsAt(state).filter(({ phase }) => phase !== 'opening');
     const { backend, lastSignOfLifeMs } = state;
     this.options.events.emit(COOKIE_FLOW_EVENTS.backendDead, {
       backend: backend.id,
@@ -54,7 +54,7 @@
         flow: formatFlowId(target),
         backend: backend.id,
         proof,
-        silentMs: Math.round(nowMs - flow.lastPacketMs),
+        silentMs: Math.round(nowMs - flow.lastPacketAtMs),
       });
     }
   }
--- a/src/cookie-edge/backend-health/local-backend-state.test.ts
+++ b/src/cookie-edge/backend-health/local-backend-state.test.ts
@@ -1,9 +1,9 @@
 /** How failures, trial openings and signs of life change whether a back end gets new flows. */
 import test from 'ava';
-import { stateOf } from '../placement/placement-test-support.js';
+import { createBackendState } from '../placement/placement-test-support.js';
 
 test('failed trial openings double the ejection time, and a sign of life ends the ejection', (t) => {
-  const state = stateOf('a');
+  const state = createBackendState('a');
   state.recordFailure(100, 0);
   t.false(state.tryEject(100, 50));
   t.is(state.liveness(120), 'suspect');
--- a/src/cookie-edge/backend-health/local-backend-state.ts
+++ b/src/cookie-edge/backend-health/local-backend-state.ts
@@ -53,7 +53,7 @@
   }
 
   /** Number of open and recently closed flows, rounded. */
-  flowsAt(nowMs: number): number {
+  recentFlowsAt(nowMs: number): number {
     return this.ownFlows.recentCountAt(nowMs);
   }
 
@@ -100,7 +100,7 @@
   }
 
   /** Whether another back end probably listens at its address. */
-  get standing(): AddressStatus {
+  get addressStatus(): AddressStatus {
     return this.currentAddressStatus;
   }
 
--- a/src/cookie-edge/backend-health/local-backend-states.ts
+++ b/src/cookie-edge/backend-health/local-backend-states.ts
@@ -64,7 +64,7 @@
     return this.states.get(state.backend) === state;
   }
 
-  forget(backend: KnownBackend): void {
+  removeBackend(backend: KnownBackend): void {
     const state = this.states.get(backend);
     if (state) this.failing.delete(state);
     this.states.delete(backend);
@@ -91,7 +91,7 @@
   }
 
   /** Evaluates all back ends with failures again, because others may have given signs of life since. */
-  judgeFailing(nowMs: number): void {
+  evaluateFailing(nowMs: number): void {
     for (const state of this.failing) this.ejectIfDue(state, nowMs);
   }
 
--- a/src/cookie-edge/backend-health/pending-openings.ts
+++ b/src/cookie-edge/backend-health/pending-openings.ts
@@ -24,17 +24,17 @@
 
   /** Adds an opening whose SYN was just sent to its back end. */
   add(flow: Flow): void {
-    flow.awaitsAnswer = true;
-    if (flow.state.pendingOpenings === 0) flow.state.pendingSinceMs = flow.openedAtMs;
-    flow.state.pendingOpenings += 1;
+    flow.isAwaitingAnswer = true;
+    if (flow.backendState.pendingOpenings === 0) flow.backendState.pendingSinceMs = flow.openedAtMs;
+    flow.backendState.pendingOpenings += 1;
     this.queue.push(flow);
   }
 
   /** Records that an opening is no longer pending, because it was answered or counts as failed. */
   settle(flow: Flow): void {
-    if (!flow.awaitsAnswer) return;
-    flow.awaitsAnswer = false;
-    flow.state.pendingOpenings -= 1;
+    if (!flow.isAwaitingAnswer) return;
+    flow.isAwaitingAnswer = false;
+    flow.backendState.pendingOpenings -= 1;
   }
 
   /**
@@ -46,7 +46,7 @@
     const firstNewerIndex = this.queue.findIndex(({ openedAtMs }) => openedAtMs > cutoffMs);
     const expired = firstNewerIndex < 0 ? this.queue : this.queue.slice(0, firstNewerIndex);
     this.queue = firstNewerIndex < 0 ? [] : this.queue.slice(firstNewerIndex);
-    return expired.filter(({ awaitsAnswer }) => awaitsAnswer);
+    return expired.filter(({ isAwaitingAnswer }) => isAwaitingAnswer);
   }
 
   /** Settles all openings. Needed after a pause of this process, which cannot know which were answered meanwhile. */
--- a/src/cookie-edge/backend-health/slow-back-ends.test.ts
+++ b/src/cookie-edge/backend-health/slow-back-ends.test.ts
@@ -1,6 +1,6 @@
 /** Replayed loads with back ends that turn slow or stop answering, with and without outlier detection. */
 import test from 'ava';
-import { ReplayedLoad, type ReplayedDay } from '../placement/replayed-load.js';
+import { LoadSimulation, type LoadSimulationParameters } from '../placement/replayed-load.js';
 
 const BACKENDS = 84;
 /** Time at which back ends turn slow or a burst starts. */
@@ -12,19 +12,19 @@
 const TARGET_MS = 400;
 
 /** Load of a lift operator: 790 requests a second, most of them on persistent flows; 27% of the slots are busy. */
-const CALM_LOAD: ReplayedDay = {
+const CALM_LOAD: LoadSimulationParameters = {
   balancers: 28,
   backends: BACKENDS,
-  freshPerSecond: 175,
-  keptFlows: 900,
+  newFlowsPerSecond: 175,
+  persistentFlows: 900,
   pauseMs: 1_400,
-  workMs: 58,
-  slownessOf: () => 1,
+  meanServiceTimeMs: 58,
+  serviceTimeFactorOf: () => 1,
   seed: 1,
 };
 
-function runLoad(overrides: Partial<ReplayedDay>): ReplayedLoad {
-  const load = new ReplayedLoad({ ...CALM_LOAD, ...overrides });
+function runLoad(overrides: Partial<LoadSimulationParameters>): LoadSimulation {
+  const load = new LoadSimulation({ ...CALM_LOAD, ...overrides });
   load.run(REPLAY_MS);
   return load;
 }
@@ -33,21 +33,21 @@
  * Share of late requests among those that a daemon can place: requests on new flows, sent after the detection of slow
  * back ends and 2 s before the end, so that all could be answered.
  */
-function lateShareOfPlaceable(load: ReplayedLoad): number {
+function lateShareOfPlaceable(load: LoadSimulation): number {
   const fresh = load.requests.filter(
-    ({ isFresh, sentAtMs }) => isFresh && sentAtMs >= DETECTED_MS && sentAtMs < REPLAY_MS - 2_000,
+    ({ isOnNewFlow, sentAtMs }) => isOnNewFlow && sentAtMs >= DETECTED_MS && sentAtMs < REPLAY_MS - 2_000,
   );
-  return fresh.filter(({ tookMs }) => tookMs > TARGET_MS).length / fresh.length;
+  return fresh.filter(({ durationMs }) => durationMs > TARGET_MS).length / fresh.length;
 }
 
-const burstAt = (nowMs: number): number => (nowMs >= ONSET_MS && nowMs < ONSET_MS + 3_000 ? 1.7 : 1);
+const rateFactorAt = (nowMs: number): number => (nowMs >= ONSET_MS && nowMs < ONSET_MS + 3_000 ? 1.7 : 1);
 
 for (const balancers of [4, 28, 146]) {
   test(`detection cuts late requests to a third: a fifth of the back ends 5 times slower in a burst, ${balancers} daemons`, (t) => {
-    const overrides: Partial<ReplayedDay> = {
+    const overrides: Partial<LoadSimulationParameters> = {
       balancers,
-      burstAt,
-      slownessOf: (backend, nowMs) => (backend % 5 === 0 && nowMs >= ONSET_MS ? 5 : 1),
+      rateFactorAt,
+      serviceTimeFactorOf: (backend, nowMs) => (backend % 5 === 0 && nowMs >= ONSET_MS ? 5 : 1),
     };
     const lateWithoutDetection = lateShareOfPlaceable(
       runLoad({ ...overrides, switchedOff: ['outlier-detection'] }),
@@ -62,8 +62,8 @@
 }
 
 test('detection cuts late requests to a third: one back end in ten never answers', (t) => {
-  const overrides: Partial<ReplayedDay> = {
-    slownessOf: (backend, nowMs) => (backend % 10 === 0 && nowMs >= ONSET_MS ? Infinity : 1),
+  const overrides: Partial<LoadSimulationParameters> = {
+    serviceTimeFactorOf: (backend, nowMs) => (backend % 10 === 0 && nowMs >= ONSET_MS ? Infinity : 1),
   };
   const lateWithoutDetection = lateShareOfPlaceable(
     runLoad({ ...overrides, switchedOff: ['outlier-detection'] }),
@@ -77,9 +77,9 @@
 });
 
 test('detection makes no more requests late while all gossip is lost for five seconds', (t) => {
-  const overrides: Partial<ReplayedDay> = {
-    slownessOf: (backend, nowMs) => (backend % 5 === 0 && nowMs >= ONSET_MS ? 5 : 1),
-    gossipLostAt: (nowMs) => nowMs >= ONSET_MS - 500 && nowMs < ONSET_MS + 4_500,
+  const overrides: Partial<LoadSimulationParameters> = {
+    serviceTimeFactorOf: (backend, nowMs) => (backend % 5 === 0 && nowMs >= ONSET_MS ? 5 : 1),
+    isGossipLostAt: (nowMs) => nowMs >= ONSET_MS - 500 && nowMs < ONSET_MS + 4_500,
   };
   const lateWithoutDetection = lateShareOfPlaceable(
     runLoad({ ...overrides, switchedOff: ['outlier-detection'] }),
@@ -93,14 +93,14 @@
 });
 
 test('neither a steady load nor a burst causes detections', (t) => {
-  for (const load of [runLoad({}), runLoad({ burstAt })]) {
+  for (const load of [runLoad({}), runLoad({ rateFactorAt })]) {
     const verdicts = load.balancers.map(({ forwarder }) => forwarder.outliers.detections);
     t.true(Math.max(...verdicts) <= 1, `${verdicts.join(' ')}`);
   }
 });
 
 test('detection makes at most 2% more requests late while the whole service is overloaded', (t) => {
-  const overrides: Partial<ReplayedDay> = { burstAt: (nowMs) => 1.8 * burstAt(nowMs) };
+  const overrides: Partial<LoadSimulationParameters> = { rateFactorAt: (nowMs) => 1.8 * rateFactorAt(nowMs) };
   const loadWithoutDetection = runLoad({ ...overrides, switchedOff: ['outlier-detection'] });
   const load = runLoad(overrides);
   const lateWithoutDetection = loadWithoutDetection.lateShare(ONSET_MS, ONSET_MS + 3_000, TARGET_MS);
@@ -111,10 +111,10 @@
 
 test('a back end that recovered gets at least a third of the average number of new flows', (t) => {
   const load = runLoad({
-    slownessOf: (backend, nowMs) => (backend === 7 && nowMs >= 5_000 && nowMs < 6_500 ? 8 : 1),
+    serviceTimeFactorOf: (backend, nowMs) => (backend === 7 && nowMs >= 5_000 && nowMs < 6_500 ? 8 : 1),
   });
   const recoveredMs = REPLAY_MS - 2_500;
-  const placed = load.requests.filter(({ isFresh, sentAtMs }) => isFresh && sentAtMs >= recoveredMs);
+  const placed = load.requests.filter(({ isOnNewFlow, sentAtMs }) => isOnNewFlow && sentAtMs >= recoveredMs);
   const placedAtRecovered = placed.filter(({ backend }) => backend === 7).length;
   t.true(
     placedAtRecovered >= placed.length / BACKENDS / 3,
--- a/src/cookie-edge/backend-health/successive-starts.test.ts
+++ b/src/cookie-edge/backend-health/successive-starts.test.ts
@@ -15,12 +15,12 @@
   const { port, cookie } = flows.get('a')!;
   const placed = Array.from({ length: 12 }, (_unused, index) => harness.open(42_000 + index)?.backend);
   t.deepEqual(new Set(placed), new Set(['b']), 'no new flows while both are recorded');
-  t.is(harness.goOn(port, cookie)?.backend, 'a', 'open flows continue');
+  t.is(harness.sendMidFlow(port, cookie)?.backend, 'a', 'open flows continue');
   t.is(harness.resets.length, 0);
-  harness.depart('a', 21);
+  harness.removeRecord('a', 21);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
   t.is(harness.resets.length, 6);
-  t.is(harness.goOn(port, cookie)?.backend, undefined, 'reset, and not forwarded to the address');
+  t.is(harness.sendMidFlow(port, cookie)?.backend, undefined, 'reset, and not forwarded to the address');
 });
 
 test('an earlier start gets no new flows even if its record is received after that of its successor', (t) => {
@@ -65,7 +65,7 @@
   const later = Array.from({ length: 12 }, (_unused, index) => harness.open(43_000 + index)?.backend);
   t.false(later.includes('a'), 'once its service is configured, it is the later start');
   harness.clock.advance(CREATION_HISTORY_UPTIME_MS);
-  harness.depart('a', 22);
+  harness.removeRecord('a', 22);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
   t.true(harness.resets.length > 0, 'and the flows of the earlier one are reset');
 });
--- a/src/cookie-edge/backend-health/superseded-backends.ts
+++ b/src/cookie-edge/backend-health/superseded-backends.ts
@@ -22,7 +22,7 @@
   readonly resetter: FlowResetter;
   readonly events: EventLog;
   /** False while peers are known to remember more about back ends than this daemon has received. */
-  readonly hasLearntFromPeers: () => boolean;
+  readonly hasReceivedDeparted: () => boolean;
 }
 
 /** Detects back ends whose address another back end uses. Times are monotonic ms. */
@@ -40,7 +40,7 @@
   }
 
   /** Removes a back end, and reviews the remaining ones at its address. */
-  forget(backend: KnownBackend): void {
+  removeBackend(backend: KnownBackend): void {
     this.review(this.addresses.remove(backend));
   }
 
@@ -50,9 +50,9 @@
   }
 
   private review(backendsAtAddress: ReadonlySet<KnownBackend>): void {
-    const { states, clock, hasLearntFromPeers } = this.options;
+    const { states, clock, hasReceivedDeparted } = this.options;
     const uptimeMs = clock.now() - this.startedAtMs;
-    const hasCreationHistory = uptimeMs >= CREATION_HISTORY_UPTIME_MS && hasLearntFromPeers();
+    const hasCreationHistory = uptimeMs >= CREATION_HISTORY_UPTIME_MS && hasReceivedDeparted();
     for (const backend of backendsAtAddress) {
       const state = states.of(backend);
       const { lastSignOfLifeMs } = state;
@@ -65,7 +65,7 @@
 
   private applyDecision(state: LocalBackendState, { status, successor }: AddressDecision): void {
     const { clock, resetter, events } = this.options;
-    const { standing: previousStatus, backend } = state;
+    const { addressStatus: previousStatus, backend } = state;
     if (status === previousStatus) return;
     state.recordAddressStatus(status, clock.now());
     if (status === 'superseded') resetter.reset(state, status, describeSuccession(backend, successor));
--- a/src/cookie-edge/daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -12,7 +12,7 @@
 import type { Endpoint } from '../../common/types.js';
 import type { EventLog } from '../../observability/event.js';
 import { createCookieForwarder, HOUSEKEEPING_TICK_MS, type CookieForwarder } from '../forwarding/index.js';
-import { LOAD_MIN_DAEMONS, LoadReader, LoadView } from '../load/index.js';
+import { MIN_DAEMONS_FOR_LOAD_REPORTS, LoadReader, LoadView } from '../load/index.js';
 import { RosterReader, RosterWriter } from '../roster/index.js';
 import {
   BackendSettlement,
@@ -22,7 +22,7 @@
   SourceAvailability,
   SourceHistoryLog,
 } from '../routing/index.js';
-import { NetworkTransport, Spreader } from '../spreading/index.js';
+import { NetworkTransport, GossipNode } from '../spreading/index.js';
 import type { BoundCookieEdge, DeploymentAdapters } from './adapters.js';
 import type { CookieDaemonConfig } from './config.js';
 import { probeConnect } from './connect-probe.js';
@@ -49,7 +49,7 @@
   readonly history: SourceHistoryLog;
   readonly reading: SourceReading;
   readonly transport: NetworkTransport;
-  readonly spreader: Spreader;
+  readonly gossipNode: GossipNode;
   readonly forwarder: CookieForwarder;
 }
 
@@ -66,7 +66,7 @@
   readonly isOn: MechanismCheck;
   readonly pauseDetector: PauseDetector;
   readonly loadView: LoadView;
-  readonly spreader: () => Spreader;
+  readonly gossipNode: () => GossipNode;
   readonly forwarder: () => CookieForwarder;
 }
 
@@ -93,24 +93,24 @@
     isOn,
     pauseDetector,
     loadView: new LoadView(),
-    spreader: () => spreader,
+    gossipNode: () => gossipNode,
     forwarder: () => forwarder,
   };
   const sourceComponents = createSourceComponents(wiring);
   const { knowledge, availability, reading } = sourceComponents;
   reading.readFirst();
   const transport = await NetworkTransport.open(config().control, events);
-  const spreader = createSpreader(wiring, sourceComponents, transport);
-  availability.setMinimumRetryDelay(() => spreader.minimumRetryDelayMs());
+  const gossipNode = createGossipNode(wiring, sourceComponents, transport);
+  availability.setMinimumRetryDelay(() => gossipNode.minimumRetryDelayMs());
   const roster = createRoster(wiring, sourceComponents);
-  const fleetSize = (): number | undefined => estimateFleetSize(spreader, roster);
+  const fleetSize = (): number | undefined => estimateFleetSize(gossipNode, roster);
   const forwarder = createForwarder(wiring, sourceComponents, edge, fleetSize);
   flushWhenComplete(buffer, knowledge, forwarder);
-  return { ...environment, ...sourceComponents, edge, transport, roster, spreader, forwarder };
+  return { ...environment, ...sourceComponents, edge, transport, roster, gossipNode, forwarder };
 }
 
 function createSourceComponents(wiring: Wiring) {
-  const { clock, random, events, adapters, isOn, spreader } = wiring;
+  const { clock, random, events, adapters, isOn, gossipNode } = wiring;
   const { source: address, maxFlowAgeMs, changeBoundsMs, cordonBoundMs } = wiring.config();
   const retentionMs = isOn('departed-backends') ? maxFlowAgeMs : 0;
   const followsCordons = cordonBoundMs !== undefined;
@@ -122,8 +122,9 @@
     clock,
     events,
     source,
-    isWanted: () => isOn('reported-load') && !availability.isLost && spreader().fleetSize >= LOAD_MIN_DAEMONS,
-    onReport: (report) => spreader().gossipLoad(report),
+    isReadingEnabled: () =>
+      isOn('reported-load') && !availability.isLost && gossipNode().fleetSize >= MIN_DAEMONS_FOR_LOAD_REPORTS,
+    onReport: (report) => gossipNode().gossipLoad(report),
   });
   const logs = { problems: new ProblemLog(events), history: new SourceHistoryLog(events) };
   const recordsMayLapse = (): boolean => availability.recordsMayLapse();
@@ -136,7 +137,7 @@
     timings,
     ...logs,
     usesLongWatches: isOn('long-watches'),
-    onConfirmation: () => spreader().recordOwnConfirmation(),
+    onConfirmation: () => gossipNode().recordOwnConfirmation(),
   };
   return {
     source,
@@ -154,7 +155,7 @@
  * is switched off.
  */
 function createRoster(wiring: Wiring, sourceComponents: SourceComponents): RosterTasks | undefined {
-  const { clock, events, isOn, spreader } = wiring;
+  const { clock, events, isOn, gossipNode } = wiring;
   const { roster, changeBoundsMs } = wiring.config();
   if (!roster || !isOn('roster')) return undefined;
   const { source: store, knowledge, settlement } = sourceComponents;
@@ -164,8 +165,8 @@
     knowledge,
     store,
     maxPageBytes: roster.maxPageBytes,
-    isLeading: () => spreader().isLeadingReader,
-    fleetSize: () => spreader().fleetSize,
+    isLeading: () => gossipNode().isLeadingReader,
+    fleetSize: () => gossipNode().fleetSize,
     isSettled: () => !settlement.isUnsettled,
     maxConfirmationAgeMs: Math.min(...changeBoundsMs),
   });
@@ -176,20 +177,20 @@
  * Returns the larger of the fleet sizes known from gossip and from the roster, since a starting daemon knows few peers.
  * Returns undefined while the read of the roster is pending.
  */
-function estimateFleetSize(spreader: Spreader, roster: RosterTasks | undefined): number | undefined {
+function estimateFleetSize(gossipNode: GossipNode, roster: RosterTasks | undefined): number | undefined {
   if (roster?.reader.isPending) return undefined;
-  return Math.max(spreader.fleetSize, roster?.reader.recordedFleetSize ?? 0);
+  return Math.max(gossipNode.fleetSize, roster?.reader.recordedFleetSize ?? 0);
 }
 
-function createSpreader(
+function createGossipNode(
   wiring: Wiring,
   sourceComponents: SourceComponents,
   transport: NetworkTransport,
-): Spreader {
+): GossipNode {
   const { clock, random, events, config, isOn, pauseDetector, loadView, forwarder } = wiring;
   const { knowledge, timings, availability, settlement, reading } = sourceComponents;
   const { id, zone } = config();
-  return new Spreader({
+  return new GossipNode({
     selfId: id,
     zone,
     seeds: () => resolveSeeds(config()),
@@ -218,7 +219,7 @@
   edge: BoundCookieEdge,
   fleetSize: () => number | undefined,
 ): CookieForwarder {
-  const { clock, random, events, config, isOn, pauseDetector, loadView, spreader } = wiring;
+  const { clock, random, events, config, isOn, pauseDetector, loadView, gossipNode } = wiring;
   const { id, zone, zoneMargin, zoneLoadFactor, maxFlowAgeMs, zoneRegions, outliers } = config();
   const { coldOverage: overage, coldSlack: slack } = config();
   return createCookieForwarder({
@@ -228,7 +229,7 @@
     knowledge,
     settlement,
     fleetSize,
-    hasLearntFromPeers: () => spreader().hasLearntDeparted,
+    hasReceivedDeparted: () => gossipNode().hasReceivedDeparted,
     edge,
     pauses: pauseDetector,
     isOn,
@@ -239,12 +240,12 @@
     maxFlowAgeMs,
     probe: probeConnect,
     regionOf: (name) => zoneRegions[name],
-    cold: { overage, slack, isOwner: (backendId, count) => spreader().isOwner(backendId, count) },
+    cold: { overage, slack, isOwner: (backendId, count) => gossipNode().isOwner(backendId, count) },
     maxFlows: () => config().limits.maxFlows,
     observer: hashString(id),
     outliers,
-    onBadAnswer: (report) => spreader().gossipBadAnswer(report),
-    onEject: (backendId, atMs) => spreader().gossipEjection({ backendId, atMs }),
+    onBadAnswer: (report) => gossipNode().gossipBadAnswer(report),
+    onBackendUnhealthy: (backendId, atMs) => gossipNode().gossipEjection({ backendId, atMs }),
   });
 }
 
--- a/src/cookie-edge/daemon/cookie-daemon.ts
+++ b/src/cookie-edge/daemon/cookie-daemon.ts
@@ -73,9 +73,9 @@
 
   private async startComponents(): Promise<void> {
     const { components, abortController } = this;
-    const { forwarder, spreader, roster, edge, events } = components;
+    const { forwarder, gossipNode, roster, edge, events } = components;
     forwarder.start(abortController.signal);
-    spreader.start(abortController.signal);
+    gossipNode.start(abortController.signal);
     void roster?.reader.run(abortController.signal);
     void roster?.writer.run(abortController.signal);
     this.admin = await AdminServer.listen(this.current.config.admin, {
@@ -111,7 +111,7 @@
   }
 
   private async drainAndClose(): Promise<void> {
-    const { clock, events, forwarder, spreader, reading, edge, transport } = this.components;
+    const { clock, events, forwarder, gossipNode, reading, edge, transport } = this.components;
     const { drain } = this.current.config;
     const { minMs, maxMs } = drain;
     events.emit(COOKIE_DAEMON_EVENTS.stopping, { flows: forwarder.flowCount, minMs, maxMs });
@@ -119,7 +119,7 @@
       clock,
       packetsReceived: () => forwarder.statistics.packets,
       onTimeout: () => events.emit(COOKIE_DAEMON_EVENTS.drainTimedOut, { maxMs }),
-      leave: () => spreader.leave(),
+      leave: () => gossipNode.leave(),
       cancelTimers: () => this.abortController.abort(),
       stopReading: () => reading.stop(),
       close: () => Promise.all([this.admin.close(), edge.close(), transport.close()]),
--- a/src/cookie-edge/daemon/metrics.ts
+++ b/src/cookie-edge/daemon/metrics.ts
@@ -181,17 +181,22 @@
     'gauge',
     'source_reader',
     '1 while this daemon reads the source',
-    (parts) => Number(parts.spreader.isReading),
+    (parts) => Number(parts.gossipNode.isReading),
+  ],
+  ['gauge', 'peers', 'Peers known', (parts) => parts.gossipNode.peerCount],
+  [
+    'counter',
+    'spreading_sent_bytes_total',
+    'Bytes to peers',
+    (parts) => parts.gossipNode.statistics.bytesSent,
   ],
-  ['gauge', 'peers', 'Peers known', (parts) => parts.spreader.peerCount],
-  ['counter', 'spreading_sent_bytes_total', 'Bytes to peers', (parts) => parts.spreader.statistics.bytesSent],
   [
     'counter',
     'spreading_received_bytes_total',
     'Bytes from peers',
-    (parts) => parts.spreader.statistics.bytesReceived,
+    (parts) => parts.gossipNode.statistics.bytesReceived,
   ],
-  ['counter', 'spreading_fetches_total', 'States fetched', (parts) => parts.spreader.statistics.fetches],
+  ['counter', 'spreading_fetches_total', 'States fetched', (parts) => parts.gossipNode.statistics.fetches],
   ['counter', 'process_cpu_seconds_total', 'Processor time', () => cpuSeconds()],
   ['gauge', 'process_resident_memory_bytes', 'Resident memory', () => process.memoryUsage.rss()],
 ];
@@ -216,7 +221,7 @@
       'sailquay_handshake_seconds',
       "From a SYN to its caller's next packet",
     ),
-    ...forwarder.answers.times.render(
+    ...forwarder.answers.answerTimes.render(
       'sailquay_answer_seconds',
       'From a request to the first acknowledgement of its answer',
     ),
--- a/src/cookie-edge/daemon/shutdown.test.ts
+++ b/src/cookie-edge/daemon/shutdown.test.ts
@@ -5,7 +5,7 @@
 const TIMES = { minMs: 1_300, quietMs: 400, maxMs: 3_000 };
 const STEPS = ['leave', 'cancelTimers', 'stopReading', 'close'];
 
-/** Runs a shutdown while a packet arrives every 50 ms until `lastPacketMs`; returns its steps and its duration. */
+/** Runs a shutdown while a packet arrives every 50 ms until `lastPacketAtMs`; returns its steps and its duration. */
 async function runShutdown(lastPacketMs: number): Promise<{ names: string[]; endedMs: number }> {
   const clock = new VirtualClock();
   const startedMs = clock.now();
--- a/src/cookie-edge/daemon/source-reading.ts
+++ b/src/cookie-edge/daemon/source-reading.ts
@@ -21,7 +21,7 @@
 
   /** Calls to the source since start. */
   get calls(): number {
-    return this.followers.reduce((sum, { calls }) => sum + calls, this.loadReader.calls);
+    return this.followers.reduce((sum, { calls }) => sum + calls, this.loadReader.sourceCallCount);
   }
 
   /** Reads every topic once, unless gossip delivers it first. */
--- a/src/cookie-edge/daemon/status.ts
+++ b/src/cookie-edge/daemon/status.ts
@@ -1,6 +1,6 @@
 /** Status page of a daemon on a cookie edge, and the totals in its last log line. Reads both from the components. */
 import type { Readiness } from '../../observability/admin-server.js';
-import type { BackendKnowledge, RoutingTopic } from '../routing/index.js';
+import type { BackendListState, RoutingTopic } from '../routing/index.js';
 import type { CookieDaemonComponents } from './components.js';
 
 /** Back ends by condition. */
@@ -16,7 +16,7 @@
   readonly routesVersion: number | undefined;
   readonly backends: BackendCounts;
   /** Whether the list of back ends is unknown, settling or settled. */
-  readonly backendKnowledge: BackendKnowledge;
+  readonly backendKnowledge: BackendListState;
   /** Ids of back ends from the roster that are not in the list yet. */
   readonly awaitedBackends: readonly string[];
   readonly heldOpenings: number;
@@ -34,7 +34,7 @@
 
 /** Builds the status page. */
 export function describeStatus(components: CookieDaemonComponents, readiness: Readiness): CookieDaemonStatus {
-  const { knowledge, settlement, forwarder, availability, spreader } = components;
+  const { knowledge, settlement, forwarder, availability, gossipNode } = components;
   return {
     readiness,
     routesVersion: knowledge.routes()?.table.version,
@@ -49,8 +49,8 @@
     knowledgeAgeMs: topicAges(components, (ageMs) => Math.round(ageMs)),
     knowledgeRevision: topicRevisions(components),
     sourceLost: availability.isLost,
-    sourceReader: spreader.isReading,
-    peers: spreader.peerCount,
+    sourceReader: gossipNode.isReading,
+    peers: gossipNode.peerCount,
   };
 }
 
@@ -58,7 +58,7 @@
 export function summarize({
   forwarder,
   reading,
-  spreader,
+  gossipNode,
 }: CookieDaemonComponents): Record<string, number | string> {
   const { packets, forwarded, opened, takenOver, placedAnew, resets, drops, refusals } = forwarder.statistics;
   const { held, heldTooLong } = forwarder.statistics;
@@ -79,7 +79,7 @@
     drops: JSON.stringify(drops),
     refusals: JSON.stringify(refusals),
     sourceCalls: reading.calls,
-    ...spreader.statistics,
+    ...gossipNode.statistics,
   };
 }
 
--- a/src/cookie-edge/forwarding/cookie-forwarder.test.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.test.ts
@@ -1,23 +1,23 @@
 import test from 'ava';
 import { READS_A_TURN } from '../../common/pause-detector.js';
-import { LAPSED_RECORD_MS } from '../placement/constants.js';
+import { LAPSED_RECORD_TTL_MS } from '../placement/constants.js';
 import { backendAt, SERVICE_PORT } from '../routing/routing-test-support.js';
 import { HOUSEKEEPING_TICK_MS } from './constants.js';
-import { backends, failOpenings, ForwarderHarness } from './cookie-test-support.js';
+import { backends, leaveOpeningsUnanswered, ForwarderHarness } from './cookie-test-support.js';
 import { COOKIE_FLOW_EVENTS } from './events.js';
 
 test('a packet of a flow that this daemon never saw goes to the back end of its cookie', (t) => {
-  const first = new ForwarderHarness().know(backends(5));
-  const second = new ForwarderHarness().know(backends(5));
+  const first = new ForwarderHarness().applyRecords(backends(5));
+  const second = new ForwarderHarness().applyRecords(backends(5));
   for (let port = 1; port <= 20; port += 1) {
     const opened = first.establish(port);
-    t.deepEqual(second.goOn(port, opened.cookie), opened);
+    t.deepEqual(second.sendMidFlow(port, opened.cookie), opened);
   }
   t.is(second.forwarder.statistics.takenOver, 20);
 });
 
 test('the cookie of a packet takes precedence over the cached flow', (t) => {
-  const harness = new ForwarderHarness().know(backends(3));
+  const harness = new ForwarderHarness().applyRecords(backends(3));
   const opened = harness.establish(1);
   const other = ['a', 'b', 'c'].find((id) => id !== opened.backend)!;
   const cookies = new Map<string, number>();
@@ -25,19 +25,19 @@
     const placed = harness.establish(port);
     cookies.set(placed.backend!, placed.cookie);
   }
-  t.is(harness.goOn(1, cookies.get(other)!)?.backend, other);
-  t.is(harness.goOn(1, 0)?.backend, other, 'the cache was updated');
+  t.is(harness.sendMidFlow(1, cookies.get(other)!)?.backend, other);
+  t.is(harness.sendMidFlow(1, 0)?.backend, other, 'the cache was updated');
 });
 
 test('a packet with an unknown cookie and no cached flow is dropped, even if there is only one back end', (t) => {
-  const harness = new ForwarderHarness().know(backends(1));
-  t.is(harness.goOn(7, 0x01020304), undefined);
-  t.is(harness.goOn(7, 0), undefined);
+  const harness = new ForwarderHarness().applyRecords(backends(1));
+  t.is(harness.sendMidFlow(7, 0x01020304), undefined);
+  t.is(harness.sendMidFlow(7, 0), undefined);
   t.deepEqual(harness.forwarder.statistics.drops, { 'unknown-cookie': 2 });
 });
 
 test('retransmissions of a SYN go to the same back end as the first', (t) => {
-  const harness = new ForwarderHarness().know(backends(5));
+  const harness = new ForwarderHarness().applyRecords(backends(5));
   const opened = harness.open(1);
   for (let port = 2; port <= 9; port += 1) harness.establish(port);
   harness.clock.advance(200);
@@ -47,36 +47,36 @@
 });
 
 test('daemons with the same routes and back ends place equal SYNs equally', (t) => {
-  const one = new ForwarderHarness(undefined, 1).know(backends(14));
-  const two = new ForwarderHarness(undefined, 99).know(backends(14));
+  const one = new ForwarderHarness(undefined, 1).applyRecords(backends(14));
+  const two = new ForwarderHarness(undefined, 99).applyRecords(backends(14));
   for (let port = 1; port <= 50; port += 1) t.deepEqual(one.open(port), two.open(port), `port ${port}`);
 });
 
 test('a SYN that waited in the socket during a pause of the process opens no flow', (t) => {
-  const harness = new ForwarderHarness().know(backends(3));
+  const harness = new ForwarderHarness().applyRecords(backends(3));
   const opened = harness.establish(1);
   harness.stop();
   harness.clock.advance(5_000);
   t.is(harness.open(2), undefined);
   t.true(harness.events().includes(COOKIE_FLOW_EVENTS.staleSyn.number));
-  t.truthy(harness.goOn(1, opened.cookie), 'open flows continue');
+  t.truthy(harness.sendMidFlow(1, opened.cookie), 'open flows continue');
 });
 
 test('a SYN with the ports of a closed flow opens a new flow, not at a draining back end', (t) => {
-  const harness = new ForwarderHarness().know(backends(3));
+  const harness = new ForwarderHarness().applyRecords(backends(3));
   const opened = harness.establish(1);
-  harness.goOn(1, opened.cookie, { fin: true });
+  harness.sendMidFlow(1, opened.cookie, { fin: true });
   const withDrainingBackend = backends(3).map((record) =>
     record.id === opened.backend ? { ...record, draining: true, revision: 20 } : record,
   );
-  harness.know(withDrainingBackend, {}, 20);
+  harness.applyRecords(withDrainingBackend, {}, 20);
   const again = harness.open(1);
   t.truthy(again?.backend);
   t.not(again?.backend, opened.backend);
 });
 
 test('a retransmitted SYN that waited during a pause of the process is dropped', (t) => {
-  const harness = new ForwarderHarness().know(backends(3));
+  const harness = new ForwarderHarness().applyRecords(backends(3));
   t.truthy(harness.open(1));
   harness.stop();
   harness.clock.advance(5_000);
@@ -85,7 +85,7 @@
 });
 
 test('every SYN of the backlog after a pause is dropped, and later ones are placed', (t) => {
-  const harness = new ForwarderHarness().know(backends(3));
+  const harness = new ForwarderHarness().applyRecords(backends(3));
   harness.pauseProcess(4_000);
   for (let read = 1; read <= 3 * READS_A_TURN; read += 1) {
     t.is(harness.open(read), undefined, `datagram ${read}`);
@@ -97,7 +97,7 @@
 });
 
 test('housekeeping ticks on schedule do not count as a pause', (t) => {
-  const harness = new ForwarderHarness().know(backends(3));
+  const harness = new ForwarderHarness().applyRecords(backends(3));
   harness.clock.advance(3 * HOUSEKEEPING_TICK_MS);
   t.truthy(harness.open(1), 'no pause was detected');
 });
@@ -106,12 +106,12 @@
   const harness = new ForwarderHarness();
   t.is(harness.open(1), undefined);
   t.deepEqual(harness.forwarder.statistics.drops, { starting: 1 });
-  harness.know(backends(1));
+  harness.applyRecords(backends(1));
   t.is(harness.open(1, 1)?.backend, 'a');
 });
 
 test('an opening to an address without a route is refused with a reset immediately', (t) => {
-  const harness = new ForwarderHarness().know(backends(1));
+  const harness = new ForwarderHarness().applyRecords(backends(1));
   const answer = harness.deliver({ syn: true, destinationPort: SERVICE_PORT + 1 });
   t.deepEqual(answer, { backend: undefined, cookie: 0 });
   t.deepEqual(harness.forwarder.statistics.refusals, { 'no-route': 1 });
@@ -125,30 +125,30 @@
 
 for (const [name, change, departs] of INELIGIBLE) {
   test(`a back end that is ${name} gets no new flow, and its open flows continue`, (t) => {
-    const harness = new ForwarderHarness().know([backendAt('a', 1), backendAt('b', 2)]);
+    const harness = new ForwarderHarness().applyRecords([backendAt('a', 1), backendAt('b', 2)]);
     let port = 1;
     while (harness.establish(port).backend !== 'a') port += 1;
     const cookie = harness.sent.at(-1)!.cookie;
-    harness.know([backendAt('a', 11, change), backendAt('b', 2)], {}, 12);
-    if (departs) harness.depart('a', 13);
+    harness.applyRecords([backendAt('a', 11, change), backendAt('b', 2)], {}, 12);
+    if (departs) harness.removeRecord('a', 13);
     for (let other = 100; other < 120; other += 1) t.is(harness.establish(other).backend, 'b');
-    t.is(harness.goOn(port, cookie)?.backend, 'a');
+    t.is(harness.sendMidFlow(port, cookie)?.backend, 'a');
   });
 }
 
 test('no back end exceeds its maximum connections; once all are full, openings are refused immediately', (t) => {
   const services = [{ name: 'alpha', maxConnections: 2 }];
-  const harness = new ForwarderHarness().know(backends(2), { services });
+  const harness = new ForwarderHarness().applyRecords(backends(2), { services });
   for (let port = 1; port <= 4; port += 1) t.truthy(harness.establish(port).backend);
   t.is(harness.open(5)?.backend, undefined);
   t.deepEqual(harness.forwarder.statistics.refusals, { 'no-backend': 1 });
-  harness.goOn(1, harness.sent[0]!.cookie, { fin: true });
+  harness.sendMidFlow(1, harness.sent[0]!.cookie, { fin: true });
   t.truthy(harness.open(6)?.backend, 'closing a flow frees a connection');
 });
 
 test('flows that reach the idle timeout free their connections', (t) => {
   const services = [{ name: 'alpha', maxConnections: 1 }];
-  const harness = new ForwarderHarness().know(backends(1), { services, idleTimeoutMs: 5_000 });
+  const harness = new ForwarderHarness().applyRecords(backends(1), { services, idleTimeoutMs: 5_000 });
   harness.establish(1);
   harness.clock.advance(4_000);
   t.is(harness.open(2)?.backend, undefined);
@@ -157,10 +157,10 @@
 });
 
 test('a back end that leaves openings unanswered while others respond is ejected', (t) => {
-  const harness = new ForwarderHarness().know(backends(3));
+  const harness = new ForwarderHarness().applyRecords(backends(3));
   for (let port = 1; port <= 9; port += 1) harness.establish(port);
   harness.clock.advance(10);
-  const [first] = failOpenings(harness, 'a', 2, 100);
+  const [first] = leaveOpeningsUnanswered(harness, 'a', 2, 100);
   harness.clock.advance(300);
   harness.establish(500);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
@@ -172,7 +172,7 @@
 });
 
 test('no back end is ejected when all are silent, because the cause is this daemon or its links', (t) => {
-  const harness = new ForwarderHarness().know(backends(3));
+  const harness = new ForwarderHarness().applyRecords(backends(3));
   for (let port = 1; port <= 9; port += 1) harness.establish(port);
   harness.clock.advance(100);
   for (let port = 100; port < 130; port += 1) harness.open(port);
@@ -181,10 +181,10 @@
 });
 
 test('an ejected back end gets one trial opening, and returns to service when it responds', (t) => {
-  const harness = new ForwarderHarness().know(backends(2));
+  const harness = new ForwarderHarness().applyRecords(backends(2));
   for (let port = 1; port <= 6; port += 1) harness.establish(port);
   harness.clock.advance(10);
-  failOpenings(harness, 'a', 2, 100);
+  leaveOpeningsUnanswered(harness, 'a', 2, 100);
   harness.clock.advance(200);
   harness.establish(500);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
@@ -196,20 +196,22 @@
 });
 
 test('retransmitted data without an acknowledgement counts as a failure of the back end', (t) => {
-  const harness = new ForwarderHarness().know(backends(3));
+  const harness = new ForwarderHarness().applyRecords(backends(3));
   const flows = Array.from({ length: 9 }, (_unused, index) => ({
     port: index + 1,
     opened: harness.establish(index + 1),
   }));
   const atA = flows.filter(({ opened }) => opened.backend === 'a');
   harness.clock.advance(10);
-  for (const { port, opened } of atA) harness.goOn(port, opened.cookie, { sequence: 50, payloadBytes: 9 });
+  for (const { port, opened } of atA)
+    harness.sendMidFlow(port, opened.cookie, { sequence: 50, payloadBytes: 9 });
   harness.clock.advance(200);
   harness.establish(300);
-  for (const { port, opened } of atA) harness.goOn(port, opened.cookie, { sequence: 50, payloadBytes: 9 });
+  for (const { port, opened } of atA)
+    harness.sendMidFlow(port, opened.cookie, { sequence: 50, payloadBytes: 9 });
   t.is(harness.forwarder.ejections, 1);
   const [{ port, opened } = flows[0]!] = atA;
-  harness.goOn(port, opened.cookie, { acknowledgement: 400 });
+  harness.sendMidFlow(port, opened.cookie, { acknowledgement: 400 });
   t.true(
     harness.events().includes(COOKIE_FLOW_EVENTS.backendRevived.number),
     'a new acknowledgement is a sign of life',
@@ -217,57 +219,57 @@
 });
 
 test('a back end with a lapsed record is a last resort while packets show that it is alive', (t) => {
-  const harness = new ForwarderHarness().know(backends(1));
+  const harness = new ForwarderHarness().applyRecords(backends(1));
   const opened = harness.establish(1);
-  harness.depart('a', 11, true);
+  harness.removeRecord('a', 11, true);
   t.is(harness.open(2)?.backend, undefined, 'no sign of life since it lapsed');
   harness.clock.advance(100);
-  harness.goOn(1, opened.cookie, { acknowledgement: 900 });
+  harness.sendMidFlow(1, opened.cookie, { acknowledgement: 900 });
   t.is(harness.open(3)?.backend, 'a');
-  harness.know([backendAt('b', 12)], {}, 12);
+  harness.applyRecords([backendAt('b', 12)], {}, 12);
   t.is(harness.open(4)?.backend, 'b', 'a back end with a current record is preferred');
 });
 
-test('a lapsed record that has not returned after LAPSED_RECORD_MS counts as removed', (t) => {
-  const harness = new ForwarderHarness().know(backends(1));
+test('a lapsed record that has not returned after LAPSED_RECORD_TTL_MS counts as removed', (t) => {
+  const harness = new ForwarderHarness().applyRecords(backends(1));
   const opened = harness.establish(1);
-  harness.depart('a', 11, true);
-  harness.clock.advance(LAPSED_RECORD_MS - 10);
-  harness.goOn(1, opened.cookie, { acknowledgement: 900 });
+  harness.removeRecord('a', 11, true);
+  harness.clock.advance(LAPSED_RECORD_TTL_MS - 10);
+  harness.sendMidFlow(1, opened.cookie, { acknowledgement: 900 });
   t.is(harness.open(2)?.backend, 'a');
   harness.clock.advance(10);
   t.is(harness.open(3)?.backend, undefined);
-  t.is(harness.goOn(1, opened.cookie)?.backend, 'a', 'its open flows continue');
-  harness.know([backendAt('a', 12)], {}, 12);
+  t.is(harness.sendMidFlow(1, opened.cookie)?.backend, 'a', 'its open flows continue');
+  harness.applyRecords([backendAt('a', 12)], {}, 12);
   t.is(harness.open(4)?.backend, 'a', 'its record returned');
 });
 
 test('a draining back end with a lapsed record is not a last resort', (t) => {
-  const harness = new ForwarderHarness().know([backendAt('a', 1, { draining: true })]);
-  harness.depart('a', 11, true);
+  const harness = new ForwarderHarness().applyRecords([backendAt('a', 1, { draining: true })]);
+  harness.removeRecord('a', 11, true);
   t.is(harness.open(1)?.backend, undefined);
 });
 
 test('new openings avoid a back end while an opening there waits unusually long', (t) => {
-  const harness = new ForwarderHarness().know(backends(2));
+  const harness = new ForwarderHarness().applyRecords(backends(2));
   for (let port = 1; port <= 40; port += 1) {
     const opened = harness.open(port)!;
     harness.clock.advance(4);
-    harness.goOn(port, opened.cookie);
+    harness.sendMidFlow(port, opened.cookie);
   }
-  harness.know([...backends(2), backendAt('c', 20)], {}, 20);
+  harness.applyRecords([...backends(2), backendAt('c', 20)], {}, 20);
   t.is(harness.open(100)?.backend, 'c', 'the back end with the fewest flows');
   harness.clock.advance(4);
   t.is(harness.open(101)?.backend, 'c', 'the wait is within the usual response time');
   harness.clock.advance(30);
   t.not(harness.open(102)?.backend, 'c');
-  harness.goOn(100, harness.sent.find(({ backend }) => backend === 'c')!.cookie);
-  harness.goOn(101, harness.sent.find(({ backend }) => backend === 'c')!.cookie);
+  harness.sendMidFlow(100, harness.sent.find(({ backend }) => backend === 'c')!.cookie);
+  harness.sendMidFlow(101, harness.sent.find(({ backend }) => backend === 'c')!.cookie);
   t.is(harness.open(103)?.backend, 'c', 'it has responded');
 });
 
 test('a back end that a peer ejected is avoided until it shows a sign of life', (t) => {
-  const harness = new ForwarderHarness().know(backends(3));
+  const harness = new ForwarderHarness().applyRecords(backends(3));
   const [opened] = ['a', 'b', 'c'].map((_id, index) => harness.establish(index + 1));
   harness.clock.advance(10);
   const suspected = opened!.backend!;
@@ -275,7 +277,7 @@
   t.false(harness.forwarder.applyEjectionReport(suspected, harness.clock.now()), 'already known');
   for (let port = 10; port < 18; port += 1) t.not(harness.establish(port).backend, suspected);
   harness.clock.advance(5);
-  harness.goOn(1, opened!.cookie, { acknowledgement: 500 });
+  harness.sendMidFlow(1, opened!.cookie, { acknowledgement: 500 });
   t.is(harness.establish(20).backend, suspected);
   t.false(
     harness.forwarder.applyEjectionReport(suspected, harness.clock.now() - 10),
@@ -285,22 +287,22 @@
 });
 
 test('the only back end of a service gets flows although a peer ejected it', (t) => {
-  const harness = new ForwarderHarness().know(backends(1));
+  const harness = new ForwarderHarness().applyRecords(backends(1));
   harness.clock.advance(10);
   harness.forwarder.applyEjectionReport('a', harness.clock.now());
   t.is(harness.open(1)?.backend, 'a');
 });
 
 test('a back end without long flows does not get every short flow', (t) => {
-  const harness = new ForwarderHarness().know([backendAt('a', 1), backendAt('b', 2)]);
+  const harness = new ForwarderHarness().applyRecords([backendAt('a', 1), backendAt('b', 2)]);
   for (let port = 1; port <= 12; port += 1) harness.establish(port);
-  harness.know([backendAt('a', 1), backendAt('b', 2), backendAt('new', 11)], {}, 12);
+  harness.applyRecords([backendAt('a', 1), backendAt('b', 2), backendAt('new', 11)], {}, 12);
   const counts = new Map<string, number>();
   for (let port = 1_000; port < 1_060; port += 1) {
     const { backend, cookie } = harness.establish(port);
     counts.set(backend!, (counts.get(backend!) ?? 0) + 1);
     harness.clock.advance(50);
-    harness.goOn(port, cookie, { fin: true });
+    harness.sendMidFlow(port, cookie, { fin: true });
     harness.clock.advance(50);
   }
   const fresh = counts.get('new') ?? 0;
--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -58,7 +58,7 @@
     this.answers = answers;
     for (const backend of knowledge.backends.all()) this.registerBackend(backend);
     knowledge.backends.onAdd((backend) => this.registerBackend(backend));
-    knowledge.backends.onForget((backend) => this.removeBackend(backend));
+    knowledge.backends.onDiscard((backend) => this.removeBackend(backend));
     knowledge.subscribe(({ topic }) => {
       if (topic === 'routes') this.registerNewlyRouted();
     });
@@ -92,7 +92,7 @@
     if (!backend) return false;
     const state = states.of(backend);
     const isNew = state.applyEjectionReport(atMs);
-    if (isNew) deadBackends.probeIfInDoubt(state);
+    if (isNew) deadBackends.probeIfNeeded(state);
     return isNew;
   }
 
@@ -149,11 +149,11 @@
     const { deadBackends, supersededBackends, cookies, states, coldAdmission, cache } = this.options;
     cache.removeFlowsAt(states.of(backend));
     this.unroutedBackends.delete(backend);
-    deadBackends.forget(backend);
-    supersededBackends.forget(backend);
+    deadBackends.removeBackend(backend);
+    supersededBackends.removeBackend(backend);
     cookies.remove(backend);
-    states.forget(backend);
-    coldAdmission.forget(backend);
-    this.outliers.forget(backend.id);
+    states.removeBackend(backend);
+    coldAdmission.remove(backend);
+    this.outliers.removeBackend(backend.id);
   }
 }
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -38,7 +38,7 @@
 }
 
 /** Options of the daemon under test. */
-export interface HarnessSurroundings {
+export interface HarnessOptions {
   /** Region of each zone. */
   readonly regions?: Readonly<Record<string, string>>;
   /** Returns true if the daemon is one of the owners of a cold back end. Default: always. */
@@ -46,11 +46,11 @@
   /** Returns the outcome of a probe. Default: answered. */
   readonly probe?: ConnectProbe;
   /** Returns true once peers have sent their data about back ends. Default: always. */
-  readonly hasLearntFromPeers?: () => boolean;
+  readonly hasReceivedDeparted?: () => boolean;
   /** Number of daemons. Without it no opening yields. */
   readonly fleetSize?: number;
   /** Uses `settlement` to decide whether the list of back ends is complete. Default: the list is always complete. */
-  readonly settles?: boolean;
+  readonly tracksSettlement?: boolean;
   /** Identifies the daemon in its reports to peers. */
   readonly observer?: number;
   /** Called with the daemon's reports of bad answers. */
@@ -85,7 +85,7 @@
     readonly clock = new VirtualClock(),
     seed = 1,
     switchedOff: readonly Mechanism[] = [],
-    surroundings: HarnessSurroundings = {},
+    surroundings: HarnessOptions = {},
   ) {
     const events = {
       emit: (event: EventDefinition, fields: EventFields = {}): void => {
@@ -105,8 +105,8 @@
       zoneLoadFactor: 1.5,
       isOn: allBut(switchedOff),
       ...(surroundings.fleetSize && { fleetSize: () => surroundings.fleetSize }),
-      ...(surroundings.settles && { settlement: this.settlement }),
-      ...(surroundings.hasLearntFromPeers && { hasLearntFromPeers: surroundings.hasLearntFromPeers }),
+      ...(surroundings.tracksSettlement && { settlement: this.settlement }),
+      ...(surroundings.hasReceivedDeparted && { hasReceivedDeparted: surroundings.hasReceivedDeparted }),
       regionOf: (zone) => surroundings.regions?.[zone],
       probe: surroundings.probe ?? (() => Promise.resolve('answered')),
       cold: { overage: 1.5, slack: 5, isOwner: surroundings.isOwner ?? (() => true) },
@@ -116,7 +116,7 @@
       maxFlows: () => 1_000,
       observer: surroundings.observer,
       onBadAnswer: surroundings.onBadAnswer,
-      onEject: (backendId) => this.gossipedEjections.push(backendId),
+      onBackendUnhealthy: (backendId) => this.gossipedEjections.push(backendId),
     });
     this.forwarder.start(this.abort.signal);
   }
@@ -136,7 +136,7 @@
   }
 
   /** Applies a complete list of back ends, routes and cordons as of `revision`. */
-  know(backends: readonly RoutedBackend[], table: Partial<RouteTable> = {}, revision = 10): this {
+  applyRecords(backends: readonly RoutedBackend[], table: Partial<RouteTable> = {}, revision = 10): this {
     const origin = { since: -1, confirmedAtMs: this.clock.now(), mayHaveLapsed: false };
     const tables = [tableAt(revision, table)];
     this.knowledge.apply('routes', updateAt(revision, { complete: true, routes: tables }), origin);
@@ -153,7 +153,7 @@
   }
 
   /** Removes a back end's record at `revision`. */
-  depart(id: string, revision: number, mayHaveLapsed = false): void {
+  removeRecord(id: string, revision: number, mayHaveLapsed = false): void {
     const origin = { since: revision - 1, confirmedAtMs: this.clock.now(), mayHaveLapsed };
     this.knowledge.apply('backends', updateAt(revision, { removals: [{ id, revision }] }), origin);
   }
@@ -204,12 +204,12 @@
   establish(port: number): SentPacket {
     const opened = this.open(port);
     if (!opened?.backend) throw new Error('the opening was not placed');
-    this.goOn(port, opened.cookie);
+    this.sendMidFlow(port, opened.cookie);
     return opened;
   }
 
   /** Delivers a packet of an open flow. */
-  goOn(port: number, cookie: number, packet: Partial<CookiePacket> = {}): SentPacket | undefined {
+  sendMidFlow(port: number, cookie: number, packet: Partial<CookiePacket> = {}): SentPacket | undefined {
     return this.deliver({ sourcePort: port, ack: true, cookie, acknowledgement: 1, ...packet });
   }
 
@@ -264,7 +264,7 @@
 }
 
 /** Opens flows until `count` of them were placed at `backend`. Only those stay unanswered. Returns their ports. */
-export function failOpenings(
+export function leaveOpeningsUnanswered(
   harness: ForwarderHarness,
   backend: string,
   count: number,
@@ -274,7 +274,7 @@
   for (let port = fromPort; ports.length < count; port += 1) {
     const opened = harness.open(port);
     if (opened?.backend === backend) ports.push(port);
-    else if (opened?.backend) harness.goOn(port, opened.cookie);
+    else if (opened?.backend) harness.sendMidFlow(port, opened.cookie);
   }
   return ports;
 }
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -13,7 +13,7 @@
   SupersededBackends,
   type ConnectProbe,
 } from '../backend-health/index.js';
-import { CrowdAdmission } from '../admission/index.js';
+import { RecoveryAdmission } from '../admission/index.js';
 import type { LoadLevels } from '../load/index.js';
 import {
   AnswerTracker,
@@ -70,7 +70,7 @@
   /**
    * Returns false while peers are known to hold data about back ends that this daemon has not received. Default: true.
    */
-  readonly hasLearntFromPeers?: () => boolean;
+  readonly hasReceivedDeparted?: () => boolean;
   /** Whether the list of back ends is considered complete. Default: always complete. */
   readonly settlement?: Settlement;
   readonly cold: ColdAdmissionOptions;
@@ -90,7 +90,7 @@
   /** Gossips a bad answer that this daemon detected. */
   readonly onBadAnswer?: (report: BadAnswerReport) => void;
   /** Gossips that this daemon ejected a back end, found it dead or suspects it. */
-  readonly onEject?: (backendId: string, nowMs: number) => void;
+  readonly onBackendUnhealthy?: (backendId: string, nowMs: number) => void;
 }
 
 /** The part of `BackendSettlement` that forwarding uses. */
@@ -163,10 +163,10 @@
     ({ backend }, nowMs) => gossipEjection(backend.id, nowMs),
     isOn,
   );
-  const { hasLearntFromPeers = () => true } = environment;
+  const { hasReceivedDeparted = () => true } = environment;
   const resetter = new FlowResetter({ clock, cache, edge, statistics, events });
   const verdictOptions = { clock, isOn, states, resetter, events };
-  const deadBackends = new DeadBackends({ ...verdictOptions, pauses, probe, onDoubt: gossipEjection });
+  const deadBackends = new DeadBackends({ ...verdictOptions, pauses, probe, onSuspect: gossipEjection });
   const outliers = createOutlierDetector(environment);
   return {
     isOn,
@@ -175,7 +175,7 @@
     cache,
     states,
     deadBackends,
-    supersededBackends: new SupersededBackends({ ...verdictOptions, hasLearntFromPeers }),
+    supersededBackends: new SupersededBackends({ ...verdictOptions, hasReceivedDeparted }),
     outliers,
     pendingOpenings: new PendingOpenings(),
     answerTracker: createAnswerTracker(environment, outliers),
@@ -193,12 +193,12 @@
   return settlement && isOn('unsettled-openings') ? settlement : ALWAYS_SETTLED;
 }
 
-/** Returns `onEject`, or a function that does nothing while `shared-ejections` is switched off. */
+/** Returns `onBackendUnhealthy`, or a function that does nothing while `shared-ejections` is switched off. */
 function effectiveEjectionGossip(
-  { onEject }: CookieForwarderEnvironment,
+  { onBackendUnhealthy }: CookieForwarderEnvironment,
   isOn: MechanismCheck,
 ): (backendId: string, nowMs: number) => void {
-  return onEject && isOn('shared-ejections') ? onEject : () => undefined;
+  return onBackendUnhealthy && isOn('shared-ejections') ? onBackendUnhealthy : () => undefined;
 }
 
 function createAnswerTracker(
@@ -207,7 +207,7 @@
 ): AnswerTracker {
   return new AnswerTracker({
     slowFactor: outliers.slowFactor,
-    onBadAnswer: (badAnswer) => detector.recordOwn(badAnswer),
+    onBadAnswer: (badAnswer) => detector.recordOwnBadAnswer(badAnswer),
   });
 }
 
@@ -218,7 +218,7 @@
     {
       ...(outliers ?? DEFAULT_OUTLIER_OPTIONS),
       events,
-      self: observer ?? 0,
+      ownObserverId: observer ?? 0,
       serviceOf: (backendId) => backends.get(backendId)?.record.service,
       countBackends: (service) => backends.countRecorded(service),
       onReport: (report) => onBadAnswer?.(report),
@@ -252,7 +252,7 @@
     cache: shared.cache,
     heldOpenings: shared.heldOpenings,
     flowsInProgress: shared.flowsInProgress,
-    crowdAdmission: createCrowdAdmission(environment, shared),
+    recoveryAdmission: createCrowdAdmission(environment, shared),
     pendingOpenings,
     failures: shared.failures,
     sender: shared.sender,
@@ -266,11 +266,11 @@
 function createCrowdAdmission(
   { knowledge, fleetSize }: CookieForwarderEnvironment,
   { isOn, flowsInProgress }: SharedParts,
-): CrowdAdmission | undefined {
+): RecoveryAdmission | undefined {
   if (!fleetSize || !isOn('yielding-openings')) return undefined;
   const inProgressAt = (service: string, nowMs: number): number =>
     flowsInProgress.countForService(service, nowMs);
-  return new CrowdAdmission({ knowledge, fleetSize, inProgressAt });
+  return new RecoveryAdmission({ knowledge, fleetSize, inProgressAt });
 }
 
 function createMidFlowHandler(
--- a/src/cookie-edge/forwarding/filling-backend-list.test.ts
+++ b/src/cookie-edge/forwarding/filling-backend-list.test.ts
@@ -54,20 +54,20 @@
     switchedOff: readonly Mechanism[],
     private readonly backendsInListOrder: readonly RoutedBackend[] = allBackends(),
   ) {
-    this.harness = new ForwarderHarness(this.clock, 1, switchedOff, { settles: true });
+    this.harness = new ForwarderHarness(this.clock, 1, switchedOff, { tracksSettlement: true });
     this.callers = Array.from({ length: CALLER_COUNT }, (_unused, index) => this.createCaller(index));
   }
 
   /** Makes the daemon read a roster with all back ends. */
   withRoster(): this {
     for (const record of this.backendsInListOrder)
-      this.harness.knowledge.backends.putRemembered(record, false);
+      this.harness.knowledge.backends.putFromRoster(record, false);
     this.harness.settlement.recordRoster(new Set(['alpha']));
     return this;
   }
 
   run(): Outcome {
-    this.harness.know([]);
+    this.harness.applyRecords([]);
     for (let nowMs = 0; nowMs <= CALLER_START_SPREAD_MS + DEADLINE_MS; nowMs += STEP_MS) {
       this.listDueBackends(nowMs);
       for (const caller of this.callers) this.stepCaller(caller, nowMs);
@@ -133,7 +133,7 @@
       }
       caller.openedAtMs = nowMs;
       caller.backend = backend;
-      this.harness.goOn(caller.port, cookie);
+      this.harness.sendMidFlow(caller.port, cookie);
       sent.length = 0;
       sentPorts.length = 0;
     }
@@ -184,7 +184,9 @@
 });
 
 test('an opening is refused immediately if the roster shows that its service has no back ends', (t) => {
-  const harness = new ForwarderHarness(new VirtualClock(), 1, [], { settles: true }).know([]);
+  const harness = new ForwarderHarness(new VirtualClock(), 1, [], { tracksSettlement: true }).applyRecords(
+    [],
+  );
   harness.settlement.recordRoster(new Set(['beta']));
   t.is(harness.open(40_001)?.backend, undefined);
   t.is(harness.sent.length, 1, 'a reset');
@@ -192,7 +194,7 @@
 
 test('an empty list is considered complete after a time limit, and then openings are refused immediately', (t) => {
   const clock = new VirtualClock();
-  const harness = new ForwarderHarness(clock, 1, [], { settles: true }).know([]);
+  const harness = new ForwarderHarness(clock, 1, [], { tracksSettlement: true }).applyRecords([]);
   t.is(harness.open(40_001), undefined, 'held');
   clock.advance(5_000);
   t.is(harness.sent.length, 0, 'no reset, because its caller has given up');
@@ -202,7 +204,7 @@
 
 test('a held opening is refused as soon as the empty list is settled', (t) => {
   const clock = new VirtualClock();
-  const harness = new ForwarderHarness(clock, 1, [], { settles: true }).know([]);
+  const harness = new ForwarderHarness(clock, 1, [], { tracksSettlement: true }).applyRecords([]);
   harness.open(40_001, 2);
   harness.settlement.recordSettledPeer();
   clock.advance(50);
@@ -214,14 +216,14 @@
 
 test('held openings are decided in order of route priority, then of the time that the caller has waited', (t) => {
   const clock = new VirtualClock();
-  const harness = new ForwarderHarness(clock, 1, [], { settles: true });
+  const harness = new ForwarderHarness(clock, 1, [], { tracksSettlement: true });
   const target = [{ service: 'alpha', weight: 1 }];
   const routes = [
     { name: 'later', address: SERVICE_ADDRESS, port: SERVICE_PORT, targets: target, priority: 2 },
     { name: 'first', address: SERVICE_ADDRESS, port: 80, targets: target, priority: 1 },
     { name: 'last', address: SERVICE_ADDRESS, port: 81, targets: target },
   ];
-  harness.know([], { routes });
+  harness.applyRecords([], { routes });
   harness.deliver({ sourcePort: 1, destinationPort: 81, syn: true });
   harness.deliver({ sourcePort: 2, syn: true, retransmissionCount: 2 });
   harness.deliver({ sourcePort: 3, syn: true });
@@ -234,7 +236,7 @@
 
 test('the hold of an opening that waited elsewhere before also ends before its caller retransmits', (t) => {
   const clock = new VirtualClock();
-  const harness = new ForwarderHarness(clock, 1, [], { settles: true }).know([]);
+  const harness = new ForwarderHarness(clock, 1, [], { tracksSettlement: true }).applyRecords([]);
   harness.handle({ sourcePort: 1, syn: true }, 100);
   clock.advance(60);
   t.is(harness.forwarder.heldOpenings, 0);
@@ -243,7 +245,7 @@
 
 test('an opening whose hold expires while others are decided is discarded, not decided late', (t) => {
   const clock = new VirtualClock();
-  const harness = new ForwarderHarness(clock, 1, [], { settles: true }).know([]);
+  const harness = new ForwarderHarness(clock, 1, [], { tracksSettlement: true }).applyRecords([]);
   harness.open(1, 1);
   harness.open(2);
   harness.onSent(1, () => clock.advance(200));
--- a/src/cookie-edge/forwarding/flow-cache.ts
+++ b/src/cookie-edge/forwarding/flow-cache.ts
@@ -20,12 +20,12 @@
   readonly serviceKey: number;
   /** Retransmission count of the first SYN that this daemon saw; 0 for an adopted flow. */
   readonly retransmissionCount: number;
-  state: LocalBackendState;
+  backendState: LocalBackendState;
   phase: FlowPhase;
   /** Monotonic ms at which the SYN was sent to the current back end. */
   openedAtMs: number;
   /** Monotonic ms of the caller's last packet. */
-  lastPacketMs: number;
+  lastPacketAtMs: number;
   /** Highest data sequence number seen; -1 before the first data. */
   highestDataSequence: number;
   /** Monotonic ms at which data with `highestDataSequence` first arrived. */
@@ -35,7 +35,7 @@
   /** True once the opening, or the newest data, has been counted as a failure of the back end. */
   isFailureCounted: boolean;
   /** True from the SYN until the caller continues or the opening counts as failed. Set by `PendingOpenings`. */
-  awaitsAnswer: boolean;
+  isAwaitingAnswer: boolean;
   /** The outstanding request, from its first data until the caller acknowledges answer data. */
   request: OutstandingRequest | undefined;
 }
@@ -68,15 +68,15 @@
       callerKey,
       serviceKey,
       retransmissionCount: packet.retransmissionCount,
-      state,
+      backendState: state,
       phase,
       openedAtMs: nowMs,
-      lastPacketMs: nowMs,
+      lastPacketAtMs: nowMs,
       highestDataSequence: -1,
       dataFirstSeenAtMs: 0,
       acknowledgement: packet.acknowledgement,
       isFailureCounted: false,
-      awaitsAnswer: false,
+      isAwaitingAnswer: false,
       request: undefined,
     };
     this.flowsOfService(serviceKey).set(callerKey, flow);
@@ -87,25 +87,25 @@
 
   /** Moves a flow to another back end and updates the open-flow counts of both. */
   moveToBackend(flow: Flow, state: LocalBackendState): void {
-    if (flow.state === state) return;
+    if (flow.backendState === state) return;
     if (flow.phase !== 'closing') {
-      flow.state.openFlows -= 1;
+      flow.backendState.openFlows -= 1;
       state.openFlows += 1;
     }
-    flow.state = state;
+    flow.backendState = state;
   }
 
   /** Marks a flow as closed by its caller. It no longer counts as open, but `find` returns it until it expires. */
   markClosed(flow: Flow, nowMs: number): void {
     if (flow.phase === 'closing') return;
     flow.phase = 'closing';
-    flow.state.recordClosed(nowMs);
+    flow.backendState.recordClosed(nowMs);
   }
 
   /** Returns the open flows at a back end. */
-  flowsAt(state: LocalBackendState): Flow[] {
+  openFlowsAt(state: LocalBackendState): Flow[] {
     if (state.openFlows === 0) return [];
-    return [...this.allFlows()].filter((flow) => flow.state === state && flow.phase !== 'closing');
+    return [...this.allFlows()].filter((flow) => flow.backendState === state && flow.phase !== 'closing');
   }
 
   /**
@@ -113,12 +113,12 @@
    * cookies to the process that has the id now, which resets a flow that it does not know.
    */
   removeFlowsAt(state: LocalBackendState): void {
-    for (const flow of this.allFlows()) if (flow.state === state) this.remove(flow);
+    for (const flow of this.allFlows()) if (flow.backendState === state) this.remove(flow);
   }
 
   /** Removes a flow. */
   remove(flow: Flow): void {
-    if (flow.phase !== 'closing') flow.state.openFlows -= 1;
+    if (flow.phase !== 'closing') flow.backendState.openFlows -= 1;
     flow.phase = 'closing';
     const flows = this.services.get(flow.serviceKey);
     if (!flows?.delete(flow.callerKey)) return;
--- a/src/cookie-edge/forwarding/flow-expiry.ts
+++ b/src/cookie-edge/forwarding/flow-expiry.ts
@@ -28,8 +28,8 @@
     this.nextSweepMs = nowMs + EXPIRY_INTERVAL_MS;
     knowledge.prune();
     const idleMs = idleTimeoutMs(knowledge.routes()?.table.idleTimeoutMs, maxFlowAgeMs);
-    cache.removeExpired(cache.size, ({ phase, lastPacketMs }) =>
-      isExpired(phase, nowMs - lastPacketMs, idleMs),
+    cache.removeExpired(cache.size, ({ phase, lastPacketAtMs }) =>
+      isExpired(phase, nowMs - lastPacketAtMs, idleMs),
     );
   }
 }
--- a/src/cookie-edge/forwarding/flow-failures.ts
+++ b/src/cookie-edge/forwarding/flow-failures.ts
@@ -26,7 +26,7 @@
     if (flow.isFailureCounted) return;
     flow.isFailureCounted = true;
     if (!isOn('passive-health')) return;
-    states.recordFailure(flow.state, sinceMs, nowMs);
-    deadBackends.probeIfInDoubt(flow.state);
+    states.recordFailure(flow.backendState, sinceMs, nowMs);
+    deadBackends.probeIfNeeded(flow.backendState);
   }
 }
--- a/src/cookie-edge/forwarding/flow-tracker.ts
+++ b/src/cookie-edge/forwarding/flow-tracker.ts
@@ -35,8 +35,8 @@
   trackPacket(packet: CookiePacket, flow: Flow, backend: KnownBackend, nowMs: number): void {
     const { cache, pendingOpenings, states } = this.options;
     pendingOpenings.settle(flow);
-    if (flow.state.backend !== backend) cache.moveToBackend(flow, states.of(backend));
-    flow.lastPacketMs = nowMs;
+    if (flow.backendState.backend !== backend) cache.moveToBackend(flow, states.of(backend));
+    flow.lastPacketAtMs = nowMs;
     if (flow.phase === 'opening') this.completeHandshake(packet, flow, nowMs);
     else if (packet.ack && isAfter(packet.acknowledgement, flow.acknowledgement)) {
       this.recordAcknowledgement(packet, flow, nowMs);
@@ -51,13 +51,13 @@
     flow.acknowledgement = packet.acknowledgement;
     statistics.handshake.observe(nowMs - flow.openedAtMs);
     pendingOpenings.recordAnswer(nowMs - flow.openedAtMs);
-    states.recordSignOfLife(flow.state, nowMs);
+    states.recordSignOfLife(flow.backendState, nowMs);
   }
 
   private recordAcknowledgement(packet: CookiePacket, flow: Flow, nowMs: number): void {
     const acknowledgedBytes = (packet.acknowledgement - flow.acknowledgement) >>> 0;
     flow.acknowledgement = packet.acknowledgement;
-    this.options.states.recordSignOfLife(flow.state, nowMs);
+    this.options.states.recordSignOfLife(flow.backendState, nowMs);
     this.completeRequest(flow, acknowledgedBytes, nowMs);
   }
 
@@ -82,14 +82,14 @@
   private beginRequest(flow: Flow, nowMs: number): void {
     const { isOn, answerTracker } = this.options;
     if (flow.request || !isOn('outlier-detection')) return;
-    const { id, record } = flow.state.backend;
+    const { id, record } = flow.backendState.backend;
     flow.request = {
       backendId: id,
       service: record.service,
       routeKey: flow.serviceKey,
       sentAtMs: nowMs,
     };
-    answerTracker.begin(flow.request);
+    answerTracker.startTracking(flow.request);
   }
 
   private completeRequest(flow: Flow, acknowledgedBytes: number, nowMs: number): void {
@@ -99,7 +99,7 @@
   }
 
   private recordClose(flow: Flow, nowMs: number): void {
-    if (flow.request) this.options.answerTracker.abandon(flow.request);
+    if (flow.request) this.options.answerTracker.recordAbandoned(flow.request);
     flow.request = undefined;
     this.options.cache.markClosed(flow, nowMs);
   }
--- a/src/cookie-edge/forwarding/flows-in-progress.ts
+++ b/src/cookie-edge/forwarding/flows-in-progress.ts
@@ -20,7 +20,7 @@
     let count = 0;
     for (const flow of this.flows) {
       if (!isInProgress(flow, nowMs)) this.flows.delete(flow);
-      else if (flow.state.backend.record.service === service) count += 1;
+      else if (flow.backendState.backend.record.service === service) count += 1;
     }
     return count;
   }
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -48,10 +48,10 @@
     const nowMs = clock.now();
     this.checkPause(nowMs);
     this.reportUnanswered(nowMs);
-    states.judgeFailing(nowMs);
+    states.evaluateFailing(nowMs);
     supersededBackends.reviewAll();
-    answerTracker.check(nowMs);
-    outliers.check(nowMs);
+    answerTracker.reportOverdueRequests(nowMs);
+    outliers.removeExpiredRecords(nowMs);
     expiry.sweepIfDue(nowMs);
   }
 
@@ -65,7 +65,7 @@
     if (pausedMs === 0) return;
     events.emit(COOKIE_FLOW_EVENTS.paused, { pausedMs: Math.round(pausedMs) });
     pendingOpenings.clear();
-    answerTracker.clear();
+    answerTracker.stopTrackingAll();
   }
 
   private reportUnanswered(nowMs: number): void {
--- a/src/cookie-edge/forwarding/incarnation.test.ts
+++ b/src/cookie-edge/forwarding/incarnation.test.ts
@@ -6,7 +6,7 @@
 import type { RoutedBackend } from '../routing/index.js';
 import { backendAt, updateAt } from '../routing/routing-test-support.js';
 import { HOUSEKEEPING_TICK_MS } from './constants.js';
-import { backends, failOpenings, ForwarderHarness } from './cookie-test-support.js';
+import { backends, leaveOpeningsUnanswered, ForwarderHarness } from './cookie-test-support.js';
 
 const FIRST_INCARNATION = 1_700_000_000_000;
 const SECOND_INCARNATION = FIRST_INCARNATION + 60_000;
@@ -32,16 +32,16 @@
 }
 
 test('flows of the old incarnation go to the new process, which resets them; the daemon resets none', (t) => {
-  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+  const harness = new ForwarderHarness().applyRecords(recordsWithIncarnation(1));
   const { cookie } = harness.establish(41_000);
   updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
-  t.is(harness.goOn(41_000, cookie)?.backend, 'a');
+  t.is(harness.sendMidFlow(41_000, cookie)?.backend, 'a');
   t.is(harness.resets.length, 0);
   t.is(harness.events().filter((number) => number === RESTARTED_EVENT).length, 1);
 });
 
 test('flows of the old incarnation do not count as load of the new one', (t) => {
-  const harness = new ForwarderHarness().know(recordsWithIncarnation(2));
+  const harness = new ForwarderHarness().applyRecords(recordsWithIncarnation(2));
   for (let port = 41_000; port < 41_008; port += 1) harness.establish(port);
   updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
   const placed = [42_000, 42_001, 42_002].map((port) => harness.open(port)?.backend);
@@ -49,8 +49,8 @@
 });
 
 test('an ejection of the old incarnation does not keep new flows from the new one', (t) => {
-  const harness = new ForwarderHarness().know(recordsWithIncarnation(2));
-  failOpenings(harness, 'a', 2, 41_000);
+  const harness = new ForwarderHarness().applyRecords(recordsWithIncarnation(2));
+  leaveOpeningsUnanswered(harness, 'a', 2, 41_000);
   failOpeningsWhileBAnswers(harness);
   t.is(harness.forwarder.ejections, 1);
   updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
@@ -59,26 +59,26 @@
 });
 
 test('openings at the old incarnation that fail later do not count against the new one', (t) => {
-  const harness = new ForwarderHarness().know(recordsWithIncarnation(2));
-  failOpenings(harness, 'a', 2, 41_000);
+  const harness = new ForwarderHarness().applyRecords(recordsWithIncarnation(2));
+  leaveOpeningsUnanswered(harness, 'a', 2, 41_000);
   updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
   failOpeningsWhileBAnswers(harness);
   t.is(harness.forwarder.ejections, 0);
 });
 
 test('a new incarnation gets flows at its new address, even if a departed back end used that address', (t) => {
-  const harness = new ForwarderHarness().know([
+  const harness = new ForwarderHarness().applyRecords([
     ...recordsWithIncarnation(1),
     backendAt('later', 9, { incarnation: 5 }),
   ]);
   const endpoint = harness.knowledge.backends.get('later')!.record.endpoint;
-  harness.depart('later', 11);
+  harness.removeRecord('later', 11);
   updateRecordOfA(harness, 12, { incarnation: SECOND_INCARNATION, endpoint });
   t.deepEqual(harness.open(42_000)?.endpoint, endpoint);
 });
 
 test('the record of a new incarnation replaces service, zone and capacity', (t) => {
-  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+  const harness = new ForwarderHarness().applyRecords(recordsWithIncarnation(1));
   updateRecordOfA(harness, 11, {
     incarnation: SECOND_INCARNATION,
     service: 'beta',
@@ -92,24 +92,24 @@
 });
 
 test('a new incarnation gets flows although the previous one drained and departed', (t) => {
-  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+  const harness = new ForwarderHarness().applyRecords(recordsWithIncarnation(1));
   updateRecordOfA(harness, 11, { draining: true });
   t.is(harness.open(42_000)?.backend, undefined);
-  harness.depart('a', 12);
+  harness.removeRecord('a', 12);
   updateRecordOfA(harness, 13, { incarnation: SECOND_INCARNATION });
   t.is(harness.open(42_001)?.backend, 'a');
 });
 
 test('a late removal of the old incarnation does not remove the new one', (t) => {
-  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+  const harness = new ForwarderHarness().applyRecords(recordsWithIncarnation(1));
   updateRecordOfA(harness, 13, { incarnation: SECOND_INCARNATION });
-  harness.depart('a', 12);
+  harness.removeRecord('a', 12);
   t.is(harness.open(42_001)?.backend, 'a');
 });
 
 test('a record with the same incarnation, or without one, keeps the known back end', (t) => {
   for (const incarnation of [FIRST_INCARNATION, undefined]) {
-    const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+    const harness = new ForwarderHarness().applyRecords(recordsWithIncarnation(1));
     const known = harness.knowledge.backends.get('a');
     updateRecordOfA(harness, 11, { incarnation, draining: true });
     t.is(harness.knowledge.backends.get('a'), known);
@@ -117,7 +117,7 @@
 });
 
 test('two successive restarts, the second with a clock set back, are two incarnations', (t) => {
-  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+  const harness = new ForwarderHarness().applyRecords(recordsWithIncarnation(1));
   updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION });
   updateRecordOfA(harness, 12, { incarnation: FIRST_INCARNATION - 5_000 });
   t.is(harness.knowledge.backends.get('a')?.record.incarnation, FIRST_INCARNATION - 5_000);
@@ -125,7 +125,7 @@
 });
 
 test('a late record of an older incarnation changes nothing', (t) => {
-  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+  const harness = new ForwarderHarness().applyRecords(recordsWithIncarnation(1));
   updateRecordOfA(harness, 13, { incarnation: SECOND_INCARNATION });
   updateRecordOfA(harness, 11, { incarnation: FIRST_INCARNATION, draining: true });
   t.is(harness.knowledge.backends.get('a')?.record.incarnation, SECOND_INCARNATION);
@@ -133,7 +133,7 @@
 });
 
 test('slow start of a new incarnation begins with its own start', (t) => {
-  const harness = new ForwarderHarness().know(recordsWithIncarnation(1));
+  const harness = new ForwarderHarness().applyRecords(recordsWithIncarnation(1));
   harness.clock.advance(10_000);
   updateRecordOfA(harness, 11, { incarnation: SECOND_INCARNATION, coldMs: 2_000 });
   t.is(harness.knowledge.backends.get('a')?.coldUntilMs, 12_000);
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -35,7 +35,7 @@
   onMidFlowPacket(packet: CookiePacket, flow: Flow | undefined, nowMs: number): void {
     const { cookies, states, flowTracker, sender } = this.options;
     const cookieBackend = packet.cookie === 0 ? undefined : cookies.backendOf(packet.cookie);
-    const backend = backendOfPacket(cookieBackend, flow?.state.backend);
+    const backend = backendOfPacket(cookieBackend, flow?.backendState.backend);
     const isDead = backend !== undefined && states.of(backend).isDead(nowMs);
     const outcome = decideMidFlow(backend, isDead);
     if (!backend || outcome === 'drop') return this.dropUnknownCookie(packet);
@@ -87,7 +87,7 @@
     events.emit(COOKIE_FLOW_EVENTS.unknownCookie, {
       flow: formatFlowId(packet),
       cookie: packet.cookie,
-      knowledgeAgeMs: Math.round(knowledge.age()),
+      knowledgeAgeMs: Math.round(knowledge.maxTopicAge()),
     });
   }
 }
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -4,7 +4,7 @@
  * flows.
  */
 import type { CookiePacket } from '../../fabric/cookie-edge.js';
-import type { CrowdAdmission } from '../admission/index.js';
+import type { RecoveryAdmission } from '../admission/index.js';
 import type { PendingOpenings } from '../backend-health/index.js';
 import type { NewFlowOutcome, NewFlowRule, Placement } from '../placement/index.js';
 import type { Route } from '../routing/index.js';
@@ -28,7 +28,7 @@
   readonly heldOpenings: HeldOpenings;
   readonly flowsInProgress: FlowsInProgress;
   /** Decides which openings yield. Undefined if none do. */
-  readonly crowdAdmission?: CrowdAdmission;
+  readonly recoveryAdmission?: RecoveryAdmission;
   readonly pendingOpenings: PendingOpenings;
   readonly failures: FlowFailures;
   readonly sender: PacketSender;
@@ -52,13 +52,13 @@
     if (kind === 'retransmission' && flow) return this.onRetransmission(packet, flow, nowMs);
     if (flow) this.options.cache.remove(flow);
     const route = this.options.newFlowRule.routeOf(packet);
-    if (route && this.mustYield(route, packet, arrival)) {
+    if (route && this.shouldDefer(route, packet, arrival)) {
       return this.options.heldOpenings.hold(packet, { route, reason: 'yields' }, arrival);
     }
     this.applyOutcome(this.options.newFlowRule.decide(packet, nowMs), packet, arrival);
   }
 
-  private mustYield(
+  private shouldDefer(
     route: Route,
     { retransmissionCount }: CookiePacket,
     { nowMs, waitedMs }: Arrival,
@@ -66,7 +66,7 @@
     const isLastChance =
       isLastTransmission(retransmissionCount) && waitedMs >= maxHoldMs(retransmissionCount);
     const caller = { waitedMs: waitedMs + sinceFirstSynMs(retransmissionCount), isLastChance };
-    return this.options.crowdAdmission?.mustYield(route, caller, nowMs) ?? false;
+    return this.options.recoveryAdmission?.shouldDefer(route, caller, nowMs) ?? false;
   }
 
   private dropStale(packet: CookiePacket): void {
@@ -78,7 +78,7 @@
     const { statistics, sender, openingLog, heldOpenings } = this.options;
     const { nowMs } = arrival;
     if (outcome.kind === 'hold') {
-      this.options.crowdAdmission?.recordReturn(nowMs);
+      this.options.recoveryAdmission?.startRecovery(nowMs);
       return heldOpenings.hold(packet, { route: outcome.route, reason: 'no-backend' }, arrival);
     }
     heldOpenings.remove(packet);
@@ -98,29 +98,30 @@
    * Records a new flow. If the cache is full, the flow is not cached; its packets are still forwarded by their cookie.
    */
   private openFlow(packet: CookiePacket, placement: Placement, nowMs: number): void {
-    const { newFlowRule, cache, pendingOpenings, statistics, crowdAdmission, flowsInProgress } = this.options;
+    const { newFlowRule, cache, pendingOpenings, statistics, recoveryAdmission, flowsInProgress } =
+      this.options;
     newFlowRule.recordPlacement(placement, nowMs);
     const flow = cache.add(packet, placement.state, 'opening', nowMs);
     if (flow) pendingOpenings.add(flow);
-    if (flow && crowdAdmission?.isReturning(nowMs)) flowsInProgress.add(flow);
+    if (flow && recoveryAdmission?.isRecovering(nowMs)) flowsInProgress.add(flow);
     statistics.opened += 1;
   }
 
   private onRetransmission(packet: CookiePacket, flow: Flow, nowMs: number): void {
     const { newFlowRule, pendingOpenings, failures, sender } = this.options;
-    flow.lastPacketMs = nowMs;
+    flow.lastPacketAtMs = nowMs;
     if (flow.phase === 'opening') {
       pendingOpenings.settle(flow);
       failures.report(flow, flow.openedAtMs, nowMs);
     }
-    if (mayLeaveFirstBackend(flow.phase, flow.state.liveness(nowMs))) {
-      const alternative = newFlowRule.chooseAgain(packet, nowMs);
+    if (mayLeaveFirstBackend(flow.phase, flow.backendState.liveness(nowMs))) {
+      const alternative = newFlowRule.chooseForRetransmission(packet, nowMs);
       if (alternative) newFlowRule.recordPlacement(alternative, nowMs);
-      const target = decideRetransmission(flow.state, alternative);
+      const target = decideRetransmission(flow.backendState, alternative);
       if (alternative && target === 'another-back-end')
         this.moveToAlternative(packet, flow, alternative, nowMs);
     }
-    sender.forwardTo(flow.state.backend);
+    sender.forwardTo(flow.backendState.backend);
   }
 
   private moveToAlternative(packet: CookiePacket, flow: Flow, placement: Placement, nowMs: number): void {
--- a/src/cookie-edge/forwarding/opening-log.ts
+++ b/src/cookie-edge/forwarding/opening-log.ts
@@ -32,7 +32,7 @@
       passedOver: placement.passedOver,
       copy: packet.retransmissionCount,
       version: knowledge.routes()?.table.version,
-      knowledgeAgeMs: Math.round(knowledge.age()),
+      knowledgeAgeMs: Math.round(knowledge.maxTopicAge()),
     });
   }
 
@@ -40,9 +40,9 @@
   logMove(packet: CookiePacket, flow: Flow, placement: Placement): void {
     this.options.events.emit(COOKIE_FLOW_EVENTS.placedAnew, {
       flow: formatFlowId(packet),
-      before: flow.state.backend.id,
+      before: flow.backendState.backend.id,
       backend: placement.state.backend.id,
-      failures: flow.state.failuresSinceSignOfLife,
+      failures: flow.backendState.failuresSinceSignOfLife,
     });
   }
 
@@ -60,7 +60,7 @@
       route: route?.name,
       excluded: route && JSON.stringify(eligibility.countRecordExclusions(route, nowMs)),
       version: knowledge.routes()?.table.version,
-      knowledgeAgeMs: Math.round(knowledge.age()),
+      knowledgeAgeMs: Math.round(knowledge.maxTopicAge()),
     });
   }
 
--- a/src/cookie-edge/forwarding/overload-after-outage.test.ts
+++ b/src/cookie-edge/forwarding/overload-after-outage.test.ts
@@ -80,7 +80,7 @@
     };
     for (let index = 0; index < DAEMON_COUNT; index += 1) {
       const daemon = new ForwarderHarness(this.clock, index, this.switchedOff, { fleetSize: DAEMON_COUNT });
-      this.daemons.push(daemon.know(records, { routes: [route] }));
+      this.daemons.push(daemon.applyRecords(records, { routes: [route] }));
     }
   }
 
@@ -119,7 +119,7 @@
   private sendRequest(attempt: Attempt, daemon: ForwarderHarness, backend: number, cookie: number): void {
     attempt.isOver = true;
     const { caller, port } = attempt;
-    daemon.goOn(port, cookie, { sequence: 2, payloadBytes: 100 });
+    daemon.sendMidFlow(port, cookie, { sequence: 2, payloadBytes: 100 });
     const slots = this.slotFreeAtMs[backend] as number[];
     const nowMs = this.clock.now();
     const slot = slots.indexOf(Math.min(...slots));
@@ -131,13 +131,13 @@
     this.clock.schedule(responseMs, () => {
       const elapsedMs = this.clock.now() - caller.startMs;
       if (elapsedMs <= DEADLINE_MS) caller.latencyMs = elapsedMs;
-      daemon.goOn(port, cookie, { sequence: 102, acknowledgement: 1 + ANSWER_BYTES, fin: true });
+      daemon.sendMidFlow(port, cookie, { sequence: 102, acknowledgement: 1 + ANSWER_BYTES, fin: true });
     });
   }
 
   private rejectRequest({ caller, port }: Attempt, daemon: ForwarderHarness, cookie: number): void {
     this.rejectedCount += 1;
-    daemon.goOn(port, cookie, { sequence: 102, acknowledgement: 30, fin: true });
+    daemon.sendMidFlow(port, cookie, { sequence: 102, acknowledgement: 30, fin: true });
     this.startAttempt(caller);
   }
 }
--- a/src/cookie-edge/forwarding/reset-target.test.ts
+++ b/src/cookie-edge/forwarding/reset-target.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { stateOf } from '../placement/placement-test-support.js';
+import { createBackendState } from '../placement/placement-test-support.js';
 import { EMPTY_PACKET } from './cookie-test-support.js';
 import { FlowCache, type FlowPhase } from './flow-cache.js';
 import { resetTargetOf } from './reset-target.js';
@@ -17,7 +17,7 @@
 for (const [phase, acknowledgement, retransmissionCount] of CASES) {
   test(`a reset of a flow that is ${phase} with acknowledgement ${acknowledgement} carries the count ${retransmissionCount}`, (t) => {
     const syn = { ...EMPTY_PACKET, syn: true, retransmissionCount: 2 };
-    const flow = new FlowCache(() => 1).add(syn, stateOf('a'), 'opening', 0)!;
+    const flow = new FlowCache(() => 1).add(syn, createBackendState('a'), 'opening', 0)!;
     flow.phase = phase;
     flow.acknowledgement = acknowledgement;
     t.deepEqual(resetTargetOf(flow), {
--- a/src/cookie-edge/forwarding/retransmission-rule.test.ts
+++ b/src/cookie-edge/forwarding/retransmission-rule.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type { Liveness } from '../backend-health/local-backend-state.js';
 import type { Placement } from '../placement/index.js';
-import { stateOf } from '../placement/placement-test-support.js';
+import { createBackendState } from '../placement/placement-test-support.js';
 import type { FlowPhase } from './flow-cache.js';
 import { decideRetransmission, mayLeaveFirstBackend } from './retransmission-rule.js';
 
@@ -22,7 +22,7 @@
 }
 
 test('a retransmission goes to another back end only if there is an alternative other than the first', (t) => {
-  const [first, other] = [stateOf('a'), stateOf('b')];
+  const [first, other] = [createBackendState('a'), createBackendState('b')];
   const at = (state: typeof first): Placement => ({
     state,
     rule: 'least-flows',
--- a/src/cookie-edge/load/busy-backends.test.ts
+++ b/src/cookie-edge/load/busy-backends.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { hashString } from '../../common/hash.js';
 import { findBusyBackends, type RatedBackend } from './busy-backends.js';
-import { MAX_REPORTED, TAG_MASK } from './constants.js';
+import { MAX_BUSY_BACKENDS_PER_REPORT, TAG_MASK } from './constants.js';
 
 function ratedBackendsOf(rates: readonly (number | undefined)[], service = 'alpha'): RatedBackend[] {
   return rates.map((rate, index) => ({ id: `${service}-${index}`, service, rate }));
@@ -38,6 +38,8 @@
 });
 
 test('the list of busy back ends is cut to its maximum length', (t) => {
-  const rates = Array.from({ length: 4 * MAX_REPORTED }, (_, index) => (index % 2 === 0 ? 10 : 0));
-  t.is(findBusyBackends(ratedBackendsOf(rates)).length, MAX_REPORTED);
+  const rates = Array.from({ length: 4 * MAX_BUSY_BACKENDS_PER_REPORT }, (_, index) =>
+    index % 2 === 0 ? 10 : 0,
+  );
+  t.is(findBusyBackends(ratedBackendsOf(rates)).length, MAX_BUSY_BACKENDS_PER_REPORT);
 });
--- a/src/cookie-edge/load/busy-backends.ts
+++ b/src/cookie-edge/load/busy-backends.ts
@@ -8,7 +8,7 @@
  * slowly or not at all also gets few calls.
  */
 import { hashString } from '../../common/hash.js';
-import { BUSY_LEVEL, MAX_REPORTED, TAG_MASK } from './constants.js';
+import { BUSY_LEVEL, MAX_BUSY_BACKENDS_PER_REPORT, TAG_MASK } from './constants.js';
 import type { BusyBackend } from './types.js';
 
 /** A back end and its call rate. */
@@ -19,7 +19,10 @@
   readonly rate: number | undefined;
 }
 
-/** Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, at most `MAX_REPORTED`. */
+/**
+ * Back ends above `BUSY_LEVEL` times the mean rate of their service, the busiest first, at most
+ * `MAX_BUSY_BACKENDS_PER_REPORT`.
+ */
 export function findBusyBackends(ratedBackends: readonly RatedBackend[]): BusyBackend[] {
   const meanByService = meanRateByService(ratedBackends);
   const busy: BusyBackend[] = [];
@@ -28,7 +31,7 @@
     if (rate === undefined || mean === 0 || rate <= mean * BUSY_LEVEL) continue;
     busy.push({ tag: hashString(id) & TAG_MASK, level: rate / mean });
   }
-  return busy.sort((left, right) => right.level - left.level).slice(0, MAX_REPORTED);
+  return busy.sort((left, right) => right.level - left.level).slice(0, MAX_BUSY_BACKENDS_PER_REPORT);
 }
 
 function meanRateByService(ratedBackends: readonly RatedBackend[]): ReadonlyMap<string, number> {
--- a/src/cookie-edge/load/call-rates.ts
+++ b/src/cookie-edge/load/call-rates.ts
@@ -22,7 +22,7 @@
   private ratedCounts = new Map<string, RatedCount>();
 
   /** Records the page's counts, read at `nowMs` (monotonic ms). Discards back ends that the page no longer lists. */
-  record(counts: readonly BackendCallCount[], nowMs: number): void {
+  updateCounts(counts: readonly BackendCallCount[], nowMs: number): void {
     const updated = new Map<string, RatedCount>();
     for (const count of counts) {
       updated.set(count.id, { count, readAtMs: nowMs, rate: this.updatedRate(count, nowMs) });
@@ -31,7 +31,7 @@
   }
 
   /** Returns the busy back ends of the page; see `findBusyBackends`. */
-  busy(): BusyBackend[] {
+  findBusyBackends(): BusyBackend[] {
     return findBusyBackends(
       [...this.ratedCounts.values()].map(({ count, rate }) => ({
         id: count.id,
--- a/src/cookie-edge/load/constants.ts
+++ b/src/cookie-edge/load/constants.ts
@@ -7,7 +7,7 @@
  * With fewer daemons than this, no daemon reads call counts. Each daemon then places enough flows to balance by its own
  * counts.
  */
-export const LOAD_MIN_DAEMONS = 16;
+export const MIN_DAEMONS_FOR_LOAD_REPORTS = 16;
 
 /**
  * Weight of the newest rate in the exponential moving average. Below 1, because a back end writes its count only once
@@ -25,13 +25,13 @@
  * Maximum number of back ends in one report, the busiest first. Each takes up to 5 bytes, so the report and the rest of
  * its message fit into a datagram of 1,400 bytes. In a page of 500 back ends, about 200 are above `BUSY_LEVEL`.
  */
-export const MAX_REPORTED = 128;
+export const MAX_BUSY_BACKENDS_PER_REPORT = 128;
 
 /**
  * A report stays valid for the time of this many reads of its page. Three, because one report may be lost and one read
  * may return a stale list.
  */
-export const VALID_READINGS = 3;
+export const REPORT_LIFETIME_READS = 3;
 
 /**
  * A report replaces the stored report of its page only if it was measured at least this much later, in ms. Otherwise
--- a/src/cookie-edge/load/index.ts
+++ b/src/cookie-edge/load/index.ts
@@ -5,7 +5,7 @@
  * reports; relies on `spreading` to gossip reports.
  */
 export type * from './types.js';
-export { LOAD_MIN_DAEMONS } from './constants.js';
+export { MIN_DAEMONS_FOR_LOAD_REPORTS } from './constants.js';
 export { LOAD_EVENTS } from './events.js';
 export { LoadReader } from './load-reader.js';
 export { LoadView, type LoadLevels } from './load-view.js';
--- a/src/cookie-edge/load/load-reader.ts
+++ b/src/cookie-edge/load/load-reader.ts
@@ -8,7 +8,7 @@
 import { pause } from '../../common/pause.js';
 import type { EventLog } from '../../observability/event.js';
 import { CallRates } from './call-rates.js';
-import { LOAD_READ_INTERVAL_MS, VALID_READINGS } from './constants.js';
+import { LOAD_READ_INTERVAL_MS, REPORT_LIFETIME_READS } from './constants.js';
 import { LOAD_EVENTS } from './events.js';
 import type { CallCountSource, LoadReport } from './types.js';
 
@@ -17,7 +17,7 @@
   readonly events: EventLog;
   readonly source: CallCountSource;
   /** Called before each read; the read is skipped if it returns false. */
-  readonly isWanted: () => boolean;
+  readonly isReadingEnabled: () => boolean;
   /** Called with the report of each page that was read. */
   readonly onReport: (report: LoadReport) => void;
 }
@@ -32,7 +32,7 @@
   constructor(private readonly options: LoadReaderOptions) {}
 
   /** Calls made to the source since start, including failed ones. */
-  get calls(): number {
+  get sourceCallCount(): number {
     return this.callCount;
   }
 
@@ -40,7 +40,7 @@
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await pause(this.options.clock, LOAD_READ_INTERVAL_MS, signal);
-      if (!signal.aborted && this.options.isWanted()) await this.readPage(signal);
+      if (!signal.aborted && this.options.isReadingEnabled()) await this.readPage(signal);
     }
   }
 
@@ -56,8 +56,8 @@
     const { counts, next } = response.value;
     const measuredAtMs = clock.now();
     const rates = (this.ratesByPage[this.pageNumber] ??= new CallRates());
-    rates.record(counts, measuredAtMs);
-    const busy = rates.busy();
+    rates.updateCounts(counts, measuredAtMs);
+    const busy = rates.findBusyBackends();
     events.emit(LOAD_EVENTS.pageRead, { page: this.pageNumber, backends: counts.length, busy: busy.length });
     onReport({ page: this.pageNumber, measuredAtMs, validMs: this.reportLifetimeMs(), busy });
     this.nextPageCursor = next;
@@ -66,6 +66,6 @@
 
   /** Grows with the number of pages, because each page is read again only after all the others. */
   private reportLifetimeMs(): number {
-    return this.ratesByPage.length * LOAD_READ_INTERVAL_MS * VALID_READINGS;
+    return this.ratesByPage.length * LOAD_READ_INTERVAL_MS * REPORT_LIFETIME_READS;
   }
 }
--- a/src/cookie-edge/load/load-view.ts
+++ b/src/cookie-edge/load/load-view.ts
@@ -5,7 +5,7 @@
 /** The load of back ends, as placement reads it. */
 export interface LoadLevels {
   /** True while at least one report is valid. */
-  isKnown(nowMs: number): boolean;
+  hasValidReport(nowMs: number): boolean;
   /**
    * Load of a back end as a multiple of its service's mean; 1 if no valid report lists it as busy. Never below 1: a
    * back end that answers slowly or not at all also gets few calls, so a low rate is no reason to prefer it.
@@ -41,7 +41,7 @@
     return true;
   }
 
-  isKnown(nowMs: number): boolean {
+  hasValidReport(nowMs: number): boolean {
     for (const { expiresAtMs } of this.reportByPage.values()) if (nowMs < expiresAtMs) return true;
     return false;
   }
--- a/src/cookie-edge/load/load.test.ts
+++ b/src/cookie-edge/load/load.test.ts
@@ -6,7 +6,12 @@
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
 import { RoutingSourceError } from '../routing/index.js';
 import { CallRates } from './call-rates.js';
-import { LOAD_READ_INTERVAL_MS, MAX_REPORTED, MIN_REPORT_SPACING_MS, TAG_MASK } from './constants.js';
+import {
+  LOAD_READ_INTERVAL_MS,
+  MAX_BUSY_BACKENDS_PER_REPORT,
+  MIN_REPORT_SPACING_MS,
+  TAG_MASK,
+} from './constants.js';
 import { LoadReader } from './load-reader.js';
 import { LoadView } from './load-view.js';
 import type { BackendCallCount, CallCountPage, LoadReport } from './types.js';
@@ -27,10 +32,10 @@
 
 test('a back end with more calls than the mean of its service is busy', (t) => {
   const rates = new CallRates();
-  rates.record([countOf('a', 0), countOf('b', 100), countOf('c', 7)], 0);
-  t.deepEqual(rates.busy(), []);
-  rates.record([countOf('a', 30), countOf('b', 110), countOf('c', 27)], 2_000);
-  t.deepEqual(rates.busy(), [{ tag: tagOf('a'), level: 1.5 }]);
+  rates.updateCounts([countOf('a', 0), countOf('b', 100), countOf('c', 7)], 0);
+  t.deepEqual(rates.findBusyBackends(), []);
+  rates.updateCounts([countOf('a', 30), countOf('b', 110), countOf('c', 27)], 2_000);
+  t.deepEqual(rates.findBusyBackends(), [{ tag: tagOf('a'), level: 1.5 }]);
 });
 
 test('rates are per unit of capacity and compared within one service', (t) => {
@@ -40,43 +45,43 @@
     countOf('b', calls / 2),
     countOf('c', calls * 10, { service: 'beta' }),
   ];
-  rates.record(countsAt(0), 0);
-  rates.record(countsAt(40), 2_000);
-  t.deepEqual(rates.busy(), []);
+  rates.updateCounts(countsAt(0), 0);
+  rates.updateCounts(countsAt(40), 2_000);
+  t.deepEqual(rates.findBusyBackends(), []);
 });
 
 test('a back end has no rate after its count decreased or when it is listed for the first time', (t) => {
   const rates = new CallRates();
-  rates.record([countOf('a', 50), countOf('b', 0)], 0);
-  rates.record([countOf('a', 10), countOf('b', 10), countOf('new', 900)], 2_000);
-  t.deepEqual(rates.busy(), []);
+  rates.updateCounts([countOf('a', 50), countOf('b', 0)], 0);
+  rates.updateCounts([countOf('a', 10), countOf('b', 10), countOf('new', 900)], 2_000);
+  t.deepEqual(rates.findBusyBackends(), []);
 });
 
 test('a report of a full page lists only the busiest back ends', (t) => {
   const rates = new CallRates();
   const ids = Array.from({ length: 500 }, (_, index) => `i-${index}`);
   for (const round of [0, 1]) {
-    rates.record(
+    rates.updateCounts(
       ids.map((id, index) => countOf(id, index * round)),
       round * 2_000,
     );
   }
-  const busy = rates.busy();
-  t.is(busy.length, MAX_REPORTED);
+  const busy = rates.findBusyBackends();
+  t.is(busy.length, MAX_BUSY_BACKENDS_PER_REPORT);
   t.is(busy[0]?.tag, tagOf('i-499'));
 });
 
 test('a report is valid until it expires, and only one newer by `MIN_REPORT_SPACING_MS` replaces it', (t) => {
   const view = new LoadView();
-  t.false(view.isKnown(0));
+  t.false(view.hasValidReport(0));
   t.true(view.applyReport(reportOf({ busy: [{ tag: tagOf('a'), level: 2 }] })));
   t.is(view.levelOf(hashString('a'), 0), 2);
   t.is(view.levelOf(hashString('b'), 0), 1);
   t.false(view.applyReport(reportOf({ measuredAtMs: MIN_REPORT_SPACING_MS - 1 })));
   t.true(view.applyReport(reportOf({ measuredAtMs: MIN_REPORT_SPACING_MS })));
   t.is(view.levelOf(hashString('a'), MIN_REPORT_SPACING_MS), 1);
-  t.true(view.isKnown(MIN_REPORT_SPACING_MS + 5_999));
-  t.false(view.isKnown(MIN_REPORT_SPACING_MS + 6_000));
+  t.true(view.hasValidReport(MIN_REPORT_SPACING_MS + 5_999));
+  t.false(view.hasValidReport(MIN_REPORT_SPACING_MS + 6_000));
 });
 
 test('an expired report has no effect, and reports of different pages are valid together', (t) => {
@@ -91,14 +96,14 @@
 /** Starts a reader of the pages that `readPage` returns; undefined makes the read fail. Collects its reports. */
 function startReader(
   readPage: (cursor: string | undefined) => CallCountPage | undefined,
-  isWanted: () => boolean = () => true,
+  isReadingEnabled: () => boolean = () => true,
 ): { readonly clock: VirtualClock; readonly reports: LoadReport[]; readonly reader: LoadReader } {
   const clock = new VirtualClock();
   const reports: LoadReport[] = [];
   const reader = new LoadReader({
     clock,
     events: SILENT_EVENT_LOG,
-    isWanted,
+    isReadingEnabled,
     onReport: (report) => reports.push(report),
     source: {
       readCallCounts: (cursor) => {
@@ -130,22 +135,22 @@
 });
 
 test('a failed read makes no report, and no page is read while reading is disabled', async (t) => {
-  let isWanted = true;
+  let isReadingEnabled = true;
   const { clock, reports, reader } = startReader(
     () => undefined,
-    () => isWanted,
+    () => isReadingEnabled,
   );
   await clock.advanceAsync(LOAD_READ_INTERVAL_MS * 2 + 10, 10);
-  t.is(reader.calls, 2);
-  isWanted = false;
+  t.is(reader.sourceCallCount, 2);
+  isReadingEnabled = false;
   await clock.advanceAsync(LOAD_READ_INTERVAL_MS * 4, 10);
-  t.is(reader.calls, 2);
+  t.is(reader.sourceCallCount, 2);
   t.deepEqual(reports, []);
 });
 
 test('a back end has no rate after a restart, even if its new count is higher than the last one', (t) => {
   const rates = new CallRates();
-  rates.record([countOf('a', 10, { incarnation: 1 }), countOf('b', 10), countOf('c', 10)], 0);
-  rates.record([countOf('a', 900, { incarnation: 2 }), countOf('b', 20), countOf('c', 20)], 2_000);
-  t.deepEqual(rates.busy(), []);
+  rates.updateCounts([countOf('a', 10, { incarnation: 1 }), countOf('b', 10), countOf('c', 10)], 0);
+  rates.updateCounts([countOf('a', 900, { incarnation: 2 }), countOf('b', 20), countOf('c', 20)], 2_000);
+  t.deepEqual(rates.findBusyBackends(), []);
 });
--- a/src/cookie-edge/outliers/answer-tracker.test.ts
+++ b/src/cookie-edge/outliers/answer-tracker.test.ts
@@ -22,7 +22,7 @@
   });
   for (let count = 0; count < MIN_ANSWERS_FOR_MEDIAN; count += 1) {
     const request = createRequest(0);
-    tracker.begin(request);
+    tracker.startTracking(request);
     tracker.recordAnswer(request, USUAL_BYTES, USUAL_MS);
   }
   return { tracker, badAnswers };
@@ -42,17 +42,17 @@
   const { tracker, badAnswers } = createWarmTracker();
   const unanswered = createRequest(1_000, 'mute');
   const late = createRequest(1_000, 'late');
-  tracker.begin(unanswered);
-  tracker.begin(late);
-  tracker.check(1_000 + (SLOW_FACTOR / 2) * USUAL_MS);
+  tracker.startTracking(unanswered);
+  tracker.startTracking(late);
+  tracker.reportOverdueRequests(1_000 + (SLOW_FACTOR / 2) * USUAL_MS);
   t.deepEqual(badAnswers, []);
-  tracker.check(1_000 + (SLOW_FACTOR + 1) * USUAL_MS);
+  tracker.reportOverdueRequests(1_000 + (SLOW_FACTOR + 1) * USUAL_MS);
   t.deepEqual(
     badAnswers.map(({ backendId }) => backendId),
     ['mute', 'late'],
   );
   tracker.recordAnswer(late, USUAL_BYTES, 1_500);
-  tracker.check(9_000);
+  tracker.reportOverdueRequests(9_000);
   t.is(badAnswers.length, 2);
   t.is(tracker.outstandingCount, 0);
 });
@@ -60,7 +60,7 @@
 test('an answer that becomes late and arrives between two checks is reported as slow', (t) => {
   const { tracker, badAnswers } = createWarmTracker();
   const late = createRequest(1_000);
-  tracker.begin(late);
+  tracker.startTracking(late);
   tracker.recordAnswer(late, USUAL_BYTES, 1_000 + 5 * USUAL_MS);
   t.is(badAnswers.length, 1);
 });
@@ -68,8 +68,8 @@
 test('on a route with too few answers none is slow, even if another route has enough', (t) => {
   const { tracker, badAnswers } = createWarmTracker();
   const requestOnOtherRoute = createRequest(1_000, 'a', 2);
-  tracker.begin(requestOnOtherRoute);
-  tracker.check(1_000 + 10 * USUAL_MS);
+  tracker.startTracking(requestOnOtherRoute);
+  tracker.reportOverdueRequests(1_000 + 10 * USUAL_MS);
   tracker.recordAnswer(requestOnOtherRoute, USUAL_BYTES, 1_000 + 10 * USUAL_MS);
   t.deepEqual(badAnswers, [], 'the route has too few answers');
 });
@@ -82,7 +82,7 @@
   });
   for (let count = 0; count <= MIN_ANSWERS_FOR_MEDIAN; count += 1) {
     const request = createRequest(0);
-    tracker.begin(request);
+    tracker.startTracking(request);
     tracker.recordAnswer(request, USUAL_BYTES, count < MIN_ANSWERS_FOR_MEDIAN ? 2 : MIN_SLOW_MS - 1);
   }
   t.deepEqual(badAnswers, []);
@@ -91,11 +91,11 @@
 test('requests of closed flows, and requests before a pause of this process, are not reported as slow', (t) => {
   const { tracker, badAnswers } = createWarmTracker();
   const closed = createRequest(1_000);
-  tracker.begin(closed);
-  tracker.abandon(closed);
-  tracker.begin(createRequest(1_000));
-  tracker.clear();
-  tracker.check(60_000);
+  tracker.startTracking(closed);
+  tracker.recordAbandoned(closed);
+  tracker.startTracking(createRequest(1_000));
+  tracker.stopTrackingAll();
+  tracker.reportOverdueRequests(60_000);
   t.deepEqual(badAnswers, []);
   t.is(tracker.statistics.abandoned, 1);
 });
@@ -105,7 +105,7 @@
   const { tracker, badAnswers } = createWarmTracker();
   const recordAnswer = (bytes: number): void => {
     const request = createRequest(0);
-    tracker.begin(request);
+    tracker.startTracking(request);
     tracker.recordAnswer(request, bytes, USUAL_MS);
   };
   for (let index = 0; index < count; index += 1) recordAnswer(600 + ((index * 37) % 600));
--- a/src/cookie-edge/outliers/answer-tracker.ts
+++ b/src/cookie-edge/outliers/answer-tracker.ts
@@ -36,7 +36,7 @@
 export class AnswerTracker {
   readonly statistics: AnswerStatistics = { answered: 0, slow: 0, short: 0, abandoned: 0, untracked: 0 };
   /** Times from request to first acknowledgement, in ms. */
-  readonly times = new LatencyHistogram();
+  readonly answerTimes = new LatencyHistogram();
   /** Requests that are neither answered nor reported as slow, the oldest first. */
   private readonly outstanding = new Set<OutstandingRequest>();
   private readonly baselines = new Map<number, AnswerBaseline>();
@@ -49,7 +49,7 @@
   }
 
   /** Starts to track a request. Call it when the first packet of the request is forwarded. */
-  begin(request: OutstandingRequest): void {
+  startTracking(request: OutstandingRequest): void {
     if (this.outstanding.size < MAX_OUTSTANDING_REQUESTS) this.outstanding.add(request);
     else this.statistics.untracked += 1;
   }
@@ -61,7 +61,7 @@
     const isSlow = baseline.isSlow(durationMs, this.options.slowFactor);
     const isShort = baseline.isShort(bytes);
     this.statistics.answered += 1;
-    this.times.observe(durationMs);
+    this.answerTimes.observe(durationMs);
     baseline.recordAnswer(durationMs, bytes);
     if (!this.outstanding.delete(request)) return;
     if (isShort) this.reportBadAnswer(request, 'short', nowMs);
@@ -71,12 +71,12 @@
   /**
    * Stops tracking a request whose caller closed the flow before any answer. This is no evidence against the back end.
    */
-  abandon(request: OutstandingRequest): void {
+  recordAbandoned(request: OutstandingRequest): void {
     if (this.outstanding.delete(request)) this.statistics.abandoned += 1;
   }
 
   /** Reports outstanding requests whose answer is overdue. Call it periodically. */
-  check(nowMs: number): void {
+  reportOverdueRequests(nowMs: number): void {
     const { slowFactor } = this.options;
     for (const request of this.outstanding) {
       const baseline = this.baselines.get(request.routeKey);
@@ -87,7 +87,7 @@
   }
 
   /** Stops tracking all requests. Call it after a pause of this process, which makes their durations unknown. */
-  clear(): void {
+  stopTrackingAll(): void {
     this.outstanding.clear();
   }
 
--- a/src/cookie-edge/outliers/outlier-detector.test.ts
+++ b/src/cookie-edge/outliers/outlier-detector.test.ts
@@ -31,7 +31,7 @@
     const options = {
       ...DEFAULT_OUTLIER_OPTIONS,
       maxAvoidedShare: avoidedShare,
-      self: SELF,
+      ownObserverId: SELF,
       events: { ...SILENT_EVENT_LOG, emit },
       serviceOf: (id: string) => (id.startsWith('b') ? 'alpha' : undefined),
       countBackends: () => backendCount,
@@ -48,7 +48,7 @@
   }
 
   recordOwnBadAnswer(backendId: string, atMs = NOW_MS): void {
-    this.detector.recordOwn({ backendId, service: 'alpha', atMs });
+    this.detector.recordOwnBadAnswer({ backendId, service: 'alpha', atMs });
   }
 
   phaseOf(backendId: string, nowMs = NOW_MS): string {
@@ -162,8 +162,8 @@
   const admitted = flows.filter((flow) => !harness.detector.isAvoided('b1', 99, flow, trialMs)).length;
   t.true(Math.abs(admitted - 4_000 / OUTLIER_TRIAL_FLOW_DIVISOR) < 100, `${admitted} of 4,000 flows`);
   t.is(harness.phaseOf('b1', trialMs + OUTLIER_TRIAL_MS), 'normal');
-  harness.detector.check(trialMs);
-  harness.detector.check(trialMs + OUTLIER_TRIAL_MS);
+  harness.detector.removeExpiredRecords(trialMs);
+  harness.detector.removeExpiredRecords(trialMs + OUTLIER_TRIAL_MS);
   t.deepEqual(harness.loggedEvents.slice(1), [OUTLIER_EVENTS.trial.number, OUTLIER_EVENTS.normal.number]);
 });
 
@@ -179,7 +179,7 @@
 test('reports do not outlive the removal of a back end or a restart of the daemon', (t) => {
   const harness = new DetectorHarness();
   harness.applyPeerReports('b1', quorum);
-  harness.detector.forget('b1');
+  harness.detector.removeBackend('b1');
   t.is(harness.phaseOf('b1'), 'normal');
   t.is(new DetectorHarness().phaseOf('b1'), 'normal');
 });
--- a/src/cookie-edge/outliers/outlier-detector.ts
+++ b/src/cookie-edge/outliers/outlier-detector.ts
@@ -26,7 +26,7 @@
 
 interface OutlierDetectorOptions extends OutlierOptions {
   /** Hash of this daemon's id: the `observer` of its own reports. */
-  readonly self: number;
+  readonly ownObserverId: number;
   readonly events: EventLog;
   /** Returns the service of a back end; undefined if this daemon does not know the back end. */
   readonly serviceOf: (backendId: string) => string | undefined;
@@ -93,9 +93,9 @@
   }
 
   /** Records a bad answer that this daemon detected, and gossips it unless this daemon itself is likely slow. */
-  recordOwn({ backendId, service, atMs }: BadAnswer): void {
+  recordOwnBadAnswer({ backendId, service, atMs }: BadAnswer): void {
     if (atMs < this.startupGraceEndsAtMs) return;
-    const report = { backendId, observer: this.options.self, atMs };
+    const report = { backendId, observer: this.options.ownObserverId, atMs };
     if (!this.getOrCreateRecord(backendId, service).addReport(report, true, atMs)) return;
     this.ownReportCount += 1;
     if (!this.isReportingTooManyBackends(service, atMs)) this.options.onReport(report);
@@ -104,7 +104,7 @@
 
   /** Records another daemon's report. Returns true if the report was new and must be gossiped further. */
   applyReport(report: BadAnswerReport, nowMs: number): boolean {
-    if (report.observer === this.options.self) return false;
+    if (report.observer === this.options.ownObserverId) return false;
     const service = this.options.serviceOf(report.backendId);
     if (service === undefined) return false;
     if (!this.getOrCreateRecord(report.backendId, service).addReport(report, false, nowMs)) return false;
@@ -114,7 +114,7 @@
   }
 
   /** Logs phases that ended by time, and removes records that no longer affect a decision. Call it periodically. */
-  check(nowMs: number): void {
+  removeExpiredRecords(nowMs: number): void {
     for (const [backendId, record] of this.records) {
       this.logPhaseChange(backendId, record, nowMs);
       if (record.canBeRemoved(nowMs)) this.records.delete(backendId);
@@ -122,7 +122,7 @@
   }
 
   /** Discards all reports on a back end. */
-  forget(backendId: string): void {
+  removeBackend(backendId: string): void {
     this.records.delete(backendId);
   }
 
@@ -187,7 +187,7 @@
   private isReportingTooManyBackends(service: string, nowMs: number): boolean {
     let reportedBackendCount = 0;
     for (const record of this.records.values()) {
-      if (record.service === service && record.observersAt(nowMs).includes(this.options.self))
+      if (record.service === service && record.observersAt(nowMs).includes(this.options.ownObserverId))
         reportedBackendCount += 1;
     }
     return reportedBackendCount > maxReportableBackends(this.options.countBackends(service));
--- a/src/cookie-edge/placement/backend-eligibility.test.ts
+++ b/src/cookie-edge/placement/backend-eligibility.test.ts
@@ -5,9 +5,9 @@
 import { LocalBackendState } from '../backend-health/local-backend-state.js';
 import {
   backends,
-  failOpenings,
+  leaveOpeningsUnanswered,
   ForwarderHarness,
-  type HarnessSurroundings,
+  type HarnessOptions,
 } from '../forwarding/cookie-test-support.js';
 import type { KnownBackend, Route, RoutedBackend } from '../routing/index.js';
 import { backendAt, SERVICE_ADDRESS, SERVICE_PORT } from '../routing/routing-test-support.js';
@@ -22,7 +22,7 @@
   return backends(zones.length).map((backend, index) => ({ ...backend, zone: zones[index] as string }));
 }
 
-function createHarness(surroundings: HarnessSurroundings): ForwarderHarness {
+function createHarness(surroundings: HarnessOptions): ForwarderHarness {
   return new ForwarderHarness(new VirtualClock(), 1, [], surroundings);
 }
 
@@ -32,7 +32,7 @@
 }
 
 test('no new flow goes to a cordoned zone until the cordon is removed', (t) => {
-  const harness = new ForwarderHarness().know(backendsInZones('north', 'south', 'south'));
+  const harness = new ForwarderHarness().applyRecords(backendsInZones('north', 'south', 'south'));
   harness.cordon(['north'], 11);
   t.false(openNewFlows(harness, 30).includes('a'));
   harness.cordon([], 12);
@@ -40,14 +40,14 @@
 });
 
 test('open flows to a back end of a cordoned zone continue', (t) => {
-  const harness = new ForwarderHarness().know(backendsInZones('north'));
+  const harness = new ForwarderHarness().applyRecords(backendsInZones('north'));
   const { cookie } = harness.establish(40_002);
   harness.cordon(['north'], 11);
-  t.is(harness.goOn(40_002, cookie)?.backend, 'a');
+  t.is(harness.sendMidFlow(40_002, cookie)?.backend, 'a');
 });
 
 test('a retransmitted SYN reaches the back end of the first SYN even if its zone was cordoned since', (t) => {
-  const harness = new ForwarderHarness().know(backendsInZones('north', 'south'));
+  const harness = new ForwarderHarness().applyRecords(backendsInZones('north', 'south'));
   const first = harness.open(40_002)?.backend;
   harness.cordon([first === 'a' ? 'north' : 'south'], 11);
   t.is(harness.open(40_002, 1)?.backend, first);
@@ -55,25 +55,28 @@
 
 /** Name, and preparation of a harness in which no back end outside of the cordoned zone can serve. */
 const REMAINING_BACKEND_CASES: readonly (readonly [string, (harness: ForwarderHarness) => void])[] = [
-  ['nothing', (harness) => void harness.know(backendsInZones('north', 'north'))],
+  ['nothing', (harness) => void harness.applyRecords(backendsInZones('north', 'north'))],
   [
     'a draining back end',
     (harness) =>
-      void harness.know([...backendsInZones('north'), backendAt('z', 2, { zone: 'south', draining: true })]),
+      void harness.applyRecords([
+        ...backendsInZones('north'),
+        backendAt('z', 2, { zone: 'south', draining: true }),
+      ]),
   ],
   [
     'a back end in the cordoned zone whose record may only have lapsed',
     (harness) => {
-      harness.know(backendsInZones('north'));
+      harness.applyRecords(backendsInZones('north'));
       harness.establish(40_002);
-      harness.depart('a', 11, true);
+      harness.removeRecord('a', 11, true);
     },
   ],
   [
     'an ejected back end in the cordoned zone',
     (harness) => {
-      harness.know(backendsInZones('north', 'north'));
-      failOpenings(harness, 'a', 3, 41_000);
+      harness.applyRecords(backendsInZones('north', 'north'));
+      leaveOpeningsUnanswered(harness, 'a', 3, 41_000);
       harness.clock.advance(5_000);
     },
   ],
@@ -103,7 +106,9 @@
     ],
   };
   const beta = backendAt('b', 2, { service: 'beta', zone: 'south' });
-  const harness = new ForwarderHarness().know([...backendsInZones('north'), beta], { routes: [route] });
+  const harness = new ForwarderHarness().applyRecords([...backendsInZones('north'), beta], {
+    routes: [route],
+  });
   harness.cordon(['north'], 11);
   t.deepEqual(new Set(openNewFlows(harness, 20)), new Set(['b']));
 });
@@ -132,7 +137,7 @@
     const harness = createHarness({ regions: REGIONS });
     const targets = [{ service: 'alpha', weight: 1 }];
     const route = { name: 'r', address: SERVICE_ADDRESS, port: SERVICE_PORT, targets, allowedRegions };
-    harness.know(backendsInZones(...zones), { routes: [route] });
+    harness.applyRecords(backendsInZones(...zones), { routes: [route] });
     const chosen = openNewFlows(harness, 30).filter((backend) => backend !== undefined);
     t.deepEqual([...new Set(chosen)].sort(), [...expected]);
   });
@@ -140,13 +145,13 @@
 
 /** Returns a harness with `warmCount` warm back ends and the back end `cold`, whose rate in slow start is `rate`. */
 function harnessWithColdBackend(
-  surroundings: HarnessSurroundings,
+  surroundings: HarnessOptions,
   warmCount: number,
   rate: number,
 ): ForwarderHarness {
   const services = [{ name: 'alpha', maxConnections: 2_000, coldRequestsPerSecond: rate }];
   const cold = backendAt('cold', 5, { coldMs: COLD_MS });
-  return createHarness(surroundings).know([...backends(warmCount), cold], { services });
+  return createHarness(surroundings).applyRecords([...backends(warmCount), cold], { services });
 }
 
 test('a cold back end gets new flows from its owners only, and from all balancers once it is warm', (t) => {
@@ -167,7 +172,7 @@
 
 test('a cold back end without a rate is not limited', (t) => {
   const cold = backendAt('cold', 5, { coldMs: COLD_MS });
-  const harness = createHarness({ isOwner: () => false }).know([...backends(1), cold]);
+  const harness = createHarness({ isOwner: () => false }).applyRecords([...backends(1), cold]);
   t.true(openNewFlows(harness, 10).includes('cold'));
 });
 
@@ -180,7 +185,7 @@
   test(`a cold back end of ${rate} requests/s never exceeds its limit in any second, with two owners in each of two views`, (t) => {
     const random = seededRandom(rate);
     const clock = new VirtualClock();
-    const harness = new ForwarderHarness(clock).know([backendAt('cold', 5, { coldMs: 60_000 })]);
+    const harness = new ForwarderHarness(clock).applyRecords([backendAt('cold', 5, { coldMs: 60_000 })]);
     const [cold] = [...harness.knowledge.backends.all()];
     const owners = Array.from(
       { length: 4 },
@@ -224,7 +229,7 @@
 for (const [name, change, record, expected] of RECORD_CASES) {
   test(`a back end that is ${name} is ${expected ?? 'not'} excluded by its record`, (t) => {
     const services = [{ name: 'alpha', maxConnections: 10, coldRequestsPerSecond: 1 }];
-    const harness = createHarness({}).know([], { services });
+    const harness = createHarness({}).applyRecords([], { services });
     harness.cordon(['south'], 11);
     const { knowledge } = harness;
     const backend: KnownBackend = {
--- a/src/cookie-edge/placement/backend-eligibility.ts
+++ b/src/cookie-edge/placement/backend-eligibility.ts
@@ -51,7 +51,7 @@
 ): StateExclusion | undefined {
   if (state.openFlows >= maxConnections) return 'full';
   if (state.isDead(nowMs)) return 'dead';
-  return state.standing === 'disputed' ? 'disputed' : undefined;
+  return state.addressStatus === 'disputed' ? 'disputed' : undefined;
 }
 
 /** Tests back ends against the rule. Times are monotonic ms. */
--- a/src/cookie-edge/placement/backend-load.ts
+++ b/src/cookie-edge/placement/backend-load.ts
@@ -29,7 +29,7 @@
 export function loadWithNewFlow(state: LocalBackendState, nowMs: number, options: LoadOptions): number {
   const { record, coldUntilMs } = state.backend;
   const capacityShare = nowMs < coldUntilMs && options.isOn('cold-share') ? COLD_CAPACITY_SHARE : 1;
-  const flows = options.isOn('closed-flows') ? state.flowsAt(nowMs) : state.openFlows;
+  const flows = options.isOn('closed-flows') ? state.recentFlowsAt(nowMs) : state.openFlows;
   const load = (flows + 1) / (Math.max(1, record.capacity) * capacityShare);
   if (record.zone === options.zone) return load;
   return load * options.zoneLoadFactor + options.zoneMargin;
--- a/src/cookie-edge/placement/candidate-classes.test.ts
+++ b/src/cookie-edge/placement/candidate-classes.test.ts
@@ -3,8 +3,8 @@
 import { allBut, type Mechanism } from '../../common/mechanisms.js';
 import type { LocalBackendState } from '../backend-health/local-backend-state.js';
 import { CandidateClassifier, type CandidateClass } from './candidate-classes.js';
-import { LAPSED_RECORD_MS } from './constants.js';
-import { eject, stateOf } from './placement-test-support.js';
+import { LAPSED_RECORD_TTL_MS } from './constants.js';
+import { eject, createBackendState } from './placement-test-support.js';
 
 const NOW_MS = 1_200;
 const SLOW_HANDSHAKE_MS = 45;
@@ -19,36 +19,40 @@
 }
 
 function healthyState(): LocalBackendState {
-  return stateOf('a');
+  return createBackendState('a');
 }
 
 function failedState(): LocalBackendState {
-  const state = stateOf('a');
+  const state = createBackendState('a');
   state.recordFailure(NOW_MS - 10, NOW_MS - 160);
   return state;
 }
 
 function ejectedState(): LocalBackendState {
-  const state = stateOf('a');
+  const state = createBackendState('a');
   eject(state);
   return state;
 }
 
 function stateWithSlowHandshake(): LocalBackendState {
-  const state = stateOf('a');
+  const state = createBackendState('a');
   state.pendingOpenings = 1;
   state.pendingSinceMs = NOW_MS - SLOW_HANDSHAKE_MS - 1;
   return state;
 }
 
 function lapsedState(lastSignOfLifeMs?: number): LocalBackendState {
-  const state = stateOf('a', {}, { departed: true, lapsed: true, departedAtMs: 1_000 });
+  const state = createBackendState('a', {}, { departed: true, lapsed: true, departedAtMs: 1_000 });
   if (lastSignOfLifeMs !== undefined) state.recordSignOfLife(lastSignOfLifeMs);
   return state;
 }
 
 function rememberedState(): LocalBackendState {
-  return stateOf('a', {}, { departed: true, lapsed: true, remembered: true, departedAtMs: 1_000 });
+  return createBackendState(
+    'a',
+    {},
+    { departed: true, lapsed: true, isNeverListed: true, departedAtMs: 1_000 },
+  );
 }
 
 const CASES: readonly Case[] = [
@@ -100,13 +104,13 @@
   {
     name: 'that is remembered but departed long ago',
     state: () => rememberedState(),
-    nowMs: 1_000 + LAPSED_RECORD_MS,
+    nowMs: 1_000 + LAPSED_RECORD_TTL_MS,
     expected: undefined,
   },
   {
     name: 'with a record that lapsed long ago',
     state: () => lapsedState(1_100),
-    nowMs: 1_000 + LAPSED_RECORD_MS,
+    nowMs: 1_000 + LAPSED_RECORD_TTL_MS,
     expected: undefined,
   },
 ];
--- a/src/cookie-edge/placement/candidate-classes.ts
+++ b/src/cookie-edge/placement/candidate-classes.ts
@@ -11,7 +11,7 @@
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import type { LocalBackendState, Liveness } from '../backend-health/index.js';
 import type { KnownBackend } from '../routing/index.js';
-import { LAPSED_RECORD_MS } from './constants.js';
+import { LAPSED_RECORD_TTL_MS } from './constants.js';
 
 /** `trial`: ejected and due for a trial opening. `lapsed`: its record is gone, but the back end is probably alive. */
 export type CandidateClass = Liveness | 'outlier' | 'lapsed';
@@ -85,9 +85,9 @@
   }
 
   /**
-   * A back end whose record may only have lapsed serves for `LAPSED_RECORD_MS` after its departure if a packet since
-   * then proves that it is alive. A remembered back end needs no such packet, because this daemon has not sent it any
-   * traffic so far.
+   * A back end whose record may only have lapsed serves for `LAPSED_RECORD_TTL_MS` after its departure if a packet
+   * since then proves that it is alive. A remembered back end needs no such packet, because this daemon has not sent it
+   * any traffic so far.
    */
   private isLastResort(
     { backend, lastSignOfLifeMs }: LocalBackendState,
@@ -95,7 +95,7 @@
     nowMs: number,
   ): boolean {
     const departedAtMs = backend.departedAtMs ?? 0;
-    if (nowMs - departedAtMs >= LAPSED_RECORD_MS || !this.isOn('lapsed-records')) return false;
-    return liveness === 'alive' && (backend.remembered === true || lastSignOfLifeMs > departedAtMs);
+    if (nowMs - departedAtMs >= LAPSED_RECORD_TTL_MS || !this.isOn('lapsed-records')) return false;
+    return liveness === 'alive' && (backend.isNeverListed === true || lastSignOfLifeMs > departedAtMs);
   }
 }
--- a/src/cookie-edge/placement/class-choice.test.ts
+++ b/src/cookie-edge/placement/class-choice.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import type { Candidates } from './candidate-classes.js';
 import { candidatesForRule, choosePlacementRule, type PlacementRule } from './class-choice.js';
-import { stateOf } from './placement-test-support.js';
+import { createBackendState } from './placement-test-support.js';
 
 /** Numbers of alive, outlier, suspect, ejected and lapsed candidates; whether an ejected one is due for a trial. */
 type Counts = readonly [number, number, number, number, number, boolean];
@@ -30,7 +30,7 @@
 
 function candidatesOf([alive, outlier, suspect, ejected, lapsed, hasTrial]: Counts): Candidates {
   const states = (name: string, count: number) =>
-    Array.from({ length: count }, (_unused, index) => stateOf(`${name}-${index}`));
+    Array.from({ length: count }, (_unused, index) => createBackendState(`${name}-${index}`));
   const ejectedStates = states('ejected', ejected);
   return {
     alive: states('alive', alive),
--- a/src/cookie-edge/placement/cold-admission.test.ts
+++ b/src/cookie-edge/placement/cold-admission.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { ColdAdmission } from './cold-admission.js';
-import { stateOf } from './placement-test-support.js';
+import { createBackendState } from './placement-test-support.js';
 
 const COLD_UNTIL_MS = 10_000;
 /** Two owners share a rate of 4 flows/s, so that each of them waits 500 ms between its flows. */
@@ -23,10 +23,10 @@
 for (const [lastMs, nowMs, isOwner, rate, expected] of CASES) {
   test(`last flow at ${lastMs ?? 'no time'}, next at ${nowMs} ms, ${isOwner ? 'owner' : 'not an owner'}, rate ${rate ?? 'none'}: admitted ${expected}`, (t) => {
     const admission = new ColdAdmission({ overage: 2, slack: 10, isOwner: () => isOwner });
-    const { backend } = stateOf('a', {}, { coldUntilMs: COLD_UNTIL_MS });
+    const { backend } = createBackendState('a', {}, { coldUntilMs: COLD_UNTIL_MS });
     if (lastMs !== undefined) admission.recordPlacement(backend, lastMs);
     t.is(admission.canAdmit(backend, rate, nowMs), expected);
-    admission.forget(backend);
+    admission.remove(backend);
     t.is(admission.canAdmit(backend, rate, nowMs), rate === undefined || nowMs >= COLD_UNTIL_MS || isOwner);
   });
 }
--- a/src/cookie-edge/placement/cold-admission.ts
+++ b/src/cookie-edge/placement/cold-admission.ts
@@ -49,7 +49,7 @@
   }
 
   /** Removes the stored time of a back end's last flow. */
-  forget(backend: KnownBackend): void {
+  remove(backend: KnownBackend): void {
     this.lastPlacedAtMs.delete(backend);
   }
 
--- a/src/cookie-edge/placement/constants.ts
+++ b/src/cookie-edge/placement/constants.ts
@@ -4,7 +4,7 @@
  * Time in ms for which a back end with a lapsed record serves as a last resort, from its departure. The platform states
  * that live back ends are recorded again about 2,000 ms after the source's return; another 500 ms are for gossip.
  */
-export const LAPSED_RECORD_MS = 2_500;
+export const LAPSED_RECORD_TTL_MS = 2_500;
 
 /**
  * Panic threshold: share of a service's recorded candidates above which ejections are ignored, because this balancer's
--- a/src/cookie-edge/placement/load-balance.test.ts
+++ b/src/cookie-edge/placement/load-balance.test.ts
@@ -10,7 +10,7 @@
 import { LocalBackendState } from '../backend-health/local-backend-state.js';
 import { placementRequest } from '../forwarding/cookie-test-support.js';
 import { CallRates } from '../load/call-rates.js';
-import { LOAD_READ_INTERVAL_MS, VALID_READINGS } from '../load/constants.js';
+import { LOAD_READ_INTERVAL_MS, REPORT_LIFETIME_READS } from '../load/constants.js';
 import { LoadView } from '../load/index.js';
 import { BackendRegistry, type KnownBackend } from '../routing/index.js';
 import { backendAt } from '../routing/routing-test-support.js';
@@ -93,12 +93,17 @@
       nowMs > (scenario.reportsLostAfterMs ?? SIMULATION_MS)
     )
       continue;
-    rates.record(
+    rates.updateCounts(
       backends.map(({ id }) => ({ id, service: 'alpha', capacity: 2, calls: calls.get(id) ?? 0 })),
       nowMs,
     );
-    const validMs = LOAD_READ_INTERVAL_MS * VALID_READINGS;
-    loads.applyReport({ page: 0, measuredAtMs: nowMs + REPORT_DELAY_MS, validMs, busy: rates.busy() });
+    const validMs = LOAD_READ_INTERVAL_MS * REPORT_LIFETIME_READS;
+    loads.applyReport({
+      page: 0,
+      measuredAtMs: nowMs + REPORT_DELAY_MS,
+      validMs,
+      busy: rates.findBusyBackends(),
+    });
   }
   const counts = [...calls.values()];
   return Math.max(...counts) / (counts.reduce((sum, count) => sum + count, 0) / BACKENDS);
--- a/src/cookie-edge/placement/new-flow-rule.test.ts
+++ b/src/cookie-edge/placement/new-flow-rule.test.ts
@@ -46,24 +46,24 @@
 test('without complete knowledge the SYN is dropped', (t) => {
   const { rule } = createRule(new ForwarderHarness());
   t.deepEqual(rule.decide(FLOW, NOW_MS), { kind: 'drop', reason: 'starting' });
-  t.is(rule.chooseAgain(FLOW, NOW_MS), undefined);
+  t.is(rule.chooseForRetransmission(FLOW, NOW_MS), undefined);
 });
 
 test('without a route the flow is refused', (t) => {
-  const { rule } = createRule(new ForwarderHarness().know([backendAt('a', 1)]));
+  const { rule } = createRule(new ForwarderHarness().applyRecords([backendAt('a', 1)]));
   const unroutedFlow = { ...FLOW, destinationPort: SERVICE_PORT + 1 };
   t.deepEqual(rule.decide(unroutedFlow, NOW_MS), { kind: 'refuse', reason: 'no-route' });
-  t.is(rule.chooseAgain(unroutedFlow, NOW_MS), undefined);
+  t.is(rule.chooseForRetransmission(unroutedFlow, NOW_MS), undefined);
 });
 
 test('without a candidate the flow is refused', (t) => {
-  const { rule } = createRule(new ForwarderHarness().know([backendAt('a', 1, { draining: true })]));
+  const { rule } = createRule(new ForwarderHarness().applyRecords([backendAt('a', 1, { draining: true })]));
   t.like(rule.decide(FLOW, NOW_MS), { kind: 'refuse', reason: 'no-backend', route: { name: 'route-1' } });
-  t.is(rule.chooseAgain(FLOW, NOW_MS), undefined);
+  t.is(rule.chooseForRetransmission(FLOW, NOW_MS), undefined);
 });
 
 test('with a candidate the flow is placed', (t) => {
-  const harness = new ForwarderHarness().know([backendAt('a', 1)]);
+  const harness = new ForwarderHarness().applyRecords([backendAt('a', 1)]);
   const { rule, states } = createRule(harness);
   const placement = {
     state: states.of(harness.knowledge.backends.get('a')!),
@@ -72,16 +72,16 @@
     passedOver: 0,
   };
   t.like(rule.decide(FLOW, NOW_MS), { kind: 'place', route: { name: 'route-1' } });
-  t.deepEqual(rule.chooseAgain(FLOW, NOW_MS) as unknown, placement);
+  t.deepEqual(rule.chooseForRetransmission(FLOW, NOW_MS) as unknown, placement);
 });
 
 test('a trial opening is not chosen again after it was recorded', (t) => {
-  const harness = new ForwarderHarness().know([backendAt('a', 1), backendAt('b', 2)]);
+  const harness = new ForwarderHarness().applyRecords([backendAt('a', 1), backendAt('b', 2)]);
   const { rule, states } = createRule(harness);
   eject(states.of(harness.knowledge.backends.get('a')!));
-  const trial = rule.chooseAgain(FLOW, NOW_MS)!;
+  const trial = rule.chooseForRetransmission(FLOW, NOW_MS)!;
   t.is(trial.rule, 'trial');
-  t.is(rule.chooseAgain(FLOW, NOW_MS)?.rule, 'trial');
+  t.is(rule.chooseForRetransmission(FLOW, NOW_MS)?.rule, 'trial');
   rule.recordPlacement(trial, NOW_MS);
-  t.is(rule.chooseAgain(FLOW, NOW_MS)?.rule, 'least-flows');
+  t.is(rule.chooseForRetransmission(FLOW, NOW_MS)?.rule, 'least-flows');
 });
--- a/src/cookie-edge/placement/new-flow-rule.ts
+++ b/src/cookie-edge/placement/new-flow-rule.ts
@@ -76,7 +76,7 @@
   }
 
   /** Chooses a back end for a flow whose SYN was placed before; returns undefined without a route or a candidate. */
-  chooseAgain(flow: FlowAddresses, nowMs: number): Placement | undefined {
+  chooseForRetransmission(flow: FlowAddresses, nowMs: number): Placement | undefined {
     const route = this.routeOf(flow);
     return route && this.choosePlacement(flow, route, nowMs);
   }
@@ -94,7 +94,7 @@
     const { knowledge, settlement } = this.options;
     return decideWithoutBackend({
       listState: settlement.state,
-      hasServingRecord: targets.some(({ service }) => knowledge.backends.hasServing(service)),
+      hasServingRecord: targets.some(({ service }) => knowledge.backends.hasServingBackend(service)),
       isKnownEmpty: targets.every(({ service }) => settlement.isKnownEmpty(service)),
     });
   }
--- a/src/cookie-edge/placement/no-backend-rule.ts
+++ b/src/cookie-edge/placement/no-backend-rule.ts
@@ -8,14 +8,14 @@
  * cases: a back end of its services is recorded and not draining, so that it is known to be excluded (cordoned, full,
  * dead); or the services are known to be empty. Missing knowledge: without a roster, no service is known to be empty.
  */
-import type { BackendKnowledge } from '../routing/index.js';
+import type { BackendListState } from '../routing/index.js';
 
 /** `hold`: until a back end is listed or the caller retransmits. `refuse`: immediately, with a reset. */
 export type NoBackendOutcome = 'hold' | 'refuse';
 
 /** What this daemon knows of the services of the opening's route. */
 export interface NoBackendInputs {
-  readonly listState: BackendKnowledge;
+  readonly listState: BackendListState;
   /** True if a back end of the services is recorded and not draining. */
   readonly hasServingRecord: boolean;
   /** True if the roster shows that the services have no back end. */
--- a/src/cookie-edge/placement/opening-placement.test.ts
+++ b/src/cookie-edge/placement/opening-placement.test.ts
@@ -39,7 +39,7 @@
   const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
   const stateOf = (index: number): LocalBackendState => states.get(all[index]!)!;
   const idleHash = stateOf(2).idHash;
-  const loads = { isKnown: () => true, levelOf: (idHash: number) => (idHash === idleHash ? 1 : 1.5) };
+  const loads = { hasValidReport: () => true, levelOf: (idHash: number) => (idHash === idleHash ? 1 : 1.5) };
   const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 0, zoneLoadFactor: 1, loads });
   const countIdleChoices = (): number => {
     const chosen = Array.from({ length: 90 }, (_, flow) =>
@@ -64,7 +64,7 @@
   const ids = Array.from({ length: 40 }, (_, index) => `b-${index}`);
   const all = registerBackends(...ids);
   const busy = new Set(ids.slice(0, 16).map((id) => hashString(id)));
-  const loads = { isKnown: () => true, levelOf: (idHash: number) => (busy.has(idHash) ? 1.3 : 1) };
+  const loads = { hasValidReport: () => true, levelOf: (idHash: number) => (busy.has(idHash) ? 1.3 : 1) };
   const createChooser = (): ((flow: number) => string) => {
     const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
     const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 0.5, zoneLoadFactor: 1, loads });
--- a/src/cookie-edge/placement/placement-test-support.ts
+++ b/src/cookie-edge/placement/placement-test-support.ts
@@ -4,7 +4,7 @@
 import { backendAt } from '../routing/routing-test-support.js';
 
 /** Returns the state of a back end that is recorded and has given no sign of life yet. */
-export function stateOf(
+export function createBackendState(
   id: string,
   recordFields: Partial<RoutedBackend> = {},
   knownFields: Partial<KnownBackend> = {},
--- a/src/cookie-edge/placement/replayed-load.ts
+++ b/src/cookie-edge/placement/replayed-load.ts
@@ -10,22 +10,22 @@
 import { backendAt } from '../routing/routing-test-support.js';
 
 /** Parameters of a simulation. */
-export interface ReplayedDay {
+export interface LoadSimulationParameters {
   readonly balancers: number;
   readonly backends: number;
   /** Requests per second that are sent on a new flow each. */
-  readonly freshPerSecond: number;
+  readonly newFlowsPerSecond: number;
   /** Number of persistent flows, and the mean pause between two requests on one of them. */
-  readonly keptFlows: number;
+  readonly persistentFlows: number;
   readonly pauseMs: number;
   /** Mean service time of a request at a back end that is not slow. */
-  readonly workMs: number;
+  readonly meanServiceTimeMs: number;
   /** Factor of the service time at a back end; Infinity for one that never answers. */
-  readonly slownessOf: (backend: number, nowMs: number) => number;
+  readonly serviceTimeFactorOf: (backend: number, nowMs: number) => number;
   /** Factor of the request rate. */
-  readonly burstAt?: (nowMs: number) => number;
+  readonly rateFactorAt?: (nowMs: number) => number;
   /** True while all gossip between balancers is lost. */
-  readonly gossipLostAt?: (nowMs: number) => boolean;
+  readonly isGossipLostAt?: (nowMs: number) => boolean;
   readonly switchedOff?: readonly Mechanism[];
   readonly seed: number;
 }
@@ -34,9 +34,9 @@
 export interface SimulatedRequest {
   readonly sentAtMs: number;
   /** Time until the answer; Infinity if the request was not answered in time. */
-  readonly tookMs: number;
+  readonly durationMs: number;
   readonly backend: number;
-  readonly isFresh: boolean;
+  readonly isOnNewFlow: boolean;
 }
 
 const SLOTS_PER_BACKEND = 2;
@@ -49,7 +49,7 @@
 const MS_PER_SECOND = 1_000;
 
 /** Callers, balancers and back ends of one simulation. */
-export class ReplayedLoad {
+export class LoadSimulation {
   readonly clock = new VirtualClock();
   readonly requests: SimulatedRequest[] = [];
   readonly balancers: readonly ForwarderHarness[];
@@ -57,7 +57,7 @@
   private readonly slotsFreeAtMs: number[][];
   private nextPort = 0;
 
-  constructor(private readonly parameters: ReplayedDay) {
+  constructor(private readonly parameters: LoadSimulationParameters) {
     this.random = seededRandom(parameters.seed);
     this.slotsFreeAtMs = Array.from({ length: parameters.backends }, () =>
       new Array<number>(SLOTS_PER_BACKEND).fill(0),
@@ -67,13 +67,13 @@
       const onBadAnswer = (
         report: Parameters<ForwarderHarness['forwarder']['applyBadAnswerReport']>[0],
       ): void => {
-        if (parameters.gossipLostAt?.(this.clock.now())) return;
+        if (parameters.isGossipLostAt?.(this.clock.now())) return;
         this.clock.schedule(GOSSIP_DELAY_MS, () => {
           for (const other of this.balancers) other.forwarder.applyBadAnswerReport(report);
         });
       };
       const surroundings = { observer: index + 1, onBadAnswer };
-      return new ForwarderHarness(this.clock, index, parameters.switchedOff ?? [], surroundings).know(
+      return new ForwarderHarness(this.clock, index, parameters.switchedOff ?? [], surroundings).applyRecords(
         records,
       );
     });
@@ -81,7 +81,7 @@
 
   /** Runs the simulation for `milliseconds`. */
   run(milliseconds: number): void {
-    for (let flow = 0; flow < this.parameters.keptFlows; flow += 1)
+    for (let flow = 0; flow < this.parameters.persistentFlows; flow += 1)
       this.scheduleAfterPause(() => this.openPersistentFlow());
     this.scheduleNewFlow();
     this.clock.advance(milliseconds);
@@ -91,17 +91,17 @@
   /** Share of the requests sent from `fromMs` to `toMs` that were not answered within `targetMs`. */
   lateShare(fromMs: number, toMs: number, targetMs: number): number {
     const sent = this.requests.filter(({ sentAtMs }) => sentAtMs >= fromMs && sentAtMs < toMs);
-    return sent.filter(({ tookMs }) => tookMs > targetMs).length / sent.length;
+    return sent.filter(({ durationMs }) => durationMs > targetMs).length / sent.length;
   }
 
   private scheduleNewFlow(): void {
     const flowsPerSecond =
-      this.parameters.freshPerSecond * (this.parameters.burstAt?.(this.clock.now()) ?? 1);
+      this.parameters.newFlowsPerSecond * (this.parameters.rateFactorAt?.(this.clock.now()) ?? 1);
     this.clock.schedule((-Math.log(1 - this.random()) * MS_PER_SECOND) / flowsPerSecond, () => {
       this.scheduleNewFlow();
       this.openFlow((port, balancer, cookie, backend) => {
         this.sendRequest(backend, true, (isAnswered) => {
-          balancer.goOn(port, cookie, { sequence: 2, acknowledgement: isAnswered ? 2 : 1, fin: true });
+          balancer.sendMidFlow(port, cookie, { sequence: 2, acknowledgement: isAnswered ? 2 : 1, fin: true });
         });
       });
     });
@@ -117,12 +117,16 @@
     this.sendRequest(flow.backend, false, (isAnswered) => {
       const { port, balancer, cookie, requestCount } = flow;
       if (!isAnswered) {
-        balancer.goOn(port, cookie, { sequence: requestCount + 1, acknowledgement: requestCount, fin: true });
+        balancer.sendMidFlow(port, cookie, {
+          sequence: requestCount + 1,
+          acknowledgement: requestCount,
+          fin: true,
+        });
         return this.openPersistentFlow();
       }
-      balancer.goOn(port, cookie, { sequence: requestCount + 1, acknowledgement: requestCount + 1 });
+      balancer.sendMidFlow(port, cookie, { sequence: requestCount + 1, acknowledgement: requestCount + 1 });
       this.scheduleAfterPause(() => {
-        balancer.goOn(port, cookie, {
+        balancer.sendMidFlow(port, cookie, {
           sequence: requestCount + 1,
           acknowledgement: requestCount + 1,
           payloadBytes: 100,
@@ -142,32 +146,34 @@
     const opened = balancer.open(port);
     if (!opened?.backend) return;
     const { cookie, backend } = opened;
-    balancer.goOn(port, cookie, { payloadBytes: 100 });
+    balancer.sendMidFlow(port, cookie, { payloadBytes: 100 });
     onOpened(port, balancer, cookie, Number(backend.slice(2)));
   }
 
   /** Sends a request to a back end; calls `whenDone` when it is answered or its caller gives up. */
-  private sendRequest(backend: number, isFresh: boolean, whenDone: (isAnswered: boolean) => void): void {
+  private sendRequest(backend: number, isOnNewFlow: boolean, whenDone: (isAnswered: boolean) => void): void {
     const sentAtMs = this.clock.now();
-    const slowness = this.parameters.slownessOf(backend, sentAtMs);
+    const slowness = this.parameters.serviceTimeFactorOf(backend, sentAtMs);
     const slots = this.slotsFreeAtMs[backend] as number[];
     const slot = slots.indexOf(Math.min(...slots));
     const doneAtMs = Math.max(sentAtMs, slots[slot] as number) + this.sampleServiceTimeMs() * slowness;
     if (Number.isFinite(slowness)) slots[slot] = doneAtMs;
-    const tookMs = doneAtMs - sentAtMs;
-    const isAnswered = tookMs <= REQUEST_TIMEOUT_MS;
-    this.requests.push({ sentAtMs, backend, isFresh, tookMs: isAnswered ? tookMs : Infinity });
-    this.clock.schedule(Math.min(tookMs, REQUEST_TIMEOUT_MS), () => whenDone(isAnswered));
+    const durationMs = doneAtMs - sentAtMs;
+    const isAnswered = durationMs <= REQUEST_TIMEOUT_MS;
+    this.requests.push({ sentAtMs, backend, isOnNewFlow, durationMs: isAnswered ? durationMs : Infinity });
+    this.clock.schedule(Math.min(durationMs, REQUEST_TIMEOUT_MS), () => whenDone(isAnswered));
   }
 
-  /** Draws a service time from a log-normal distribution with the mean `workMs`. */
+  /** Draws a service time from a log-normal distribution with the mean `meanServiceTimeMs`. */
   private sampleServiceTimeMs(): number {
     const normal = Math.sqrt(-2 * Math.log(1 - this.random())) * Math.cos(2 * Math.PI * this.random());
-    return this.parameters.workMs * Math.exp(SERVICE_TIME_SIGMA * normal - SERVICE_TIME_SIGMA ** 2 / 2);
+    return (
+      this.parameters.meanServiceTimeMs * Math.exp(SERVICE_TIME_SIGMA * normal - SERVICE_TIME_SIGMA ** 2 / 2)
+    );
   }
 
   private scheduleAfterPause(callback: () => void): void {
-    const rateFactor = this.parameters.burstAt?.(this.clock.now()) ?? 1;
+    const rateFactor = this.parameters.rateFactorAt?.(this.clock.now()) ?? 1;
     this.clock.schedule((-Math.log(1 - this.random()) * this.parameters.pauseMs) / rateFactor, callback);
   }
 }
--- a/src/cookie-edge/placement/tie-breaking.test.ts
+++ b/src/cookie-edge/placement/tie-breaking.test.ts
@@ -3,14 +3,14 @@
 import type { LoadLevels } from '../load/index.js';
 import { MAX_TIED_CANDIDATES } from './constants.js';
 import { findLeastBusyIndex, findLeastLoaded, tiedCandidateLimit } from './tie-breaking.js';
-import { stateOf } from './placement-test-support.js';
+import { createBackendState } from './placement-test-support.js';
 
 const FLOW_HASH = 7;
-const STATES = ['a', 'b', 'c', 'd', 'e', 'f'].map((id) => stateOf(id));
+const STATES = ['a', 'b', 'c', 'd', 'e', 'f'].map((id) => createBackendState(id));
 
 function loadReports(levels: readonly number[], isKnown = true): LoadLevels {
   const byHash = new Map(STATES.map(({ idHash }, index) => [idHash, levels[index] ?? 1]));
-  return { isKnown: () => isKnown, levelOf: (idHash) => byHash.get(idHash) ?? 1 };
+  return { hasValidReport: () => isKnown, levelOf: (idHash) => byHash.get(idHash) ?? 1 };
 }
 
 /** Name, own flows to eight back ends, load reports, expected number of tied candidates that are compared. */
@@ -23,7 +23,7 @@
 
 for (const [name, ownFlows, reports, expected] of COUNT_CASES) {
   test(`${name}, ${expected} of eight tied candidates are compared`, (t) => {
-    const states = Array.from({ length: 8 }, (_unused, index) => stateOf(`s-${index}`));
+    const states = Array.from({ length: 8 }, (_unused, index) => createBackendState(`s-${index}`));
     states[0]!.openFlows = ownFlows;
     t.is(tiedCandidateLimit(states, reports, 0), expected);
   });
@@ -56,7 +56,7 @@
 });
 
 test('candidates of equal rank keep their order', (t) => {
-  const twins = [stateOf('a'), stateOf('a')];
+  const twins = [createBackendState('a'), createBackendState('a')];
   const found = findLeastLoaded(twins, FLOW_HASH, 2, () => 1);
   t.is(found[0]?.state, twins[0]);
   t.is(found[1]?.state, twins[1]);
--- a/src/cookie-edge/placement/tie-breaking.ts
+++ b/src/cookie-edge/placement/tie-breaking.ts
@@ -32,7 +32,7 @@
   reports: LoadLevels | undefined,
   nowMs: number,
 ): number {
-  if (!reports?.isKnown(nowMs)) return 1;
+  if (!reports?.hasValidReport(nowMs)) return 1;
   const ownFlows = states.reduce((sum, { openFlows }) => sum + openFlows, 0);
   return ownFlows < states.length * MAX_OWN_FLOWS_PER_CANDIDATE ? MAX_TIED_CANDIDATES : 1;
 }
--- a/src/cookie-edge/roster/roster-reader.test.ts
+++ b/src/cookie-edge/roster/roster-reader.test.ts
@@ -41,12 +41,12 @@
   applyList([], 50);
   await clock.advanceAsync(100, 10);
   const { backends } = knowledge;
-  t.like(backends.get('lives'), { departed: true, lapsed: true, remembered: true });
+  t.like(backends.get('lives'), { departed: true, lapsed: true, isNeverListed: true });
   t.like(backends.get('leaving'), { departed: true, lapsed: false });
   t.like(backends.get('left'), { departed: true, lapsed: false });
   t.is(settlement.state, 'settling');
   applyList(['lives'], 51, false);
-  t.like(backends.get('lives'), { departed: false, lapsed: false, remembered: undefined });
+  t.like(backends.get('lives'), { departed: false, lapsed: false, isNeverListed: undefined });
   t.is(settlement.state, 'settled', 'every back end that was awaited is listed');
 });
 
--- a/src/cookie-edge/roster/roster-reader.ts
+++ b/src/cookie-edge/roster/roster-reader.ts
@@ -98,7 +98,7 @@
         entryCount += 1;
         if (!entry.hasLeft) servicesWithBackends.add(page.service);
         const record = page.epoch === epoch ? entry.record : withUnknownRevisions(entry);
-        if (knowledge.backends.putRemembered(record, entry.hasLeft)) rememberedCount += 1;
+        if (knowledge.backends.putFromRoster(record, entry.hasLeft)) rememberedCount += 1;
       }
     }
     events.emit(ROSTER_EVENTS.read, {
--- a/src/cookie-edge/roster/roster-test-support.ts
+++ b/src/cookie-edge/roster/roster-test-support.ts
@@ -6,10 +6,10 @@
 import { backendAt, updateAt } from '../routing/routing-test-support.js';
 import { RosterWriter } from './roster-writer.js';
 import type {
-  PageCondition,
+  PageWritePrecondition,
   RosterPage,
   RosterStore,
-  RosterWrite,
+  PageWriteResult,
   StoredPage,
   StoredRoster,
   UnreadablePage,
@@ -43,8 +43,8 @@
 
   writePage(
     page: RosterPage,
-    { revision, maxBytes }: PageCondition,
-  ): Promise<Result<RosterWrite, RoutingSourceError>> {
+    { revision, maxBytes }: PageWritePrecondition,
+  ): Promise<Result<PageWriteResult, RoutingSourceError>> {
     if (JSON.stringify(page).length > maxBytes) {
       return Promise.resolve(Result.err(new RoutingSourceError('routing.too-large', 'simulated')));
     }
@@ -76,7 +76,7 @@
     );
   }
 
-  private writeIfUnchanged(page: RosterPage, revision: number | undefined): RosterWrite {
+  private writeIfUnchanged(page: RosterPage, revision: number | undefined): PageWriteResult {
     const storedRevision = this.pages.get(page.service)?.revision ?? this.unreadable[0]?.revision;
     if (storedRevision !== revision) return { kind: 'conflict' };
     this.storePage(page);
--- a/src/cookie-edge/roster/types.ts
+++ b/src/cookie-edge/roster/types.ts
@@ -46,7 +46,7 @@
 }
 
 /** Result of a write. `conflict`: the stored page does not have the expected revision, and was not changed. */
-export type RosterWrite =
+export type PageWriteResult =
   { readonly kind: 'written'; readonly revision: number } | { readonly kind: 'conflict' };
 
 /** Storage of the roster. Aborting `signal` ends a call. */
@@ -56,13 +56,13 @@
   /** Writes a page if `condition` holds. After an error the write may still have been applied, or be applied later. */
   writePage(
     page: RosterPage,
-    condition: PageCondition,
+    condition: PageWritePrecondition,
     signal: AbortSignal,
-  ): Promise<Result<RosterWrite, RoutingSourceError>>;
+  ): Promise<Result<PageWriteResult, RoutingSourceError>>;
 }
 
 /** Preconditions of a write. */
-export interface PageCondition {
+export interface PageWritePrecondition {
   /** Revision that the stored page must have; undefined if no page may exist yet. */
   readonly revision: number | undefined;
   /** Maximum size of the object in bytes. */
--- a/src/cookie-edge/routing/backend-registry.ts
+++ b/src/cookie-edge/routing/backend-registry.ts
@@ -61,7 +61,7 @@
   }
 
   /** Returns true when the service has a back end that is neither departed nor draining. */
-  hasServing(service: string): boolean {
+  hasServingBackend(service: string): boolean {
     for (const { departed, record } of this.ofService(service))
       if (!departed && !record.draining) return true;
     return false;
@@ -73,7 +73,7 @@
   }
 
   /** Calls `listener` with each back end that is removed from the registry. */
-  onForget(listener: (backend: KnownBackend) => void): void {
+  onDiscard(listener: (backend: KnownBackend) => void): void {
     this.discardListeners.push(listener);
   }
 
@@ -101,7 +101,7 @@
       return true;
     }
     keepEarliestCreation(known, record);
-    if (known.remembered && record.revision <= knownRevision) return false;
+    if (known.isNeverListed && record.revision <= knownRevision) return false;
     if (record.revision <= Math.max(known.record.revision, known.removedRevision)) return false;
     if (isOtherIncarnation(record, known.record)) this.replaceIncarnation(known, record);
     else this.replaceRecord(known, record);
@@ -175,7 +175,7 @@
    * continue. If it had not left when the roster was written, it may still be listed, so it counts as lapsed until
    * `markAwaitedAsLeft`. Returns false when the back end is already known.
    */
-  putRemembered(record: RoutedBackend, hasLeft: boolean): boolean {
+  putFromRoster(record: RoutedBackend, hasLeft: boolean): boolean {
     const listed = this.byId.get(record.id);
     if (listed) keepEarliestCreation(listed, record);
     if (listed) return false;
@@ -190,7 +190,7 @@
 
   /** Returns the back ends known only from the roster or from peers that may still be listed by the source. */
   awaited(): readonly KnownBackend[] {
-    return [...this.departed].filter(({ lapsed, remembered }) => lapsed && remembered);
+    return [...this.departed].filter(({ lapsed, isNeverListed }) => lapsed && isNeverListed);
   }
 
   /** Number of back ends that `awaited` returns. */
@@ -200,7 +200,7 @@
 
   /** Marks all awaited back ends as having left. Call when the list is considered complete. */
   markAwaitedAsLeft(): void {
-    for (const known of this.departed) if (known.remembered) known.lapsed = false;
+    for (const known of this.departed) if (known.isNeverListed) known.lapsed = false;
   }
 
   /**
@@ -239,7 +239,7 @@
 
   private markAwaitingFirstListing(known: KnownBackend): void {
     known.lapsed = !known.record.draining;
-    known.remembered = true;
+    known.isNeverListed = true;
   }
 
   private markDeparted(known: KnownBackend, revision: number, mayHaveLapsed: boolean): void {
@@ -298,7 +298,7 @@
     known.record = { ...record, createdRevision: earlierCreatedRevision(known.record, record) };
     known.departed = false;
     known.lapsed = false;
-    known.remembered = undefined;
+    known.isNeverListed = undefined;
     known.restored = undefined;
     known.departedAtMs = undefined;
     this.departed.delete(known);
--- a/src/cookie-edge/routing/backend-settlement.ts
+++ b/src/cookie-edge/routing/backend-settlement.ts
@@ -8,7 +8,7 @@
 import { SETTLING_MS } from './constants.js';
 import { ROUTING_EVENTS } from './events.js';
 import type { RoutingKnowledge } from './knowledge.js';
-import { decideSettlement, settlementReason, type BackendKnowledge } from './settlement-rule.js';
+import { decideSettlement, settlementReason, type BackendListState } from './settlement-rule.js';
 
 interface BackendSettlementOptions {
   readonly clock: Clock;
@@ -39,7 +39,7 @@
   }
 
   /** Current state of the list. */
-  get state(): BackendKnowledge {
+  get state(): BackendListState {
     return decideSettlement(this.currentInputs());
   }
 
--- a/src/cookie-edge/routing/earliest-creation.test.ts
+++ b/src/cookie-edge/routing/earliest-creation.test.ts
@@ -47,7 +47,7 @@
   });
   const fromRoster = createRegistry();
   fromRoster.put(RECREATED_RECORD, -1);
-  t.false(fromRoster.putRemembered(FIRST_RECORD, true));
+  t.false(fromRoster.putFromRoster(FIRST_RECORD, true));
   t.like(fromRoster.get('a'), {
     departed: false,
     record: { ...RECREATED_RECORD, createdRevision: FIRST_REVISION },
--- a/src/cookie-edge/routing/index.ts
+++ b/src/cookie-edge/routing/index.ts
@@ -19,10 +19,10 @@
 export { RoutingKnowledge, type AppliedUpdate, type UpdateOrigin } from './knowledge.js';
 export { ProblemLog } from './problem-log.js';
 export { addressKey, RouteIndex, splitAddressKey } from './route-index.js';
-export { isNextChange, joinTableChanges } from './route-table-change.js';
+export { isConsecutiveChange, mergeTableChanges } from './route-table-change.js';
 export { SourceAvailability } from './source-availability.js';
 export { compareEpochs, isBefore, type SourcePosition } from './source-epoch.js';
 export { SourceFollower, type SourceFollowerOptions } from './source-follower.js';
 export { SourceHistoryLog } from './source-history-log.js';
-export type { BackendKnowledge } from './settlement-rule.js';
+export type { BackendListState } from './settlement-rule.js';
 export { ZoneCordons } from './zone-cordons.js';
--- a/src/cookie-edge/routing/knowledge.ts
+++ b/src/cookie-edge/routing/knowledge.ts
@@ -123,7 +123,7 @@
   }
 
   /** Returns the age of the oldest topic, in ms. */
-  age(): number {
+  maxTopicAge(): number {
     return Math.max(...this.topics.map((topic) => this.ageOf(topic)));
   }
 
--- a/src/cookie-edge/routing/known-backend.ts
+++ b/src/cookie-edge/routing/known-backend.ts
@@ -21,7 +21,7 @@
    * True for a departed back end that the source has never listed to this daemon. It is known only from the roster or a
    * peer, so no sign of life can be expected yet.
    */
-  remembered?: boolean;
+  isNeverListed?: boolean;
   /** Monotonic ms at which it departed; undefined while it is listed. */
   departedAtMs: number | undefined;
   /** Monotonic ms at which its slow start ends. */
--- a/src/cookie-edge/routing/route-table-change.test.ts
+++ b/src/cookie-edge/routing/route-table-change.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import fc from 'fast-check';
-import { applyTableChange, compareTables, joinTableChanges } from './route-table-change.js';
+import { applyTableChange, diffTables, mergeTableChanges } from './route-table-change.js';
 import { tableAt } from './routing-test-support.js';
 import type { Route, RouteTable } from './types.js';
 
@@ -30,8 +30,8 @@
       const last = tables.at(-1)!;
       const joined = tables
         .slice(1)
-        .map((table, index) => compareTables(tables[index]!, table))
-        .reduce(joinTableChanges);
+        .map((table, index) => diffTables(tables[index]!, table))
+        .reduce(mergeTableChanges);
       for (const table of tables) t.deepEqual(sorted(applyTableChange(table, joined)), sorted(last));
     }),
     { seed: 20_261_202, numRuns: 300 },
@@ -39,7 +39,7 @@
 });
 
 test('a change is applied only to the tables that it starts from', (t) => {
-  const change = compareTables(tableAt(5), tableAt(7, { routes: [] }));
+  const change = diffTables(tableAt(5), tableAt(7, { routes: [] }));
   t.is(applyTableChange(tableAt(4), change), undefined);
   t.is(applyTableChange(tableAt(6), change), undefined, 'a comparison of 5 and 7 does not cover 6');
   t.deepEqual(applyTableChange(tableAt(5), change)?.routes, []);
@@ -50,14 +50,14 @@
   const splitRoutes = [
     { ...baseTable.routes[0]!, targets: [...baseTable.routes[0]!.targets, { service: 'beta', weight: 1 }] },
   ];
-  const change = compareTables(baseTable, tableAt(111));
+  const change = diffTables(baseTable, tableAt(111));
   t.is(applyTableChange(tableAt(108, { routes: splitRoutes }), change), undefined);
 });
 
 test('a change whose result does not match its digest is not applied', (t) => {
   const baseTable = tableAt(2);
   const otherRoutes = [{ ...baseTable.routes[0]!, name: 'unknown-to-the-change', port: 1 }];
-  const change = compareTables(baseTable, tableAt(7));
+  const change = diffTables(baseTable, tableAt(7));
   t.is(applyTableChange(tableAt(2, { routes: [...baseTable.routes, ...otherRoutes] }), change), undefined);
 });
 
@@ -67,7 +67,7 @@
   });
   const changedRoute = { ...routesBefore[7]!, targets: [{ service: 'beta', weight: 1 }] };
   const routesAfter = [...routesBefore.slice(0, 7), changedRoute, ...routesBefore.slice(8, -1)];
-  const change = compareTables(tableAt(5, { routes: routesBefore }), tableAt(7, { routes: routesAfter }));
+  const change = diffTables(tableAt(5, { routes: routesBefore }), tableAt(7, { routes: routesAfter }));
   t.deepEqual(change.routes, [changedRoute]);
   t.deepEqual(change.removedRoutes, ['r-1499']);
 });
--- a/src/cookie-edge/routing/route-table-change.ts
+++ b/src/cookie-edge/routing/route-table-change.ts
@@ -6,7 +6,7 @@
 import type { Route, RouteTable, RouteTableChange } from './types.js';
 
 /** Computes the change from one table to a later one. */
-export function compareTables(fromTable: RouteTable, toTable: RouteTable): RouteTableChange {
+export function diffTables(fromTable: RouteTable, toTable: RouteTable): RouteTableChange {
   const previousRoutes = byName(fromTable.routes);
   const routes = toTable.routes.filter((route) => !isSameRoute(previousRoutes.get(route.name), route));
   const present = new Set(toTable.routes.map(({ name }) => name));
@@ -43,12 +43,12 @@
 }
 
 /** Returns true when `second` starts from the table that `first` produces. */
-export function isNextChange(first: RouteTableChange, second: RouteTableChange): boolean {
+export function isConsecutiveChange(first: RouteTableChange, second: RouteTableChange): boolean {
   return second.fromRevisions.includes(first.revision);
 }
 
-/** Merges two consecutive changes into one; `isNextChange(first, second)` must be true. */
-export function joinTableChanges(first: RouteTableChange, second: RouteTableChange): RouteTableChange {
+/** Merges two consecutive changes into one; `isConsecutiveChange(first, second)` must be true. */
+export function mergeTableChanges(first: RouteTableChange, second: RouteTableChange): RouteTableChange {
   const routes = byName(first.routes);
   const removed = new Set(first.removedRoutes);
   for (const name of second.removedRoutes) {
--- a/src/cookie-edge/routing/routes-in-force.ts
+++ b/src/cookie-edge/routing/routes-in-force.ts
@@ -6,7 +6,7 @@
 import type { EventLog } from '../../observability/event.js';
 import { ROUTING_EVENTS } from './events.js';
 import { RouteIndex } from './route-index.js';
-import { applyTableChange, compareTables } from './route-table-change.js';
+import { applyTableChange, diffTables } from './route-table-change.js';
 import { compareEpochs, epochOf, supersedes } from './source-epoch.js';
 import type { RouteTable, RouteTableChange, RoutingUpdate } from './types.js';
 
@@ -70,7 +70,7 @@
       ...update,
       complete: false,
       routes: [],
-      routeChange: compareTables(previousTable, currentTable),
+      routeChange: diffTables(previousTable, currentTable),
     };
   }
 
--- a/src/cookie-edge/routing/settlement-rule.test.ts
+++ b/src/cookie-edge/routing/settlement-rule.test.ts
@@ -4,7 +4,7 @@
 import {
   decideSettlement,
   settlementReason,
-  type BackendKnowledge,
+  type BackendListState,
   type SettlementInputs,
   type SettlementReason,
 } from './settlement-rule.js';
@@ -19,7 +19,7 @@
 const CASES: readonly (readonly [
   string,
   Partial<SettlementInputs>,
-  BackendKnowledge,
+  BackendListState,
   SettlementReason | undefined,
 ])[] = [
   ['without a list', { sinceFirstListMs: undefined, sinceSettledPeerMs: 5 }, 'unknown', 'peer'],
--- a/src/cookie-edge/routing/settlement-rule.ts
+++ b/src/cookie-edge/routing/settlement-rule.ts
@@ -15,7 +15,7 @@
 import { SETTLED_PEER_MS, SETTLING_MS } from './constants.js';
 
 /** `unknown`: no list yet. `settling`: running back ends may be missing. `settled`: missing back ends have left. */
-export type BackendKnowledge = 'unknown' | 'settling' | 'settled';
+export type BackendListState = 'unknown' | 'settling' | 'settled';
 
 export interface SettlementInputs {
   /** Time since the first list; undefined before it. */
@@ -32,7 +32,7 @@
 export type SettlementReason = 'peer' | 'roster' | 'time';
 
 /** Decides the state of the list. */
-export function decideSettlement(inputs: SettlementInputs): BackendKnowledge {
+export function decideSettlement(inputs: SettlementInputs): BackendListState {
   const { sinceFirstListMs, recordsMayLapse, sinceSettledPeerMs } = inputs;
   if (sinceFirstListMs === undefined) return 'unknown';
   if (recordsMayLapse) return sinceSettledPeerMs < SETTLED_PEER_MS ? 'settled' : 'settling';
--- a/src/cookie-edge/spreading/address-history.test.ts
+++ b/src/cookie-edge/spreading/address-history.test.ts
@@ -118,7 +118,7 @@
   }
   if (input === 'roster' && knowledge.revisionOf('backends') >= 0) {
     for (const { record, departed } of history.peer.backends.all()) {
-      knowledge.backends.putRemembered(record, departed);
+      knowledge.backends.putFromRoster(record, departed);
     }
   }
   if (input === 'changes') {
@@ -135,17 +135,17 @@
   const clock = new VirtualClock();
   const history = new History(clock);
   for (const step of steps) history.applyStep(step);
-  let hasLearntFromPeers = false;
-  const harness = new ForwarderHarness(clock, 1, [], { hasLearntFromPeers: () => hasLearntFromPeers });
+  let hasReceivedDeparted = false;
+  const harness = new ForwarderHarness(clock, 1, [], { hasReceivedDeparted: () => hasReceivedDeparted });
   const routes = updateAt(1, { complete: true, routes: [tableAt(1, { services: SERVICES })] });
   harness.knowledge.apply('routes', routes, { since: -1, confirmedAtMs: 0, mayHaveLapsed: false });
   for (const [index, input] of inputs.entries()) {
     applyInput(harness, history, input, listAge);
-    hasLearntFromPeers ||= input === 'peer';
-    const result = harness.goOn(41_000 + index, hashString(history.liveId), REQUEST);
+    hasReceivedDeparted ||= input === 'peer';
+    const result = harness.sendMidFlow(41_000 + index, hashString(history.liveId), REQUEST);
     if (result && result.backend === undefined) return input;
     clock.advance(100);
-    const laterResult = harness.goOn(42_000 + index, hashString(history.liveId), REQUEST);
+    const laterResult = harness.sendMidFlow(42_000 + index, hashString(history.liveId), REQUEST);
     if (laterResult && laterResult.backend === undefined) return `after ${input}`;
   }
   harness.stop();
--- a/src/cookie-edge/spreading/bad-answers.test.ts
+++ b/src/cookie-edge/spreading/bad-answers.test.ts
@@ -20,7 +20,7 @@
   backendId: string,
   observer = daemon,
 ): void {
-  cluster.daemons[daemon]!.spreader.gossipBadAnswer({ backendId, observer, atMs: cluster.clock.now() });
+  cluster.daemons[daemon]!.gossipNode.gossipBadAnswer({ backendId, observer, atMs: cluster.clock.now() });
 }
 
 function shareOfReceivers(cluster: SpreadingCluster, key: string): number {
@@ -49,15 +49,15 @@
 test('the bytes that a daemon sends for bad answers are bounded at any rate of reports', async (t) => {
   const cluster = await startSettledCluster(30);
   const seconds = 4;
-  const initialBytes = cluster.daemons[5]!.spreader.statistics.bytesSent;
+  const initialBytes = cluster.daemons[5]!.gossipNode.statistics.bytesSent;
   await cluster.clock.advanceAsync(seconds * 1_000, 10);
-  const bytesBefore = cluster.daemons[5]!.spreader.statistics.bytesSent;
+  const bytesBefore = cluster.daemons[5]!.gossipNode.statistics.bytesSent;
   for (let step = 0; step < seconds * 10; step += 1) {
     for (let index = 0; index < 20; index += 1)
       reportBadAnswer(cluster, (step + index) % 30, `b${index}`, step * 100 + index);
     await cluster.clock.advanceAsync(100, 10);
   }
-  const bytesAfter = cluster.daemons[5]!.spreader.statistics.bytesSent;
+  const bytesAfter = cluster.daemons[5]!.gossipNode.statistics.bytesSent;
   const bytesPerSecond = (bytesAfter - bytesBefore - (bytesBefore - initialBytes)) / seconds;
   t.log({ bytesPerSecond });
   t.true(bytesPerSecond <= 8_000, `${bytesPerSecond} bytes a second above the usual`);
--- a/src/cookie-edge/spreading/catch-up.ts
+++ b/src/cookie-edge/spreading/catch-up.ts
@@ -133,7 +133,7 @@
     const message = decodePeerMessage(response.value, requestedAtMs);
     if (!message) return events.emit(SPREADING_EVENTS.malformedMessage, { from: peer });
     if (message.updates.some(isCompleteBackendList)) this.completeListsFetched += 1;
-    const ageMs = knowledge.age();
+    const ageMs = knowledge.maxTopicAge();
     events.emit(SPREADING_EVENTS.fetched, {
       peer,
       bytes: response.value.length,
--- a/src/cookie-edge/spreading/constants.ts
+++ b/src/cookie-edge/spreading/constants.ts
@@ -113,7 +113,10 @@
  */
 export const BAD_ANSWER_GOSSIP_MS = 2_000;
 
-/** Maximum number of load reports in a message: one report of `MAX_REPORTED` back ends fills about half a datagram. */
+/**
+ * Maximum number of load reports in a message: one report of `MAX_BUSY_BACKENDS_PER_REPORT` back ends fills about half
+ * a datagram.
+ */
 export const LOADS_PER_MESSAGE = 1;
 
 /** Number of random peers advertised in a message. Keeps messages small. */
--- a/src/cookie-edge/spreading/spreader.ts
+++ b/src/cookie-edge/spreading/gossip-node.ts
@@ -33,7 +33,7 @@
 import { UpdateLog } from './update-log.js';
 import { UpdateSender } from './update-sender.js';
 
-interface SpreaderOptions {
+interface GossipNodeOptions {
   readonly selfId: string;
   readonly zone: string;
   /** Called before each pull from the seeds, since a reload of the configuration may change them. */
@@ -70,7 +70,7 @@
 }
 
 /** Gossip of one daemon. Call `start` once, and `leave` before the transport closes. */
-export class Spreader {
+export class GossipNode {
   private readonly channel: MessageChannel;
   private readonly peers: PeerView;
   private readonly role: ReaderRole;
@@ -85,7 +85,7 @@
   private nextSeedPullMs = 0;
   private isOverdue = false;
 
-  constructor(private readonly options: SpreaderOptions) {
+  constructor(private readonly options: GossipNodeOptions) {
     const { selfId, zone, transport, random, events, knowledge, timings, clock, recordArrival } = options;
     const channel = (this.channel = new MessageChannel({ transport, clock, events, recordArrival }));
     const isOn = (this.isOn = options.isOn ?? ALL_MECHANISMS_ON);
@@ -149,7 +149,7 @@
   }
 
   /** False after a peer reported departed back ends, until a complete list of them has been fetched. */
-  get hasLearntDeparted(): boolean {
+  get hasReceivedDeparted(): boolean {
     return this.catchUp.hasReceivedDeparted;
   }
 
@@ -164,7 +164,7 @@
     return minimumRetryDelayMs({
       isPaced: this.isOn('asking-turns'),
       isComplete: knowledge.isComplete(),
-      ageMs: knowledge.age(),
+      ageMs: knowledge.maxTopicAge(),
       pullAfterMs: timings.pullAfterMs,
       daemons: this.peers.reachableDaemons(clock.now()),
     });
@@ -222,7 +222,7 @@
   private tick(): void {
     const { clock, knowledge } = this.options;
     const nowMs = clock.now();
-    const ageMs = knowledge.age();
+    const ageMs = knowledge.maxTopicAge();
     this.peers.prune(nowMs);
     this.reportOverdueChange(ageMs);
     const unconfirmedMs = Math.min(ageMs, nowMs - this.startedAtMs);
@@ -264,13 +264,13 @@
     const { knowledge } = this.options;
     const mayHaveWaited = this.options.mayHaveWaited();
     const mayHaveLapsed = this.options.recordsMayLapse();
-    const previousAgeMs = knowledge.age();
+    const previousAgeMs = knowledge.maxTopicAge();
     for (const { topic, since, update } of message.updates) {
       knowledge.apply(topic, update, { since, confirmedAtMs: Number.NEGATIVE_INFINITY, mayHaveLapsed });
     }
     if (mayHaveWaited) return;
     if (!message.unsettled && message.confirmations.backends) this.options.onSettledPeer?.();
-    message.readers.forEach((reader) => this.role.record(reader));
+    message.readers.forEach((reader) => this.role.recordReader(reader));
     message.loads.forEach((report) => this.gossipLoad(report));
     message.suspicions.forEach((report) => this.applyEjectionReport(report));
     message.badAnswers.forEach((report) => this.applyBadAnswerReport(report));
@@ -281,7 +281,8 @@
     this.catchUp.fetchDepartedBackends(from, message.departedCount);
     if (missing.length > 0) return this.catchUp.closeGap(missing, message, from);
     this.catchUp.clearPendingRequest(from);
-    if (shouldForwardConfirmation(previousAgeMs, knowledge.age())) this.sender.scheduleConfirmationPush();
+    if (shouldForwardConfirmation(previousAgeMs, knowledge.maxTopicAge()))
+      this.sender.scheduleConfirmationPush();
   }
 
   /** Applies an ejection report, and gossips it further if it is new to this daemon. */
@@ -317,7 +318,12 @@
     const { clock, knowledge, events } = this.options;
     const event = this.role.isReading ? SPREADING_EVENTS.reading : SPREADING_EVENTS.standingDown;
     const otherReaders = this.role.otherReaders(clock.now()).length;
-    events.emit(event, { reason, otherReaders, ageMs: roundFinite(knowledge.age()), peers: this.peers.size });
+    events.emit(event, {
+      reason,
+      otherReaders,
+      ageMs: roundFinite(knowledge.maxTopicAge()),
+      peers: this.peers.size,
+    });
   }
 }
 
--- a/src/cookie-edge/spreading/index.ts
+++ b/src/cookie-edge/spreading/index.ts
@@ -6,8 +6,8 @@
  * ```ts
  * const transport = await NetworkTransport.open(control, events);
  * const dependencies = { transport, knowledge, clock, random, events };
- * const spreader = new Spreader({ selfId, zone, seeds, ...dependencies, timings, setReading, recordArrival });
- * spreader.start(signal);
+ * const gossipNode = new GossipNode({ selfId, zone, seeds, ...dependencies, timings, setReading, recordArrival });
+ * gossipNode.start(signal);
  * ```
  */
 export type * from './types.js';
@@ -15,4 +15,4 @@
 export { SPREADING_EVENTS } from './events.js';
 export { NetworkTransport } from './network-transport.js';
 export { ReaderRole, type RoleReason } from './reader-role.js';
-export { Spreader } from './spreader.js';
+export { GossipNode } from './gossip-node.js';
--- a/src/cookie-edge/spreading/load-report-size.test.ts
+++ b/src/cookie-edge/spreading/load-report-size.test.ts
@@ -1,6 +1,6 @@
 /** A message with the largest load report fits into one datagram. */
 import test from 'ava';
-import { MAX_REPORTED, TAG_MASK } from '../load/constants.js';
+import { MAX_BUSY_BACKENDS_PER_REPORT, TAG_MASK } from '../load/constants.js';
 import {
   MAX_DATAGRAM_BYTES,
   READERS_PER_MESSAGE,
@@ -43,7 +43,10 @@
         page: 12,
         measuredAtMs: 0,
         validMs: 78_000,
-        busy: Array.from({ length: MAX_REPORTED }, (_, index) => ({ tag: TAG_MASK - index, level: 20 })),
+        busy: Array.from({ length: MAX_BUSY_BACKENDS_PER_REPORT }, (_, index) => ({
+          tag: TAG_MASK - index,
+          level: 20,
+        })),
       },
     ],
   };
--- a/src/cookie-edge/spreading/message-codec.test.ts
+++ b/src/cookie-edge/spreading/message-codec.test.ts
@@ -1,7 +1,7 @@
 /** Encoding and decoding preserve regions of routes, rates of cold back ends, cordons and their removals. */
 import test from 'ava';
 import type { RouteTable, RoutingUpdate } from '../routing/index.js';
-import { applyTableChange, compareTables } from '../routing/route-table-change.js';
+import { applyTableChange, diffTables } from '../routing/route-table-change.js';
 import { backendAt, tableAt, updateAt } from '../routing/routing-test-support.js';
 import { decodePeerMessage, encodePeerMessage } from './message-codec.js';
 import type { PeerMessage, TopicUpdate } from './types.js';
@@ -50,7 +50,7 @@
   const prioritized = tableAt(6, { routes: [{ ...route!, priority: 0, targetLatencyMs: 261 }] });
   const update = updateAt(6, { complete: true, routes: [prioritized] });
   t.deepEqual(throughCodec({ topic: 'routes', since: -1, update })?.routes, [prioritized]);
-  t.is(compareTables(tableAt(5), prioritized).routes.length, 1);
+  t.is(diffTables(tableAt(5), prioritized).routes.length, 1);
 });
 
 test('the lapsed flag of departed back ends is preserved', (t) => {
@@ -89,7 +89,7 @@
 
 test('a change of only the regions of a route is encoded and leads to the new table', (t) => {
   const after = { ...limited, revision: 6, routes: tableAt(6).routes };
-  const change = compareTables(limited, after);
+  const change = diffTables(limited, after);
   t.is(change.routes.length, 1);
   const update = updateAt(6, { routeChange: change });
   const decoded = throughCodec({ topic: 'routes', since: 5, update })?.routeChange;
--- a/src/cookie-edge/spreading/message-composer.ts
+++ b/src/cookie-edge/spreading/message-composer.ts
@@ -144,7 +144,7 @@
       departedCount: knowledge.backends.departedCount,
       tableRevision: knowledge.tableRevision,
       unsettled: isUnsettled(),
-      readers: [...ownReader, ...role.leadingReaders(nowMs, READERS_PER_MESSAGE)],
+      readers: [...ownReader, ...role.readersToAdvertise(nowMs, READERS_PER_MESSAGE)],
       peers: peers.peersToAdvertise(PEERS_PER_MESSAGE),
     };
   }
--- a/src/cookie-edge/spreading/peer-view.ts
+++ b/src/cookie-edge/spreading/peer-view.ts
@@ -1,7 +1,7 @@
 /**
  * The peers that this daemon knows (all of them in a small fleet, a random part in a large one) and the estimated fleet
  * size. Owns the turns of peers and the random draws; `peer-choice.ts` decides which peers receive a push and which
- * daemons own a key. `Spreader` records the peers that messages come from or mention.
+ * daemons own a key. `GossipNode` records the peers that messages come from or mention.
  */
 import { hashString } from '../../common/hash.js';
 import { pick, type RandomSource } from '../../common/random.js';
--- a/src/cookie-edge/spreading/reader-role.ts
+++ b/src/cookie-edge/spreading/reader-role.ts
@@ -1,6 +1,6 @@
 /**
  * Role of this daemon towards the source: reader or not. Applies the rule in `reader-rule.ts`. Owns the sightings of
- * other readers, the own rank and the random positions. `Spreader` calls it at each tick and starts or stops reading.
+ * other readers, the own rank and the random positions. `GossipNode` calls it at each tick and starts or stops reading.
  */
 import { hashString } from '../../common/hash.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
@@ -75,7 +75,7 @@
   }
 
   /** Records a sighting of another reader. */
-  record({ id, confirmedAtMs }: ReaderSighting): void {
+  recordReader({ id, confirmedAtMs }: ReaderSighting): void {
     if (id === this.selfId) return;
     this.hasSeenOtherReaders = true;
     const known = this.sightings.get(id);
@@ -95,7 +95,7 @@
    * Returns up to `count` other readers to include in a message. The highest ranks come first, because a reader stops
    * only when it knows of readers of higher rank. Readers without a recent confirmation come last.
    */
-  leadingReaders(nowMs: number, count: number): ReaderSighting[] {
+  readersToAdvertise(nowMs: number, count: number): ReaderSighting[] {
     const isFresh = ({ confirmedAtMs }: ReaderSighting): boolean =>
       nowMs - confirmedAtMs < this.timings.readerFreshMs;
     const byRank = this.otherReaders(nowMs).sort((left, right) => right.rank - left.rank);
--- a/src/cookie-edge/spreading/recent-ejections.test.ts
+++ b/src/cookie-edge/spreading/recent-ejections.test.ts
@@ -29,7 +29,7 @@
   test(`a daemon that starts after an ejection receives the report, and so do all others, seed ${seed}`, async (t) => {
     const cluster = new SpreadingCluster(20, seed);
     await cluster.clock.advanceAsync(4_000, 10);
-    cluster.daemons[0]!.spreader.gossipEjection({ backendId: 'a', atMs: cluster.clock.now() });
+    cluster.daemons[0]!.gossipNode.gossipEjection({ backendId: 'a', atMs: cluster.clock.now() });
     await cluster.clock.advanceAsync(500, 5);
     const newDaemon = cluster.startDaemon();
     await cluster.clock.advanceAsync(300, 5);
--- a/src/cookie-edge/spreading/spreading-test-support.ts
+++ b/src/cookie-edge/spreading/spreading-test-support.ts
@@ -16,7 +16,7 @@
 } from '../routing/index.js';
 import { SimulatedPeerNetwork, zoneOf } from './simulated-peer-network.js';
 import { SimulatedSource, type SourceFault } from './simulated-source.js';
-import { Spreader } from './spreader.js';
+import { GossipNode } from './gossip-node.js';
 import type { EjectionReport } from './types.js';
 
 export type { SourceFault } from './simulated-source.js';
@@ -28,7 +28,7 @@
 export class SimulatedDaemon {
   readonly knowledge: RoutingKnowledge;
   readonly settlement: BackendSettlement;
-  readonly spreader: Spreader;
+  readonly gossipNode: GossipNode;
   readonly endpoint: Endpoint;
   /** Back ends that other daemons ejected, each once. */
   readonly ejectionsReceived: string[] = [];
@@ -55,12 +55,12 @@
     const random = seededRandom(cluster.seed * 1_000 + index);
     this.knowledge = new RoutingKnowledge({ clock, events, retentionMs: 60_000, followsCordons });
     this.availability = new SourceAvailability(clock, random, events);
-    this.availability.setMinimumRetryDelay(() => this.spreader.minimumRetryDelayMs());
+    this.availability.setMinimumRetryDelay(() => this.gossipNode.minimumRetryDelayMs());
     const { knowledge } = this;
     const recordsMayLapse = (): boolean => this.availability.recordsMayLapse();
     this.settlement = new BackendSettlement({ clock, events, knowledge, recordsMayLapse });
     this.followers = this.createFollowers(cluster);
-    this.spreader = new Spreader({
+    this.gossipNode = new GossipNode({
       selfId: id,
       zone: zoneOf(formatEndpoint(this.endpoint)),
       seeds: () => cluster.seeds,
@@ -81,7 +81,7 @@
       applyEjectionReport: (report) => this.applyEjectionReport(report),
     });
     for (const follower of this.followers) void follower.readFirst(this.abort.signal);
-    this.spreader.start(this.abort.signal);
+    this.gossipNode.start(this.abort.signal);
   }
 
   /** Version of the route table in force; 0 before the first. */
@@ -107,7 +107,7 @@
       problems: new ProblemLog(this.events),
       history: new SourceHistoryLog(this.events),
       usesLongWatches: options.usesLongWatches,
-      onConfirmation: () => this.spreader.recordOwnConfirmation(),
+      onConfirmation: () => this.gossipNode.recordOwnConfirmation(),
     };
     return knowledge.topics.map((topic) => new SourceFollower(topic, following));
   }
@@ -175,7 +175,7 @@
   }
 
   readers(): SimulatedDaemon[] {
-    return this.daemons.filter(({ spreader }) => spreader.isReading);
+    return this.daemons.filter(({ gossipNode }) => gossipNode.isReading);
   }
 
   /** Runs until `isDone` returns true; resolves to the elapsed ms, or to Infinity after `limitMs`. */
@@ -190,7 +190,7 @@
 
   /** Returns the largest age of the routes and back ends of any of `daemons`, in ms. */
   maxAge(daemons: readonly SimulatedDaemon[] = this.daemons): number {
-    return Math.max(...daemons.map(({ knowledge }) => knowledge.age()));
+    return Math.max(...daemons.map(({ knowledge }) => knowledge.maxTopicAge()));
   }
 }
 
