--- a/src/cookie-edge/spreading/spreading.test.ts
+++ b/src/cookie-edge/spreading/spreading.test.ts
@@ -118,7 +118,7 @@
 
 test('a burst of changes soon reaches all daemons in few messages', async (t) => {
   const cluster = await startSettledCluster(20);
-  const sentBefore = cluster.daemons.map(({ spreader }) => spreader.statistics.messagesSent);
+  const sentBefore = cluster.daemons.map(({ gossipNode }) => gossipNode.statistics.messagesSent);
   for (let index = 0; index < 600; index += 1) {
     cluster.source.changeBackend(`burst-${index}`);
     if (index % 3 === 0) await cluster.clock.advanceAsync(5, 5);
@@ -127,7 +127,7 @@
     cluster.daemons.every(({ knowledge }) => knowledge.backends.get('burst-599') !== undefined);
   t.true((await cluster.timeUntil(isKnownEverywhere, 5_000)) <= 2_500);
   const sentInBurst = cluster.daemons.map(
-    ({ spreader }, index) => spreader.statistics.messagesSent - sentBefore[index]!,
+    ({ gossipNode }, index) => gossipNode.statistics.messagesSent - sentBefore[index]!,
   );
   t.true(Math.max(...sentInBurst) <= 200, `${Math.max(...sentInBurst)} messages`);
   t.is(cluster.daemons.filter(({ knowledge }) => knowledge.backends.get('burst-0')).length, 20);
@@ -151,7 +151,7 @@
   const cluster = await startSettledCluster(20);
   await timeUntilVersion(cluster, cluster.source.changeRoutes(manyRoutes('beta')));
   await cluster.clock.advanceAsync(2_000, 10);
-  const lagging = cluster.daemons.find(({ spreader }) => !spreader.isReading)!;
+  const lagging = cluster.daemons.find(({ gossipNode }) => !gossipNode.isReading)!;
   const bytesBefore = cluster.network.fetchedBytes;
   cluster.network.isolatedDaemons.add(`${lagging.endpoint.host}:${lagging.endpoint.port}`);
   for (const service of ['gamma', 'delta']) {
@@ -264,11 +264,11 @@
     cluster.network.isolatedDaemons.clear();
     let hadToFetchDeparted = false;
     const isKnown = (): boolean => {
-      hadToFetchDeparted ||= !newDaemon.spreader.hasLearntDeparted;
+      hadToFetchDeparted ||= !newDaemon.gossipNode.hasReceivedDeparted;
       return newDaemon.knowledge.backends.get('a')?.departed === true;
     };
     t.true((await cluster.timeUntil(isKnown, 3_000)) <= 1_000, `seed ${seed}`);
-    t.true(hadToFetchDeparted && newDaemon.spreader.hasLearntDeparted);
+    t.true(hadToFetchDeparted && newDaemon.gossipNode.hasReceivedDeparted);
   }
 });
 
@@ -286,10 +286,10 @@
   cluster.seeds.splice(0, cluster.seeds.length, { host: '10.9.0.1', port: 7_720 });
   const newDaemon = cluster.startDaemon();
   await cluster.clock.advanceAsync(2_000, 10);
-  t.is(newDaemon.spreader.peerCount, 0);
+  t.is(newDaemon.gossipNode.peerCount, 0);
   t.true(newDaemon.knowledge.isComplete(), 'it serves with data from the source alone meanwhile');
   cluster.seeds.splice(0, cluster.seeds.length, ...validSeeds);
-  t.true((await cluster.timeUntil(() => newDaemon.spreader.peerCount >= 3, 3_000)) <= 1_000);
+  t.true((await cluster.timeUntil(() => newDaemon.gossipNode.peerCount >= 3, 3_000)) <= 1_000);
 });
 
 test('a daemon without seeds and peers serves with data from the source alone', async (t) => {
@@ -302,7 +302,7 @@
 
 test('an ejection report reaches nearly all daemons, each once, and does not circulate', async (t) => {
   const cluster = await startSettledCluster(20);
-  cluster.daemons[0]!.spreader.gossipEjection({ backendId: 'a', atMs: cluster.clock.now() });
+  cluster.daemons[0]!.gossipNode.gossipEjection({ backendId: 'a', atMs: cluster.clock.now() });
   await cluster.clock.advanceAsync(500, 5);
   const receivers = cluster.daemons.filter(({ ejectionsReceived }) => ejectionsReceived.length > 0);
   t.true(receivers.length >= 17, `${receivers.length} of 20`);
@@ -311,15 +311,15 @@
 
 test('a daemon that detects many dead back ends in succession pushes at most five times a second', async (t) => {
   const cluster = await startSettledCluster(20);
-  const { spreader } = cluster.daemons[0]!;
-  const sentBefore = spreader.statistics.messagesSent;
+  const { gossipNode } = cluster.daemons[0]!;
+  const sentBefore = gossipNode.statistics.messagesSent;
   await cluster.clock.advanceAsync(2_000, 5);
-  const calmMessages = spreader.statistics.messagesSent - sentBefore;
+  const calmMessages = gossipNode.statistics.messagesSent - sentBefore;
   for (let index = 0; index < 100; index += 1) {
-    spreader.gossipEjection({ backendId: `b-${index}`, atMs: cluster.clock.now() });
+    gossipNode.gossipEjection({ backendId: `b-${index}`, atMs: cluster.clock.now() });
     await cluster.clock.advanceAsync(20, 5);
   }
-  const busyMessages = spreader.statistics.messagesSent - sentBefore - calmMessages;
+  const busyMessages = gossipNode.statistics.messagesSent - sentBefore - calmMessages;
   t.true(
     busyMessages - calmMessages <= 11 * (FANOUT_SAME_ZONE + FANOUT_OTHER_ZONES),
     `${calmMessages} calm, ${busyMessages} busy`,
@@ -348,7 +348,7 @@
           reachableSinceMs.set(daemon, cluster.clock.now());
         }
         const sinceMs = cluster.clock.now() - (reachableSinceMs.get(daemon) ?? cluster.clock.now());
-        const ageMs = daemon.knowledge.age();
+        const ageMs = daemon.knowledge.maxTopicAge();
         if (sinceMs >= 4_000)
           t.true(ageMs <= AGE_BOUND_MS, `${daemon.id} is ${ageMs} ms old at step ${step}`);
       }
@@ -387,13 +387,13 @@
   const [reader] = cluster.readers();
   const busy = Array.from({ length: 80 }, (_, index) => ({ tag: index * 700, level: 2 }));
   const bytes = (): number =>
-    cluster.daemons.reduce((sum, { spreader }) => sum + spreader.statistics.bytesSent, 0);
+    cluster.daemons.reduce((sum, { gossipNode }) => sum + gossipNode.statistics.bytesSent, 0);
   const bytesBefore = bytes();
   await cluster.clock.advanceAsync(4_000, 10);
   const bytesWithoutReports = bytes() - bytesBefore;
   for (let round = 0; round < 2; round += 1) {
     const measuredAtMs = cluster.clock.now();
-    reader!.spreader.gossipLoad({ page: 0, measuredAtMs, validMs: 6_000, busy });
+    reader!.gossipNode.gossipLoad({ page: 0, measuredAtMs, validMs: 6_000, busy });
     await cluster.clock.advanceAsync(2_000, 10);
   }
   const nowMs = cluster.clock.now();
@@ -405,15 +405,21 @@
 
 test('ejections of many back ends of a lost zone are batched', async (t) => {
   const cluster = await startSettledCluster(30);
-  const sentBefore = cluster.daemons.reduce((sum, { spreader }) => sum + spreader.statistics.messagesSent, 0);
+  const sentBefore = cluster.daemons.reduce(
+    (sum, { gossipNode }) => sum + gossipNode.statistics.messagesSent,
+    0,
+  );
   const atMs = cluster.clock.now();
   for (const daemon of cluster.daemons) {
     for (let index = 0; index < 40; index += 1) {
-      daemon.spreader.gossipEjection({ backendId: `b-${index}`, atMs });
+      daemon.gossipNode.gossipEjection({ backendId: `b-${index}`, atMs });
     }
   }
   await cluster.clock.advanceAsync(1_000, 10);
-  const sentAfter = cluster.daemons.reduce((sum, { spreader }) => sum + spreader.statistics.messagesSent, 0);
+  const sentAfter = cluster.daemons.reduce(
+    (sum, { gossipNode }) => sum + gossipNode.statistics.messagesSent,
+    0,
+  );
   t.true(sentAfter - sentBefore <= 30 * 80, `${sentAfter - sentBefore} messages in a second`);
 });
 
--- a/src/cookie-edge/spreading/update-log.ts
+++ b/src/cookie-edge/spreading/update-log.ts
@@ -14,8 +14,8 @@
 import { ALL_MECHANISMS_ON, type MechanismCheck } from '../../common/mechanisms.js';
 import {
   compareEpochs,
-  isNextChange,
-  joinTableChanges,
+  isConsecutiveChange,
+  mergeTableChanges,
   type RoutedBackend,
   type RouteTableChange,
   type RoutingKnowledge,
@@ -108,13 +108,13 @@
   const chain = changes.slice(Math.max(0, firstIndex));
   const isUnbroken = chain.every((change, index) => {
     const previous = chain[index - 1];
-    return change !== undefined && (!previous || isNextChange(previous, change));
+    return change !== undefined && (!previous || isConsecutiveChange(previous, change));
   });
   return isUnbroken ? firstIndex : -1;
 }
 
 function joinOptionalChange(first: RouteTableChange | undefined, second: RouteTableChange): RouteTableChange {
-  return first ? joinTableChanges(first, second) : second;
+  return first ? mergeTableChanges(first, second) : second;
 }
 
 /** Returns all that is known of a topic, including departed back ends; undefined before anything is known. */
