--- a/src/cookie-edge/admission/deferral-rule.test.ts
+++ b/src/cookie-edge/admission/deferral-rule.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { shouldDefer, type DeferralInputs } from './deferral-rule.js';
 
-/** A late caller at a daemon that uses its whole share: 3 of 20 slots among 7 daemons. */
+/** A late caller of a daemon whose share is used up: with 20 slots and 7 daemons, 3 requests are in progress. */
 const LATE_OPENING: DeferralInputs = {
   isRecovering: true,
   waitedMs: 200,
--- a/src/cookie-edge/admission/deferral-rule.ts
+++ b/src/cookie-edge/admission/deferral-rule.ts
@@ -4,7 +4,7 @@
  *
  * Handles the thundering herd after an outage of a second or two of all daemons or all back ends. Callers that arrived
  * during the outage retry together, in addition to the usual callers, and demand several times what the back ends can
- * serve. In the order of arrival all of them would be served late, and back ends would reject what exceeds their
+ * serve. First come, first served would make all of them late, and back ends would reject openings that exceed their
  * queues, which costs callers some of their few attempts. A caller that has already waited longer than the target
  * latency loses little by waiting some hundred ms more; a new caller would miss its target.
  *
--- a/src/cookie-edge/load/load.test.ts
+++ b/src/cookie-edge/load/load.test.ts
@@ -18,7 +18,7 @@
 
 const SERVICE = 'alpha';
 
-function countOf(id: string, calls: number, overrides: Partial<BackendCallCount> = {}): BackendCallCount {
+function callCountOf(id: string, calls: number, overrides: Partial<BackendCallCount> = {}): BackendCallCount {
   return { id, service: SERVICE, capacity: 2, calls, ...overrides };
 }
 
@@ -32,18 +32,18 @@
 
 test('a back end with more calls than the mean of its service is busy', (t) => {
   const rates = new CallRates();
-  rates.updateCounts([countOf('a', 0), countOf('b', 100), countOf('c', 7)], 0);
+  rates.updateCounts([callCountOf('a', 0), callCountOf('b', 100), callCountOf('c', 7)], 0);
   t.deepEqual(rates.findBusyBackends(), []);
-  rates.updateCounts([countOf('a', 30), countOf('b', 110), countOf('c', 27)], 2_000);
+  rates.updateCounts([callCountOf('a', 30), callCountOf('b', 110), callCountOf('c', 27)], 2_000);
   t.deepEqual(rates.findBusyBackends(), [{ tag: tagOf('a'), level: 1.5 }]);
 });
 
 test('rates are per unit of capacity and compared within one service', (t) => {
   const rates = new CallRates();
   const countsAt = (calls: number): BackendCallCount[] => [
-    countOf('a', calls, { capacity: 4 }),
-    countOf('b', calls / 2),
-    countOf('c', calls * 10, { service: 'beta' }),
+    callCountOf('a', calls, { capacity: 4 }),
+    callCountOf('b', calls / 2),
+    callCountOf('c', calls * 10, { service: 'beta' }),
   ];
   rates.updateCounts(countsAt(0), 0);
   rates.updateCounts(countsAt(40), 2_000);
@@ -52,8 +52,8 @@
 
 test('a back end has no rate after its count decreased or when it is listed for the first time', (t) => {
   const rates = new CallRates();
-  rates.updateCounts([countOf('a', 50), countOf('b', 0)], 0);
-  rates.updateCounts([countOf('a', 10), countOf('b', 10), countOf('new', 900)], 2_000);
+  rates.updateCounts([callCountOf('a', 50), callCountOf('b', 0)], 0);
+  rates.updateCounts([callCountOf('a', 10), callCountOf('b', 10), callCountOf('new', 900)], 2_000);
   t.deepEqual(rates.findBusyBackends(), []);
 });
 
@@ -62,7 +62,7 @@
   const ids = Array.from({ length: 500 }, (_, index) => `i-${index}`);
   for (const round of [0, 1]) {
     rates.updateCounts(
-      ids.map((id, index) => countOf(id, index * round)),
+      ids.map((id, index) => callCountOf(id, index * round)),
       round * 2_000,
     );
   }
@@ -122,8 +122,8 @@
   const { clock, reports } = startReader((cursor) => {
     calls += 10;
     return cursor === undefined
-      ? { counts: [countOf('a', calls), countOf('b', 0)], next: 'b' }
-      : { counts: [countOf('c', calls)], next: undefined };
+      ? { counts: [callCountOf('a', calls), callCountOf('b', 0)], next: 'b' }
+      : { counts: [callCountOf('c', calls)], next: undefined };
   });
   await clock.advanceAsync(LOAD_READ_INTERVAL_MS * 4 + 10, 10);
   t.deepEqual(
@@ -150,7 +150,13 @@
 
 test('a back end has no rate after a restart, even if its new count is higher than the last one', (t) => {
   const rates = new CallRates();
-  rates.updateCounts([countOf('a', 10, { incarnation: 1 }), countOf('b', 10), countOf('c', 10)], 0);
-  rates.updateCounts([countOf('a', 900, { incarnation: 2 }), countOf('b', 20), countOf('c', 20)], 2_000);
+  rates.updateCounts(
+    [callCountOf('a', 10, { incarnation: 1 }), callCountOf('b', 10), callCountOf('c', 10)],
+    0,
+  );
+  rates.updateCounts(
+    [callCountOf('a', 900, { incarnation: 2 }), callCountOf('b', 20), callCountOf('c', 20)],
+    2_000,
+  );
   t.deepEqual(rates.findBusyBackends(), []);
 });
--- a/src/cookie-edge/outliers/answer-baseline.ts
+++ b/src/cookie-edge/outliers/answer-baseline.ts
@@ -1,7 +1,7 @@
 /**
- * Decides whether an answer is slow or short for its route. Estimates the median time and the minimum usual length of
- * one route's answers in constant space, and owns these estimates. Until there are enough answers for an estimate, no
- * answer is slow or short. Pure computation without I/O.
+ * Decides whether an answer is slow or short for its route. Estimates the median time and the minimum length of one
+ * route's usual answers (those that are not short) in constant space, and owns these estimates. Until there are enough
+ * answers for an estimate, no answer is slow or short. Pure computation without I/O.
  */
 import {
   MEDIAN_WARMUP_ANSWERS,
--- a/src/cookie-edge/outliers/answer-tracker.test.ts
+++ b/src/cookie-edge/outliers/answer-tracker.test.ts
@@ -14,7 +14,7 @@
 }
 
 /** Creates a tracker with a baseline of `USUAL_MS` for route 1. Collects the answers that it reports. */
-function createWarmTracker(): { readonly tracker: AnswerTracker; readonly badAnswers: BadAnswer[] } {
+function createTrackerWithBaseline(): { readonly tracker: AnswerTracker; readonly badAnswers: BadAnswer[] } {
   const badAnswers: BadAnswer[] = [];
   const tracker = new AnswerTracker({
     slowFactor: SLOW_FACTOR,
@@ -39,7 +39,7 @@
 });
 
 test('an overdue request is reported once, whether it is answered later or not', (t) => {
-  const { tracker, badAnswers } = createWarmTracker();
+  const { tracker, badAnswers } = createTrackerWithBaseline();
   const unanswered = createRequest(1_000, 'mute');
   const late = createRequest(1_000, 'late');
   tracker.startTracking(unanswered);
@@ -58,7 +58,7 @@
 });
 
 test('an answer that becomes late and arrives between two checks is reported as slow', (t) => {
-  const { tracker, badAnswers } = createWarmTracker();
+  const { tracker, badAnswers } = createTrackerWithBaseline();
   const late = createRequest(1_000);
   tracker.startTracking(late);
   tracker.recordAnswer(late, USUAL_BYTES, 1_000 + 5 * USUAL_MS);
@@ -66,7 +66,7 @@
 });
 
 test('on a route with too few answers none is slow, even if another route has enough', (t) => {
-  const { tracker, badAnswers } = createWarmTracker();
+  const { tracker, badAnswers } = createTrackerWithBaseline();
   const requestOnOtherRoute = createRequest(1_000, 'a', 2);
   tracker.startTracking(requestOnOtherRoute);
   tracker.reportOverdueRequests(1_000 + 10 * USUAL_MS);
@@ -89,7 +89,7 @@
 });
 
 test('requests of closed flows, and requests before a pause of this process, are not reported as slow', (t) => {
-  const { tracker, badAnswers } = createWarmTracker();
+  const { tracker, badAnswers } = createTrackerWithBaseline();
   const closed = createRequest(1_000);
   tracker.startTracking(closed);
   tracker.recordAbandoned(closed);
@@ -102,7 +102,7 @@
 
 /** Creates a tracker with `count` recorded answers of 600 to 1,200 bytes. */
 function createTrackerAfterAnswers(count: number) {
-  const { tracker, badAnswers } = createWarmTracker();
+  const { tracker, badAnswers } = createTrackerWithBaseline();
   const recordAnswer = (bytes: number): void => {
     const request = createRequest(0);
     tracker.startTracking(request);
--- a/src/cookie-edge/outliers/constants.ts
+++ b/src/cookie-edge/outliers/constants.ts
@@ -42,7 +42,7 @@
 
 /**
  * If one daemon reports more than this share of a service's back ends within `REPORT_VALID_MS`, its reports do not
- * count: the daemon or its links are at fault. Above `MAX_AVOIDED_SHARE`.
+ * count: the daemon or its links are at fault. Greater than `MAX_AVOIDED_SHARE`.
  */
 export const MAX_REPORTED_BACKEND_SHARE = 0.4;
 
@@ -54,7 +54,7 @@
  */
 export const STARTUP_GRACE_MS = 4_000;
 
-/** Fewest back ends that a service needs for outlier detection. 2 + 1: of two, either may be the one that differs. */
+/** Fewest back ends that a service needs for outlier detection. 2 + 1: with two, it is unknown which one differs. */
 export const MIN_BACKENDS_PER_SERVICE = 3;
 
 /**
@@ -87,7 +87,7 @@
  */
 export const MEDIAN_STEP = 0.03;
 
-/** About this many first answers move the median estimate further, which corrects an atypical first answer. */
+/** For about this many first answers, the median estimate moves in larger steps to correct an atypical first answer. */
 export const MEDIAN_WARMUP_ANSWERS = 8;
 
 /** Answers of a route before any of them counts as slow. Twice `MEDIAN_WARMUP_ANSWERS`. */
@@ -106,14 +106,14 @@
 export const SHORT_ANSWER_SHARE = 0.6;
 
 /**
- * Share by which the minimum usual length rises with each usual answer. 1 / 0.001, so one unusually short answer
- * affects the minimum for about a thousand answers.
+ * Share by which the minimum usual length rises with each usual answer. One unusually short answer therefore affects
+ * the minimum for about 1 / 0.001, a thousand, answers.
  */
 export const USUAL_LENGTH_RISE = 0.001;
 
 /**
- * Share by which the minimum usual length falls with each short answer. 1 / 0.003, so after some 300 short answers they
- * count as usual for the route.
+ * Share by which the minimum usual length falls with each short answer. Short answers therefore count as usual for the
+ * route after some 300 of them (1 / 0.003).
  */
 export const USUAL_LENGTH_FALL = 0.003;
 
--- a/src/cookie-edge/outliers/index.ts
+++ b/src/cookie-edge/outliers/index.ts
@@ -5,9 +5,10 @@
  *
  * ```ts
  * const lookups = { serviceOf, countBackends };
- * const options = { ...DEFAULT_OUTLIER_OPTIONS, self, events, ...lookups, onReport };
+ * const options = { ...DEFAULT_OUTLIER_OPTIONS, ownObserverId, events, ...lookups, onReport };
  * const detector = new OutlierDetector(options, clock.now());
- * const tracker = new AnswerTracker({ slowFactor, onBadAnswer: (badAnswer) => detector.recordOwn(badAnswer) });
+ * const onBadAnswer = (badAnswer: BadAnswer) => detector.recordOwnBadAnswer(badAnswer);
+ * const tracker = new AnswerTracker({ slowFactor, onBadAnswer });
  * ```
  */
 export type * from './types.js';
--- a/src/cookie-edge/outliers/outlier-detector.test.ts
+++ b/src/cookie-edge/outliers/outlier-detector.test.ts
@@ -101,7 +101,7 @@
   t.is(harness.phaseOf('b1', renewalMs + MIN_AVOIDANCE_MS), 'trial');
 });
 
-test('expired reports do not count, whether they expire here or on the way', (t) => {
+test('reports do not count once they have expired, whether before or after this daemon receives them', (t) => {
   const harness = new DetectorHarness();
   harness.applyPeerReports('b1', quorum - 1, NOW_MS - REPORT_VALID_MS);
   harness.applyPeerReports('b1', 1, NOW_MS, 500);
--- a/src/cookie-edge/placement/backend-eligibility.test.ts
+++ b/src/cookie-edge/placement/backend-eligibility.test.ts
@@ -22,8 +22,8 @@
   return backends(zones.length).map((backend, index) => ({ ...backend, zone: zones[index] as string }));
 }
 
-function createHarness(surroundings: HarnessOptions): ForwarderHarness {
-  return new ForwarderHarness(new VirtualClock(), 1, [], surroundings);
+function createHarness(options: HarnessOptions): ForwarderHarness {
+  return new ForwarderHarness(new VirtualClock(), 1, [], options);
 }
 
 /** Opens `count` flows and returns the back end of each; undefined for a reset. */
@@ -144,14 +144,10 @@
 }
 
 /** Returns a harness with `warmCount` warm back ends and the back end `cold`, whose rate in slow start is `rate`. */
-function harnessWithColdBackend(
-  surroundings: HarnessOptions,
-  warmCount: number,
-  rate: number,
-): ForwarderHarness {
+function harnessWithColdBackend(options: HarnessOptions, warmCount: number, rate: number): ForwarderHarness {
   const services = [{ name: 'alpha', maxConnections: 2_000, coldRequestsPerSecond: rate }];
   const cold = backendAt('cold', 5, { coldMs: COLD_MS });
-  return createHarness(surroundings).applyRecords([...backends(warmCount), cold], { services });
+  return createHarness(options).applyRecords([...backends(warmCount), cold], { services });
 }
 
 test('a cold back end gets new flows from its owners only, and from all balancers once it is warm', (t) => {
--- a/src/cookie-edge/placement/backend-eligibility.ts
+++ b/src/cookie-edge/placement/backend-eligibility.ts
@@ -5,9 +5,9 @@
  * overrides this rule. Does no input or output.
  *
  * Order: the conditions of the record come first, because they need no state of the back end. `cold` is the last of
- * them, because it is the only one that ranks all balancers. Then the conditions that this balancer has observed:
- * `full`, `dead`, `disputed`. Missing knowledge: a zone without a region is in no allowed region; a service without a
- * connection limit or a cold rate is not limited.
+ * them, because only this test ranks all balancers (rendezvous hashing). Then the conditions that this balancer has
+ * observed: `full`, `dead`, `disputed`. Missing knowledge: a zone without a region is in no allowed region; a service
+ * without a connection limit or a cold rate is not limited.
  *
  * Relies on the routing knowledge for records, cordons and limits, and on the back end's state for open flows and dead
  * verdicts.
--- a/src/cookie-edge/placement/backend-load.ts
+++ b/src/cookie-edge/placement/backend-load.ts
@@ -6,9 +6,9 @@
  *
  * Unit: flows of this balancer per unit of capacity, including the new flow. Flows that were closed recently count as
  * well. Otherwise a back end without long flows would get every short flow, because each one ends before the next one
- * arrives. A back end in slow start counts with `COLD_CAPACITY_SHARE` of its capacity. For a back end of another zone,
- * the load is multiplied by `zoneLoadFactor` and increased by `zoneMargin`: the margin keeps flows in the own zone
- * while loads are similar, and the factor bounds how much more load the own zone gets.
+ * arrives. For a back end in slow start, `COLD_CAPACITY_SHARE` of its capacity is assumed. For a back end of another
+ * zone, the load is multiplied by `zoneLoadFactor` and increased by `zoneMargin`: the margin keeps flows in the
+ * balancer's zone while loads are similar, and the factor bounds how much more load that zone gets.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { LocalBackendState } from '../backend-health/index.js';
--- a/src/cookie-edge/placement/candidate-classes.test.ts
+++ b/src/cookie-edge/placement/candidate-classes.test.ts
@@ -47,7 +47,7 @@
   return state;
 }
 
-function rememberedState(): LocalBackendState {
+function neverListedState(): LocalBackendState {
   return createBackendState(
     'a',
     {},
@@ -88,22 +88,22 @@
     expected: undefined,
   },
   {
-    name: 'that is remembered and has given no sign of life',
-    state: () => rememberedState(),
+    name: 'that was never listed and has given no sign of life',
+    state: () => neverListedState(),
     expected: 'lapsed',
   },
   {
-    name: 'that is remembered and has failed',
+    name: 'that was never listed and has failed',
     state: () => {
-      const state = rememberedState();
+      const state = neverListedState();
       state.recordFailure(NOW_MS - 10, NOW_MS - 160);
       return state;
     },
     expected: undefined,
   },
   {
-    name: 'that is remembered but departed long ago',
-    state: () => rememberedState(),
+    name: 'that was never listed and departed long ago',
+    state: () => neverListedState(),
     nowMs: 1_000 + LAPSED_RECORD_TTL_MS,
     expected: undefined,
   },
--- a/src/cookie-edge/placement/candidate-classes.ts
+++ b/src/cookie-edge/placement/candidate-classes.ts
@@ -86,8 +86,8 @@
 
   /**
    * A back end whose record may only have lapsed serves for `LAPSED_RECORD_TTL_MS` after its departure if a packet
-   * since then proves that it is alive. A remembered back end needs no such packet, because this daemon has not sent it
-   * any traffic so far.
+   * since then proves that it is alive. A back end that the source has never listed to this daemon needs no such
+   * packet, because this daemon has not sent it any traffic so far.
    */
   private isLastResort(
     { backend, lastSignOfLifeMs }: LocalBackendState,
--- a/src/cookie-edge/placement/class-choice.ts
+++ b/src/cookie-edge/placement/class-choice.ts
@@ -5,13 +5,13 @@
  * are ejected, the balancer's own network is the more likely cause, and all recorded candidates get flows again. Does
  * no input or output.
  *
- * Also prevents overload of the first few back ends while a list of back ends fills again: while fewer back ends are
+ * Also prevents overload of the first few back ends of a list that is being filled again: while fewer back ends are
  * recorded than may only have lapsed, the alive and the lapsed back ends share the load.
  *
  * Inputs: the candidates by class. Order: the trial opening comes first, but only while another back end is alive, so
- * that the caller's next attempt can succeed there; then panic mode; then a list that fills again; then the best class
- * that is not empty. Panic mode also applies if only ejected candidates are left. The panic threshold ignores lapsed
- * records.
+ * that the caller's next attempt can succeed there; then panic mode; then a list that is being filled again; then the
+ * best class that is not empty. Panic mode also applies if only ejected candidates are left. The panic threshold
+ * ignores lapsed records.
  */
 import type { LocalBackendState } from '../backend-health/index.js';
 import type { Candidates } from './candidate-classes.js';
--- a/src/cookie-edge/placement/constants.ts
+++ b/src/cookie-edge/placement/constants.ts
@@ -8,8 +8,7 @@
 
 /**
  * Panic threshold: share of a service's recorded candidates above which ejections are ignored, because this balancer's
- * own network is then the more likely cause. It lies above one half, so that a slim majority of ejected back ends does
- * not start panic mode.
+ * own network is then the more likely cause. The value lies above one half by some margin.
  */
 export const MAX_EJECTED_SHARE = 0.6;
 
@@ -17,12 +16,12 @@
 export const MAX_TIED_CANDIDATES = 4;
 
 /**
- * Own flows per candidate below which load reports are used. Above this, the balancer's own flow counts distinguish
- * busy from idle back ends better than a report that is seconds old.
+ * Mean number of own open flows per candidate below which load reports are used. With more flows, the balancer's own
+ * flow counts distinguish busy from idle back ends better than a report that is seconds old.
  */
 export const MAX_OWN_FLOWS_PER_CANDIDATE = 0.25;
 
-/** Share of its capacity with which a back end in slow start counts, because it is slower until it is warm. */
+/** Share of its capacity that is assumed for a back end in slow start, because it is slower until it is warm. */
 export const COLD_CAPACITY_SHARE = 0.5;
 
 /**
--- a/src/cookie-edge/placement/load-balance.test.ts
+++ b/src/cookie-edge/placement/load-balance.test.ts
@@ -124,28 +124,28 @@
   caller.opensAtMs = nowMs + sampleExponential(MEAN_FLOW_MS, random);
 }
 
-function medianRatio(scenario: Scenario): number {
+function medianMaxToMean(scenario: Scenario): number {
   const ratios = [1, 2, 3].map((seed) => maxToMeanCalls(scenario, seed));
   return ratios.sort((left, right) => left - right)[1] as number;
 }
 
 test('load reports reduce by 40 % or more what the busiest back end gets above the mean', (t) => {
-  const without = medianRatio({ hasReports: false });
-  const reported = medianRatio({ hasReports: true });
+  const without = medianMaxToMean({ hasReports: false });
+  const reported = medianMaxToMean({ hasReports: true });
   t.log({ without, reported });
   t.true(reported - 1 <= (without - 1) * 0.6, `${without} without reports, ${reported} with them`);
 });
 
 test('lost reports cause at most 10 % more imbalance than no reports', (t) => {
-  const without = medianRatio({ hasReports: false });
-  const lost = medianRatio({ hasReports: true, reportsLostAfterMs: 6_000 });
+  const without = medianMaxToMean({ hasReports: false });
+  const lost = medianMaxToMean({ hasReports: true, reportsLostAfterMs: 6_000 });
   t.log({ without, lost });
   t.true(lost <= without * 1.1, `${without} without reports, ${lost} with lost ones`);
 });
 
 test('balancers that lost their flow counts in a restart still balance by load reports', (t) => {
-  const without = medianRatio({ hasReports: false, restartAtMs: 18_000 });
-  const reported = medianRatio({ hasReports: true, restartAtMs: 18_000 });
+  const without = medianMaxToMean({ hasReports: false, restartAtMs: 18_000 });
+  const reported = medianMaxToMean({ hasReports: true, restartAtMs: 18_000 });
   t.log({ without, reported });
   t.true(reported - 1 <= (without - 1) * 0.7, `${without} without reports, ${reported} with them`);
 });
--- a/src/cookie-edge/placement/new-flow-rule.ts
+++ b/src/cookie-edge/placement/new-flow-rule.ts
@@ -75,7 +75,7 @@
     return this.options.knowledge.routes()?.find(destinationAddress, destinationPort);
   }
 
-  /** Chooses a back end for a flow whose SYN was placed before; returns undefined without a route or a candidate. */
+  /** Chooses a back end for a retransmitted SYN; returns undefined without a route or a candidate. */
   chooseForRetransmission(flow: FlowAddresses, nowMs: number): Placement | undefined {
     const route = this.routeOf(flow);
     return route && this.choosePlacement(flow, route, nowMs);
@@ -103,16 +103,16 @@
     const flowHash = hashFlow(flow);
     const placements = new Map<string, Placement | undefined>();
     const chosenService = this.options.splitter.chooseService(route, (service) => {
-      const placement = this.choosePlacementWithin(service, route, flowHash, nowMs);
+      const placement = this.choosePlacementInService(service, route, flowHash, nowMs);
       placements.set(service, placement);
       return placement !== undefined;
     });
     if (chosenService === undefined) return undefined;
     if (placements.has(chosenService)) return placements.get(chosenService);
-    return this.choosePlacementWithin(chosenService, route, flowHash, nowMs);
+    return this.choosePlacementInService(chosenService, route, flowHash, nowMs);
   }
 
-  private choosePlacementWithin(
+  private choosePlacementInService(
     service: string,
     route: Route,
     flowHash: number,
--- a/src/cookie-edge/placement/no-backend-rule.ts
+++ b/src/cookie-edge/placement/no-backend-rule.ts
@@ -1,12 +1,13 @@
 /**
  * Rule: whether an opening without a candidate is refused or held. Does no input or output.
  *
- * Saves a caller from losing one of its few attempts to a reset shortly before the back end that can serve it is
- * listed, and from waiting although no back end will be listed.
+ * Prevents two failures: a reset shortly before a back end is listed costs the caller one of its few attempts; and a
+ * caller that is held although no back end will be listed waits in vain.
  *
  * Order: the caller is held only while the list of back ends is unsettled. Even then it is refused at once in two
- * cases: a back end of its services is recorded and not draining, so that it is known to be excluded (cordoned, full,
- * dead); or the services are known to be empty. Missing knowledge: without a roster, no service is known to be empty.
+ * cases. First, a back end of its services is recorded and not draining: since it is no candidate, it is excluded for
+ * another reason (cordoned, full, dead). Second, the services are known to be empty. Missing knowledge: without a
+ * roster, no service is known to be empty.
  */
 import type { BackendListState } from '../routing/index.js';
 
--- a/src/cookie-edge/placement/opening-placement.test.ts
+++ b/src/cookie-edge/placement/opening-placement.test.ts
@@ -70,11 +70,11 @@
     const placement = new OpeningPlacement({ zone: 'north', zoneMargin: 0.5, zoneLoadFactor: 1, loads });
     return (flow) => placement.chooseBackend(placementRequest(states, flow))!.state.backend.id;
   };
-  const [first, second] = [createChooser(), createChooser()];
-  for (let flow = 0; flow < 200; flow += 1) t.is(first(flow), second(flow));
+  const [chooseAtFirst, chooseAtSecond] = [createChooser(), createChooser()];
+  for (let flow = 0; flow < 200; flow += 1) t.is(chooseAtFirst(flow), chooseAtSecond(flow));
 });
 
-test('the own zone is preferred only within the margin', (t) => {
+test("back ends of the balancer's zone are preferred only within the margin", (t) => {
   const all = registerBackends('near', 'far');
   all[1]!.record = backendAt('far', 9, { zone: 'south' });
   const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
@@ -88,7 +88,7 @@
 });
 
 /** Places `flows` flows on two zones of four back ends each with the daemon's defaults; counts them by zone. */
-function flowsByZone(flows: number): { readonly own: number; readonly other: number } {
+function countFlowsByZone(flows: number): { readonly own: number; readonly other: number } {
   const all = registerBackends('a', 'b', 'c', 'd', 'e', 'f', 'g', 'h');
   all.slice(4).forEach((backend) => (backend.record = { ...backend.record, zone: 'south' }));
   const states = new Map(all.map((backend) => [backend, new LocalBackendState(backend)]));
@@ -106,8 +106,8 @@
   return counts;
 }
 
-test('few flows stay in the own zone, and its share of many flows is bounded by the zone load factor', (t) => {
-  t.deepEqual(flowsByZone(8), { own: 8, other: 0 });
-  const { own, other } = flowsByZone(800);
+test("few flows stay in the balancer's zone, and its share of many flows is bounded by the zone load factor", (t) => {
+  t.deepEqual(countFlowsByZone(8), { own: 8, other: 0 });
+  const { own, other } = countFlowsByZone(800);
   t.true(own / other > 1.4 && own / other < DEFAULT_ZONE_LOAD_FACTOR + 0.05, `${own} and ${other}`);
 });
--- a/src/cookie-edge/placement/opening-placement.ts
+++ b/src/cookie-edge/placement/opening-placement.ts
@@ -28,9 +28,9 @@
   readonly passedOver: number;
 }
 
-/** Parameters of the load, and load reports. All mechanisms are on by default. */
+/** Parameters of the load, and load levels. All mechanisms are on by default. */
 interface OpeningPlacementOptions extends Omit<LoadOptions, 'isOn'>, Partial<Pick<LoadOptions, 'isOn'>> {
-  /** Load reports of other balancers; none by default. */
+  /** Load levels from the valid load reports; none by default. */
   readonly loads?: LoadLevels;
 }
 
--- a/src/cookie-edge/placement/replayed-load.ts
+++ b/src/cookie-edge/placement/replayed-load.ts
@@ -1,7 +1,7 @@
 /**
  * Test support: simulates a load on balancers on a virtual clock. Some callers open a flow for each request, others
- * keep a flow and pause between requests. Back ends have slots and a queue; some are slow or never answer. Reports of
- * bad answers reach the other balancers after a delay.
+ * keep a flow open and pause between requests. Each back end processes a few requests at once and queues the others;
+ * some back ends are slow or never answer. Reports of bad answers reach the other balancers after a delay.
  */
 import { VirtualClock } from '../../common/clock.js';
 import type { Mechanism } from '../../common/mechanisms.js';
@@ -15,8 +15,8 @@
   readonly backends: number;
   /** Requests per second that are sent on a new flow each. */
   readonly newFlowsPerSecond: number;
-  /** Number of persistent flows, and the mean pause between two requests on one of them. */
   readonly persistentFlows: number;
+  /** Mean pause between two requests on a persistent flow. */
   readonly pauseMs: number;
   /** Mean service time of a request at a back end that is not slow. */
   readonly meanServiceTimeMs: number;
@@ -39,6 +39,7 @@
   readonly isOnNewFlow: boolean;
 }
 
+/** Requests that a back end processes concurrently. */
 const SLOTS_PER_BACKEND = 2;
 /** Standard deviation of the logarithm of the service time. */
 const SERVICE_TIME_SIGMA = 0.5;
@@ -69,13 +70,16 @@
       ): void => {
         if (parameters.isGossipLostAt?.(this.clock.now())) return;
         this.clock.schedule(GOSSIP_DELAY_MS, () => {
-          for (const other of this.balancers) other.forwarder.applyBadAnswerReport(report);
+          for (const balancer of this.balancers) balancer.forwarder.applyBadAnswerReport(report);
         });
       };
-      const surroundings = { observer: index + 1, onBadAnswer };
-      return new ForwarderHarness(this.clock, index, parameters.switchedOff ?? [], surroundings).applyRecords(
-        records,
-      );
+      const harnessOptions = { observer: index + 1, onBadAnswer };
+      return new ForwarderHarness(
+        this.clock,
+        index,
+        parameters.switchedOff ?? [],
+        harnessOptions,
+      ).applyRecords(records);
     });
   }
 
@@ -153,11 +157,12 @@
   /** Sends a request to a back end; calls `whenDone` when it is answered or its caller gives up. */
   private sendRequest(backend: number, isOnNewFlow: boolean, whenDone: (isAnswered: boolean) => void): void {
     const sentAtMs = this.clock.now();
-    const slowness = this.parameters.serviceTimeFactorOf(backend, sentAtMs);
+    const serviceTimeFactor = this.parameters.serviceTimeFactorOf(backend, sentAtMs);
     const slots = this.slotsFreeAtMs[backend] as number[];
     const slot = slots.indexOf(Math.min(...slots));
-    const doneAtMs = Math.max(sentAtMs, slots[slot] as number) + this.sampleServiceTimeMs() * slowness;
-    if (Number.isFinite(slowness)) slots[slot] = doneAtMs;
+    const doneAtMs =
+      Math.max(sentAtMs, slots[slot] as number) + this.sampleServiceTimeMs() * serviceTimeFactor;
+    if (Number.isFinite(serviceTimeFactor)) slots[slot] = doneAtMs;
     const durationMs = doneAtMs - sentAtMs;
     const isAnswered = durationMs <= REQUEST_TIMEOUT_MS;
     this.requests.push({ sentAtMs, backend, isOnNewFlow, durationMs: isAnswered ? durationMs : Infinity });
--- a/src/cookie-edge/placement/tie-breaking.test.ts
+++ b/src/cookie-edge/placement/tie-breaking.test.ts
@@ -8,17 +8,17 @@
 const FLOW_HASH = 7;
 const STATES = ['a', 'b', 'c', 'd', 'e', 'f'].map((id) => createBackendState(id));
 
-function loadReports(levels: readonly number[], isKnown = true): LoadLevels {
+function createLoadLevels(levels: readonly number[], hasValidReport = true): LoadLevels {
   const byHash = new Map(STATES.map(({ idHash }, index) => [idHash, levels[index] ?? 1]));
-  return { hasValidReport: () => isKnown, levelOf: (idHash) => byHash.get(idHash) ?? 1 };
+  return { hasValidReport: () => hasValidReport, levelOf: (idHash) => byHash.get(idHash) ?? 1 };
 }
 
 /** Name, own flows to eight back ends, load reports, expected number of tied candidates that are compared. */
 const COUNT_CASES: readonly (readonly [string, number, LoadLevels | undefined, number])[] = [
   ['without reports', 0, undefined, 1],
-  ['with expired reports', 0, loadReports([], false), 1],
-  ['with reports and one own flow', 1, loadReports([]), MAX_TIED_CANDIDATES],
-  ['with reports and two own flows', 2, loadReports([]), 1],
+  ['with expired reports', 0, createLoadLevels([], false), 1],
+  ['with reports and one own flow', 1, createLoadLevels([]), MAX_TIED_CANDIDATES],
+  ['with reports and two own flows', 2, createLoadLevels([]), 1],
 ];
 
 for (const [name, ownFlows, reports, expected] of COUNT_CASES) {
@@ -74,7 +74,7 @@
 for (const [levels, expected] of LEVEL_CASES) {
   test(`of tied candidates with load levels ${levels.join(', ') || '(none)'}, index ${expected} is chosen`, (t) => {
     const tied = levels.map((_level, index) => ({ state: STATES[index]!, rank: 0 }));
-    t.is(findLeastBusyIndex(tied, loadReports(levels), 0), expected);
+    t.is(findLeastBusyIndex(tied, createLoadLevels(levels), 0), expected);
     t.is(findLeastBusyIndex(tied, undefined, 0), levels.length > 0 ? 0 : -1);
   });
 }
--- a/src/cookie-edge/placement/tie-breaking.ts
+++ b/src/cookie-edge/placement/tie-breaking.ts
@@ -21,18 +21,18 @@
 }
 
 /** Load level of a back end without a report that it is busy. */
-const NOT_BUSY = 1;
+const NOT_BUSY_LEVEL = 1;
 
 /**
- * Returns how many candidates of equal load are compared by their load reports: more than one only while a report is in
- * use and this balancer has few flows of its own.
+ * Returns how many candidates of equal load are compared by their load reports: more than one only while a report is
+ * valid and this balancer has few flows of its own.
  */
 export function tiedCandidateLimit(
   states: readonly LocalBackendState[],
-  reports: LoadLevels | undefined,
+  loadLevels: LoadLevels | undefined,
   nowMs: number,
 ): number {
-  if (!reports?.hasValidReport(nowMs)) return 1;
+  if (!loadLevels?.hasValidReport(nowMs)) return 1;
   const ownFlows = states.reduce((sum, { openFlows }) => sum + openFlows, 0);
   return ownFlows < states.length * MAX_OWN_FLOWS_PER_CANDIDATE ? MAX_TIED_CANDIDATES : 1;
 }
@@ -64,14 +64,14 @@
  */
 export function findLeastBusyIndex(
   tied: readonly RankedCandidate[],
-  reports: LoadLevels | undefined,
+  loadLevels: LoadLevels | undefined,
   nowMs: number,
 ): number {
   let leastBusyIndex = -1;
   let leastLevel = Number.POSITIVE_INFINITY;
   for (let index = 0; index < tied.length; index += 1) {
     const { state } = tied[index] as RankedCandidate;
-    const level = reports?.levelOf(state.idHash, nowMs) ?? NOT_BUSY;
+    const level = loadLevels?.levelOf(state.idHash, nowMs) ?? NOT_BUSY_LEVEL;
     if (level >= leastLevel) continue;
     leastBusyIndex = index;
     leastLevel = level;
