--- a/src/cookie-edge/load/types.ts
+++ b/src/cookie-edge/load/types.ts
@@ -51,6 +51,6 @@
   readonly measuredAtMs: number;
   /** Lifetime in ms, from `measuredAtMs`. */
   readonly validMs: number;
-  /** Back ends that are missing here are not known to be busy. */
+  /** A back end that is not listed here counts as not busy. */
   readonly busy: readonly BusyBackend[];
 }
--- a/src/cookie-edge/outliers/outlier-detector.ts
+++ b/src/cookie-edge/outliers/outlier-detector.ts
@@ -40,7 +40,7 @@
 interface ServiceEvidence {
   /** All back ends of the service, also those without reports. */
   readonly backendCount: number;
-  /** Valid reports on all of them, without those of discounted observers. */
+  /** Valid reports on all back ends of the service, without those of discounted observers. */
   readonly reportCount: number;
   readonly avoidedCount: number;
   /** True for a daemon that reports so many back ends that it is likely at fault itself. */
--- a/src/cookie-edge/outliers/types.ts
+++ b/src/cookie-edge/outliers/types.ts
@@ -1,6 +1,6 @@
 /** Requests, bad answers, and the reports of bad answers that daemons gossip. */
 
-/** A request that was forwarded at least in part, and of whose answer no data has been acknowledged yet. */
+/** A request of which at least one packet was forwarded, and whose answer has not been acknowledged even in part. */
 export interface OutstandingRequest {
   readonly backendId: string;
   /** Service of that back end. */
@@ -32,7 +32,7 @@
 export interface OutlierOptions {
   /** An answer is slow if it takes at least this multiple of the median time of its route. */
   readonly slowFactor: number;
-  /** Reports that make a back end an outlier. Of each other daemon one counts; of this daemon, each counts. */
+  /** Reports that make a back end an outlier. One of each other daemon counts, but each report of this daemon. */
   readonly quorum: number;
   /** Largest share of a service's back ends that is avoided at once. */
   readonly maxAvoidedShare: number;
--- a/src/cookie-edge/placement/class-choice.test.ts
+++ b/src/cookie-edge/placement/class-choice.test.ts
@@ -7,6 +7,7 @@
 /** Numbers of alive, outlier, suspect, ejected and lapsed candidates; whether an ejected one is due for a trial. */
 type Counts = readonly [number, number, number, number, number, boolean];
 
+/** Candidates by class, expected rule, expected number of considered candidates. */
 const CASES: readonly (readonly [Counts, PlacementRule | undefined, number])[] = [
   [[0, 0, 0, 0, 0, false], undefined, 0],
   [[3, 2, 2, 1, 1, false], 'least-flows', 3],
--- a/src/cookie-edge/placement/class-choice.ts
+++ b/src/cookie-edge/placement/class-choice.ts
@@ -18,7 +18,7 @@
 import { MAX_EJECTED_SHARE } from './constants.js';
 
 /**
- * The candidates that are considered, from the trial opening to the last resort. `ejected-majority`: panic mode.
+ * The rule that selects the candidates for a new flow, in the order of evaluation. `ejected-majority`: panic mode.
  * `unsettled-list`: alive and lapsed back ends have the same priority.
  */
 export type PlacementRule =
--- a/src/cookie-edge/placement/cold-admission.test.ts
+++ b/src/cookie-edge/placement/cold-admission.test.ts
@@ -7,7 +7,7 @@
 const RATE = 4;
 const SPACING_MS = 500;
 
-/** Time of the last flow, time of the next one, is this balancer an owner, rate; is the next flow admitted. */
+/** Times in ms of the last and the next flow, whether this balancer is an owner, rate, whether the next is admitted. */
 const CASES: readonly (readonly [number | undefined, number, boolean, number | undefined, boolean])[] = [
   [undefined, 0, true, RATE, true],
   [undefined, 0, false, RATE, false],
--- a/src/cookie-edge/placement/no-backend-rule.test.ts
+++ b/src/cookie-edge/placement/no-backend-rule.test.ts
@@ -2,6 +2,7 @@
 import test from 'ava';
 import { decideWithoutBackend, type NoBackendOutcome, type NoBackendInputs } from './no-backend-rule.js';
 
+/** State of the list, is a serving back end recorded, are the services known to be empty, expected outcome. */
 const CASES: readonly (readonly [NoBackendInputs['listState'], boolean, boolean, NoBackendOutcome])[] = [
   ['settled', false, false, 'refuse'],
   ['settled', true, false, 'refuse'],
