--- a/src/cookie-edge/spreading/address-history.test.ts
+++ b/src/cookie-edge/spreading/address-history.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against resets of open flows at a live back end: a new balancer receives the records of the back ends at one
- * address from several sources, in any order, and must not conclude that the live one is gone.
+ * Guards against resets of open flows at a live back end. A new daemon receives the records of the back ends at one
+ * address from several sources, in any order, and must not conclude that the live back end has departed.
  */
 import test from 'ava';
 import fc from 'fast-check';
@@ -20,8 +20,8 @@
 const REQUEST = { payloadBytes: 100, sequence: 500 };
 
 /**
- * `x` ends and `y` starts at the same address. At any time a record may vanish and be written again, even after its
- * end.
+ * Back end `x` stops, and `y` starts at the same address. At any time a record may be removed and written again, even
+ * after its back end has stopped.
  */
 const STEPS = [
   'remove-x',
@@ -34,12 +34,12 @@
 ] as const;
 type Step = (typeof STEPS)[number];
 
-/** Sources from which a new balancer receives records; `time` lets 3 s pass. */
+/** Sources from which a new daemon receives records; `time` lets 3 s pass. */
 const INPUTS = ['list', 'peer', 'roster', 'changes', 'time'] as const;
 type Input = (typeof INPUTS)[number];
 
 /** Records in the source after each change, and a peer that has applied all of the changes. */
-class History {
+class RecordHistory {
   readonly records = new Map<string, RoutedBackend>();
   readonly changes: RoutingUpdate[] = [];
   readonly lists: RoutedBackend[][] = [];
@@ -65,27 +65,27 @@
       this.liveId = 'y';
     }
     if (id === 'y' && this.liveId === 'x') return;
-    if (action === 'remove') this.remove(id, lapsed !== undefined);
-    else this.write(id);
+    if (action === 'remove') this.removeRecord(id, lapsed !== undefined);
+    else this.writeRecord(id);
   }
 
-  private write(id: string): void {
+  private writeRecord(id: string): void {
     const revision = this.revision + 1;
     const known = this.records.get(id);
     const service = id === 'x' ? 'alpha' : 'beta';
     const createdRevision = known?.createdRevision ?? revision;
     const record = backendAt(id, revision, { ...ADDRESS, service, createdRevision });
     this.records.set(id, record);
-    this.record(updateAt(revision, { backends: [record] }), false);
+    this.recordChange(updateAt(revision, { backends: [record] }), false);
   }
 
-  private remove(id: string, lapsed: boolean): void {
+  private removeRecord(id: string, lapsed: boolean): void {
     if (!this.records.delete(id)) return;
     const revision = this.revision + 1;
-    this.record(updateAt(revision, { removals: [{ id, revision }] }), lapsed);
+    this.recordChange(updateAt(revision, { removals: [{ id, revision }] }), lapsed);
   }
 
-  private record(update: RoutingUpdate, mayHaveLapsed: boolean): void {
+  private recordChange(update: RoutingUpdate, mayHaveLapsed: boolean): void {
     const since = this.revision;
     this.changes.push(update);
     this.lists.push([...this.records.values()]);
@@ -93,8 +93,8 @@
   }
 }
 
-/** Joins changes into one update, as a watch of the source or the update log of a peer does. */
-function joinChanges(changes: readonly RoutingUpdate[], revision: number): RoutingUpdate {
+/** Merges changes into one update, as a watch of the source or the update log of a peer does. */
+function mergeChanges(changes: readonly RoutingUpdate[], revision: number): RoutingUpdate {
   const latestRecords = new Map(
     changes.flatMap(({ backends }) => backends).map((record) => [record.id, record]),
   );
@@ -102,7 +102,7 @@
   return updateAt(revision, { backends: [...latestRecords.values()], removals });
 }
 
-function applyInput(harness: ForwarderHarness, history: History, input: Input, listAge: number): void {
+function applyInput(harness: ForwarderHarness, history: RecordHistory, input: Input, listAge: number): void {
   const { knowledge, clock } = harness;
   const apply = (update: RoutingUpdate, since: number): void =>
     void knowledge.apply('backends', update, { since, confirmedAtMs: clock.now(), mayHaveLapsed: false });
@@ -125,15 +125,15 @@
     const knownRevision = knowledge.revisionOf('backends');
     const firstMissing = knownRevision - FIRST_REVISION;
     if (knownRevision >= 0 && firstMissing < history.changes.length) {
-      apply(joinChanges(history.changes.slice(firstMissing), history.revision), knownRevision);
+      apply(mergeChanges(history.changes.slice(firstMissing), history.revision), knownRevision);
     }
   }
 }
 
-/** Returns the first input after which the balancer resets a flow at the live back end; undefined if there is none. */
+/** Returns the first input after which the daemon resets a flow at the live back end; undefined if there is none. */
 function firstReset(steps: readonly Step[], inputs: readonly Input[], listAge: number): string | undefined {
   const clock = new VirtualClock();
-  const history = new History(clock);
+  const history = new RecordHistory(clock);
   for (const step of steps) history.applyStep(step);
   let hasReceivedDeparted = false;
   const harness = new ForwarderHarness(clock, 1, [], { hasReceivedDeparted: () => hasReceivedDeparted });
@@ -152,17 +152,17 @@
   return harness.resets.length > 0 ? 'reset without a packet' : undefined;
 }
 
-const steps = fc.array(fc.constantFrom(...STEPS), { minLength: 1, maxLength: 8 });
-const inputs = fc.array(fc.constantFrom(...INPUTS), { minLength: 1, maxLength: 6 });
+const anySteps = fc.array(fc.constantFrom(...STEPS), { minLength: 1, maxLength: 8 });
+const anyInputs = fc.array(fc.constantFrom(...INPUTS), { minLength: 1, maxLength: 6 });
 
 for (const maxAge of [0, 6]) {
   test(`open flows at a live back end are not reset when lists are up to ${maxAge} changes old`, (t) => {
-    const age = fc.integer({ min: 0, max: maxAge });
+    const anyListAge = fc.integer({ min: 0, max: maxAge });
     const property = fc.property(
-      steps,
-      inputs,
-      age,
-      (stepsTaken, receivedInputs, listAge) => firstReset(stepsTaken, receivedInputs, listAge) === undefined,
+      anySteps,
+      anyInputs,
+      anyListAge,
+      (steps, inputs, listAge) => firstReset(steps, inputs, listAge) === undefined,
     );
     fc.assert(property, { seed: SEED, numRuns: CASES });
     t.pass();
--- a/src/cookie-edge/spreading/bad-answers.test.ts
+++ b/src/cookie-edge/spreading/bad-answers.test.ts
@@ -1,4 +1,4 @@
-/** How bad answers reach the fleet, and the maximum traffic that they cause. */
+/** How fast bad answers reach the fleet, and how much traffic they cause at most. */
 import test from 'ava';
 import { BadAnswerOutbox } from './bad-answer-outbox.js';
 import {
--- a/src/cookie-edge/spreading/catch-up.ts
+++ b/src/cookie-edge/spreading/catch-up.ts
@@ -28,7 +28,7 @@
   readonly applyMessage: (message: PeerMessage, from: Endpoint) => void;
 }
 
-/** Requests and fetches the updates that this daemon lacks. */
+/** Requests and fetches the updates that are missing at this daemon. */
 export class CatchUp {
   /** The request that waits for its response. */
   private pendingRequest: { readonly peer: string; readonly atMs: number } | undefined;
@@ -55,7 +55,9 @@
     return this.completeListsFetched > 0 || !this.isCompleteListNeeded;
   }
 
-  /** Clears the pending request if it went to this peer: its message showed that nothing is missing. */
+  /**
+   * Clears the pending request if it went to this peer. Call when a message of the peer shows that nothing is missing.
+   */
   clearPendingRequest(from: Endpoint): void {
     if (this.pendingRequest?.peer === formatEndpoint(from)) this.pendingRequest = undefined;
   }
@@ -98,7 +100,7 @@
     void this.fetch(from, { ...knownRevisionsOf(knowledge), backends: NOTHING_KNOWN });
   }
 
-  /** Cancels a fetch that has not started. */
+  /** Cancels the delayed fetch from another zone, if one is scheduled. */
   stop(): void {
     this.crossZoneFetchTimer?.cancel();
   }
--- a/src/cookie-edge/spreading/constants.ts
+++ b/src/cookie-edge/spreading/constants.ts
@@ -14,29 +14,30 @@
 
 /**
  * Longest delays in ms before a daemon becomes a reader: while there is no reader, and while there is one. Without a
- * reader the delay must end before confirmations are overdue; with one reader nothing becomes overdue.
+ * reader, a daemon must start reading before confirmations are overdue. A single reader keeps them from becoming
+ * overdue, so the second one may start later.
  */
 export const VOLUNTEER_NO_READER_MS = 400;
 export const VOLUNTEER_ONE_READER_MS = 3_000;
 
 /**
- * Longest such delay in ms while a daemon has not seen any reader since its start. When all daemons start together, the
- * first readers need time to become known. The delays reduce the calls of 60 daemons within 4 s of their start from 316
- * to 196.
+ * Longest delay in ms before a daemon that has seen no reader since its start becomes one. When all daemons start
+ * together, the first readers need time to become known. This delay and the delays by rank together reduce the calls of
+ * 60 daemons within 4 s of their start from 316 to 196.
  */
 export const VOLUNTEER_AT_START_MS = 1_600;
 
 /**
- * Daemons without a confirmation read the source one after the other: `FIRST_READS` of them within the first spread,
- * `READS_PER_SECOND` of them in each second afterwards. If the source refuses 90% of the daemons, at least one of 32
- * gets a response with a probability of 1 - 0.9^32 = 0.97.
+ * Daemons without a confirmation read the source one after the other: `FIRST_READS` of them within the first
+ * `readSpreadMs`, `READS_PER_SECOND` of them in each second afterwards. If the source refuses 90% of the daemons, at
+ * least one of 32 gets a response with a probability of 1 - 0.9^32 = 0.97.
  */
 export const FIRST_READS = 32;
 export const READS_PER_SECOND = 8;
 
 /**
- * A daemon that has received no message from a peer for this long, in ms, counts itself as the only daemon. Below the
- * age at which a confirmation is overdue, which is 1,800 ms with the default freshness bound.
+ * A daemon that has received no message from a peer for this long, in ms, assumes a fleet size of 1. Below the age at
+ * which a confirmation is overdue, which is 1,800 ms with the default freshness bound.
  */
 export const ISOLATED_AFTER_MS = 1_500;
 
@@ -50,7 +51,7 @@
 export const FANOUT_SAME_ZONE = 2;
 export const FANOUT_OTHER_ZONES = 1;
 
-/** Number of peers that each round of pulls goes to. The second covers the case that the first is gone. */
+/** Number of peers asked in each round of pulls. The second is asked in case the first is gone. */
 export const PULL_FANOUT = 2;
 
 /**
@@ -81,7 +82,7 @@
 export const MAX_DATAGRAM_BYTES = 1_400;
 
 /**
- * Minimum interval in ms between two pushes of ejections. With `CONFIRMATION_BATCH_MS` alone there would be 20 pushes a
+ * Minimum interval in ms between two pushes of ejections. With `CONFIRMATION_BATCH_MS` alone there could be 20 pushes a
  * second: a daemon that detects 100 dead back ends within 2 s would send 96 additional messages instead of at most 33.
  */
 export const EJECTION_BATCH_MS = 200;
@@ -129,8 +130,8 @@
 export const MAX_PEERS = 128;
 
 /**
- * Number of daemons in the sketch that estimates the fleet size: those with the smallest hashes. The relative standard
- * error of the estimate is 1 / sqrt(size - 2), 18% for 32.
+ * Number of daemons in the sketch that estimates the fleet size. The sketch holds those with the smallest hashes. The
+ * relative standard error of the estimate is 1 / sqrt(size - 2), 18% for 32.
  */
 export const SKETCH_SIZE = 32;
 
--- a/src/cookie-edge/spreading/cordons.test.ts
+++ b/src/cookie-edge/spreading/cordons.test.ts
@@ -49,13 +49,13 @@
   ['the source refuses the readers', (cluster) => injectReaderFault(cluster, 'refuse')],
   ['the source throttles the readers', (cluster) => injectReaderFault(cluster, 'throttle')],
   ['the source falls silent for the readers', (cluster) => injectReaderFault(cluster, 'silent')],
-  ['the source refuses a third of the daemons', refuseThird],
+  ['the source refuses a third of the daemons', refuseThirdOfDaemons],
   ['the source discards its history', (cluster) => cluster.source.discardHistory()],
   ['a third of the datagrams is lost', (cluster) => (cluster.network.lossRate = 1 / 3)],
   ['back ends change all the time', churnBackends],
 ];
 
-function refuseThird({ source, daemons }: SpreadingCluster): void {
+function refuseThirdOfDaemons({ source, daemons }: SpreadingCluster): void {
   daemons.forEach(({ id }, index) => {
     if (index % 3 === 0) source.faults.set(id, 'refuse');
   });
@@ -119,8 +119,8 @@
   t.true(cluster.daemons.every(({ knowledge }) => knowledge.cordons.has(ZONE)));
 });
 
-/** Returns the calls to the source by a settled cluster of 30 daemons in a minute. */
-async function callsOf(options: ClusterOptions): Promise<number> {
+/** Returns the number of calls to the source by a settled cluster of 30 daemons in a minute. */
+async function callsPerMinute(options: ClusterOptions): Promise<number> {
   const cluster = await startSettledCluster(30, 1, options);
   const callsBefore = cluster.source.calls;
   await cluster.clock.advanceAsync(60_000, 10);
@@ -128,9 +128,9 @@
 }
 
 test('following cordons costs at most 15% more calls while nothing changes', async (t) => {
-  const withoutCordons = await callsOf({});
-  const withCordons = await callsOf(CORDONS);
-  const withoutLongWatches = await callsOf({ ...CORDONS, usesLongWatches: false });
+  const withoutCordons = await callsPerMinute({});
+  const withCordons = await callsPerMinute(CORDONS);
+  const withoutLongWatches = await callsPerMinute({ ...CORDONS, usesLongWatches: false });
   t.true(withCordons <= 1.15 * withoutCordons, `${withCordons} and ${withoutCordons}`);
   t.true(
     withoutLongWatches >= 1.4 * withoutCordons,
--- a/src/cookie-edge/spreading/fleet-size.ts
+++ b/src/cookie-edge/spreading/fleet-size.ts
@@ -49,7 +49,7 @@
     return isSelfInSample ? others : undefined;
   }
 
-  /** Records a message from or about a daemon at `heardAtMs`. */
+  /** Records a message from a daemon, or a mention of it by another one, at `heardAtMs`. */
   record(endpoint: Endpoint, zone: string, heardAtMs: number): void {
     const hash = hashOfDaemon(endpoint);
     const largest = this.sample.at(-1)?.hash ?? HASH_SPACE;
@@ -69,7 +69,7 @@
     this.sample = this.sample.filter((peer) => peer.hash !== hash);
   }
 
-  /** Removes daemons that no message mentioned for `SKETCH_ENTRY_TTL_MS`. */
+  /** Removes each daemon that no message came from or mentioned for `SKETCH_ENTRY_TTL_MS`. */
   prune(nowMs: number): void {
     const isFresh = ({ heardAtMs }: Peer): boolean => nowMs - heardAtMs < SKETCH_ENTRY_TTL_MS;
     if (!this.sample.every(isFresh)) this.sample = this.sample.filter(isFresh);
--- a/src/cookie-edge/spreading/gossip-node.ts
+++ b/src/cookie-edge/spreading/gossip-node.ts
@@ -1,7 +1,7 @@
 /**
  * Gossip of one daemon. The few readers push changes and freshness confirmations to some peers, which gossip them
- * further. A daemon that lags pulls what it lacks, and a daemon whose confirmation is overdue for too long reads the
- * source itself. Owns the tick and applies received messages. The rules are in `reader-rule.ts`, `gossip-rule.ts`,
+ * further. A daemon that lags pulls the missing changes, and a daemon whose confirmation is overdue for too long reads
+ * the source itself. Owns the tick and applies received messages. The rules are in `reader-rule.ts`, `gossip-rule.ts`,
  * `pull-rule.ts` and `source-read-pacing.ts`.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
@@ -48,7 +48,7 @@
   readonly setReading: (isReading: boolean) => void;
   /** Called with each datagram that arrives. */
   readonly recordArrival: () => void;
-  /** True while received messages may have waited during a pause of this process, so that their age is unknown. */
+  /** True while a received message may have been queued during a pause of this process, so that its age is unknown. */
   readonly mayHaveWaited: () => boolean;
   /** True while records of back ends may expire only because their owners cannot write to the source. */
   readonly recordsMayLapse: () => boolean;
@@ -153,7 +153,9 @@
     return this.catchUp.hasReceivedDeparted;
   }
 
-  /** True for the reader that writes the data which the fleet must not lose. Two readers may lead for a moment. */
+  /**
+   * True for the leading reader, which writes the data that the fleet must not lose. Two readers may lead for a moment.
+   */
   get isLeadingReader(): boolean {
     return this.role.isLeading(this.options.clock.now());
   }
@@ -224,7 +226,7 @@
     const nowMs = clock.now();
     const ageMs = knowledge.maxTopicAge();
     this.peers.prune(nowMs);
-    this.reportOverdueChange(ageMs);
+    this.logOverdueChange(ageMs);
     const unconfirmedMs = Math.min(ageMs, nowMs - this.startedAtMs);
     const { pullAfterMs } = this.options.timings;
     if (isPullDue(unconfirmedMs, pullAfterMs, nowMs - this.lastPullMs)) this.pullFromPeers(nowMs);
@@ -234,7 +236,7 @@
     const reason = this.role.decide({ nowMs, ageMs, daemons, ...completeness });
     if (!reason) return;
     this.options.setReading(this.role.isReading);
-    this.reportRoleChange(reason);
+    this.logRoleChange(reason);
   }
 
   /**
@@ -259,7 +261,7 @@
     this.applyMessage(message, from);
   }
 
-  /** Applies a message, and pulls from its sender what this daemon still lacks. */
+  /** Applies a message. If it shows that changes are still missing, pulls them from its sender. */
   private applyMessage(message: PeerMessage, from: Endpoint): void {
     const { knowledge } = this.options;
     const mayHaveWaited = this.options.mayHaveWaited();
@@ -306,7 +308,7 @@
     for (const endpoint of chosen.length > 0 ? chosen : this.options.seeds()) this.sendPullRequest(endpoint);
   }
 
-  private reportOverdueChange(ageMs: number): void {
+  private logOverdueChange(ageMs: number): void {
     const isNowOverdue = ageMs >= this.options.timings.pullAfterMs;
     if (isNowOverdue === this.isOverdue) return;
     this.isOverdue = isNowOverdue;
@@ -314,7 +316,7 @@
     this.options.events.emit(event, { ageMs: roundFinite(ageMs), peers: this.peers.size });
   }
 
-  private reportRoleChange(reason: RoleReason): void {
+  private logRoleChange(reason: RoleReason): void {
     const { clock, knowledge, events } = this.options;
     const event = this.role.isReading ? SPREADING_EVENTS.reading : SPREADING_EVENTS.standingDown;
     const otherReaders = this.role.otherReaders(clock.now()).length;
--- a/src/cookie-edge/spreading/gossip-rule.ts
+++ b/src/cookie-edge/spreading/gossip-rule.ts
@@ -11,8 +11,8 @@
  *   freshness bound.
  * - Confirmations are repeated after a change, since a peer that missed the push pulls the change when it sees the
  *   newer revision.
- * - The first ejection is sent as soon as a confirmation would be; further ones are batched.
- * - Bad answers are sent in messages of their own.
+ * - The first ejection is sent after the same delay as a confirmation; further ones are batched.
+ * - Bad answers are batched and sent in messages of their own.
  * - A load report triggers no push. The next push without changes carries it, since a delay does no harm.
  *
  * If a message cannot hold all reports, the newest go first; reports of equal age keep their order of arrival. Expired
--- a/src/cookie-edge/spreading/message-codec.test.ts
+++ b/src/cookie-edge/spreading/message-codec.test.ts
@@ -27,12 +27,12 @@
   };
 }
 
-/** Encodes and decodes an update. */
-function throughCodec(update: TopicUpdate): RoutingUpdate | undefined {
+/** Encodes a message with an update, decodes it, and returns the decoded update. */
+function encodeAndDecode(update: TopicUpdate): RoutingUpdate | undefined {
   return decodePeerMessage(encodePeerMessage(messageWith(update), NOW_MS), NOW_MS)?.updates[0]?.update;
 }
 
-const limited: RouteTable = tableAt(5, {
+const tableWithLimits: RouteTable = tableAt(5, {
   routes: tableAt(5).routes.map((route) => ({ ...route, allowedRegions: ['isartal', 'donau'] })),
   services: [
     { name: 'alpha', maxConnections: 2_000, coldRequestsPerSecond: 1.5 },
@@ -41,15 +41,15 @@
 });
 
 test('regions of routes and rates of cold back ends are preserved', (t) => {
-  const update = updateAt(5, { complete: true, routes: [limited] });
-  t.deepEqual(throughCodec({ topic: 'routes', since: -1, update })?.routes, [limited]);
+  const update = updateAt(5, { complete: true, routes: [tableWithLimits] });
+  t.deepEqual(encodeAndDecode({ topic: 'routes', since: -1, update })?.routes, [tableWithLimits]);
 });
 
 test('the priority of routes is preserved, and its change is a change of the route', (t) => {
   const [route] = tableAt(5).routes;
   const prioritized = tableAt(6, { routes: [{ ...route!, priority: 0, targetLatencyMs: 261 }] });
   const update = updateAt(6, { complete: true, routes: [prioritized] });
-  t.deepEqual(throughCodec({ topic: 'routes', since: -1, update })?.routes, [prioritized]);
+  t.deepEqual(encodeAndDecode({ topic: 'routes', since: -1, update })?.routes, [prioritized]);
   t.is(diffTables(tableAt(5), prioritized).routes.length, 1);
 });
 
@@ -58,7 +58,7 @@
     { record: backendAt('a', 5), departedAtMs: NOW_MS - 1_000, lapsed: true },
     { record: backendAt('b', 6), departedAtMs: NOW_MS - 1_000 },
   ];
-  const decoded = throughCodec({
+  const decoded = encodeAndDecode({
     topic: 'backends',
     since: -1,
     update: updateAt(7, { complete: true, departed }),
@@ -82,16 +82,16 @@
     cordons: [{ zone: 'north', revision: 8 }],
     cordonRemovals: [{ zone: 'south', revision: 9 }],
   });
-  const { cordons, cordonRemovals } = throughCodec({ topic: 'cordons', since: 7, update }) ?? {};
+  const { cordons, cordonRemovals } = encodeAndDecode({ topic: 'cordons', since: 7, update }) ?? {};
   t.deepEqual(cordons, update.cordons);
   t.deepEqual(cordonRemovals, update.cordonRemovals);
 });
 
 test('a change of only the regions of a route is encoded and leads to the new table', (t) => {
-  const after = { ...limited, revision: 6, routes: tableAt(6).routes };
-  const change = diffTables(limited, after);
+  const after = { ...tableWithLimits, revision: 6, routes: tableAt(6).routes };
+  const change = diffTables(tableWithLimits, after);
   t.is(change.routes.length, 1);
   const update = updateAt(6, { routeChange: change });
-  const decoded = throughCodec({ topic: 'routes', since: 5, update })?.routeChange;
-  t.deepEqual(applyTableChange(limited, decoded!), after);
+  const decoded = encodeAndDecode({ topic: 'routes', since: 5, update })?.routeChange;
+  t.deepEqual(applyTableChange(tableWithLimits, decoded!), after);
 });
--- a/src/cookie-edge/spreading/message-codec.ts
+++ b/src/cookie-edge/spreading/message-codec.ts
@@ -102,10 +102,10 @@
 function decodeConfirmations({ proofs }: WireMessage, sentMs: number): PeerMessage['confirmations'] {
   const confirmations: Partial<Record<RoutingTopic, TopicConfirmation>> = {};
   for (const { topic, revision, changedRevision, ageMs, epoch } of proofs ?? []) {
-    const name = findKeyByNumber(TOPIC_NUMBERS, topic);
-    if (!name) continue;
+    const topicName = findKeyByNumber(TOPIC_NUMBERS, topic);
+    if (!topicName) continue;
     const confirmedAtMs = ageMs === MAX_AGE_MS ? Number.NEGATIVE_INFINITY : timeOfAge(ageMs, sentMs);
-    confirmations[name] = {
+    confirmations[topicName] = {
       ...decodeEpoch(epoch),
       revision: revision ?? 0,
       changedRevision: changedRevision ?? 0,
@@ -125,8 +125,8 @@
       id: id ?? '',
       confirmedAtMs: timeOfAge(ageMs, sentMs),
     })),
-    peers: (peers ?? []).map(({ zone, ageMs, ...at }): Peer => ({
-      endpoint: decodeEndpoint(at),
+    peers: (peers ?? []).map(({ zone, ageMs, ...wireEndpoint }): Peer => ({
+      endpoint: decodeEndpoint(wireEndpoint),
       zone: zone ?? '',
       heardAtMs: timeOfAge(ageMs, sentMs),
     })),
--- a/src/cookie-edge/spreading/message-composer.ts
+++ b/src/cookie-edge/spreading/message-composer.ts
@@ -64,7 +64,8 @@
   }
 
   /**
-   * Composes the response to a pull request: the changes that the requester lacks, without topics that the log misses.
+   * Composes the response to a pull request: the changes that the requester lacks. Omits a topic if the log does not
+   * contain all of its changes.
    */
   pullResponse(request: PeerMessage): PeerMessage {
     const { knowledge, log } = this.options;
@@ -87,7 +88,10 @@
     return this.composeMessage('state', updates);
   }
 
-  /** Composes a push without changes. It carries the pending load reports; each daemon sends each of them once. */
+  /**
+   * Composes a push without changes. It carries the pending load reports and clears them, so that this daemon
+   * pushes each of them once.
+   */
   confirmationMessage(): PeerMessage {
     const { pendingLoadReports } = this;
     this.pendingLoadReports = [];
--- a/src/cookie-edge/spreading/network-transport.ts
+++ b/src/cookie-edge/spreading/network-transport.ts
@@ -35,7 +35,7 @@
     socket.on('message', (bytes, remote) => this.receive(bytes, { host: remote.address, port: remote.port }));
     socket.on('error', (error) => this.reportSocketError(error));
     server.on('request', (request, response) => {
-      const known = request.method === 'GET' ? parseStatePath(request.url ?? '') : undefined;
+      const known = request.method === 'GET' ? parseKnownRevisions(request.url ?? '') : undefined;
       response.writeHead(known ? 200 : 404, { 'content-type': CONTENT_TYPE, connection: 'close' });
       response.end(known && this.provideState(known));
     });
@@ -112,7 +112,7 @@
 }
 
 /** Parses the revisions that a requester knows; undefined for any other path. Missing revisions count as unknown. */
-function parseStatePath(path: string): KnownRevisions | undefined {
+function parseKnownRevisions(path: string): KnownRevisions | undefined {
   const [name, query] = path.split('?');
   if (name !== STATE_PATH) return undefined;
   const parameters = new URLSearchParams(query);
--- a/src/cookie-edge/spreading/owners.test.ts
+++ b/src/cookie-edge/spreading/owners.test.ts
@@ -8,13 +8,13 @@
 const OWNERS = 2;
 const KEYS = Array.from({ length: 200 }, (_unused, index) => `i-${(index * 7919).toString(16)}`);
 
-function addressOf(index: number): Endpoint {
+function endpointOf(index: number): Endpoint {
   return { host: `10.${index >> 14}.${(index >> 6) & 0xff}.${(index & 0x3f) + 1}`, port: 7_720 };
 }
 
 /** Returns the views of `size` daemons, each of which has recorded all others. */
-function viewsOf(size: number): PeerView[] {
-  const addresses = Array.from({ length: size }, (_unused, index) => addressOf(index));
+function createViews(size: number): PeerView[] {
+  const addresses = Array.from({ length: size }, (_unused, index) => endpointOf(index));
   return addresses.map((self, index) => {
     const random = seededRandom(index + 1);
     const view = new PeerView({ self, zone: 'z', random, events: SILENT_EVENT_LOG });
@@ -25,7 +25,7 @@
 
 for (const size of [1, 2, 7, 74, 300, 600]) {
   test(`${size} daemons: each key has ${Math.min(size, OWNERS)} owners, and keys are distributed evenly`, (t) => {
-    const views = viewsOf(size);
+    const views = createViews(size);
     const keysPerDaemon = views.map((view) => KEYS.filter((key) => view.isOwner(key, OWNERS)).length);
     const ownersPerKey = KEYS.map((key) => views.filter((view) => view.isOwner(key, OWNERS)).length);
     t.deepEqual(new Set(ownersPerKey), new Set([Math.min(size, OWNERS)]));
--- a/src/cookie-edge/spreading/peer-choice.test.ts
+++ b/src/cookie-edge/spreading/peer-choice.test.ts
@@ -4,7 +4,7 @@
 import { choosePushTargets, isAmongOwners, type PeerWithTurn } from './peer-choice.js';
 
 /** A peer in a zone with a turn; its port equals the turn. */
-function peer(zone: string, turn: number): PeerWithTurn {
+function peerWithTurn(zone: string, turn: number): PeerWithTurn {
   return { endpoint: { host: '10.0.0.1', port: turn }, zone, heardAtMs: 0, turn };
 }
 
@@ -16,22 +16,28 @@
   { title: 'nobody if there are no peers', peers: [], turns: [] },
   {
     title: 'peers of the zone with the lowest turns, then of other zones',
-    peers: [peer('b', 6), peer('a', 5), peer('a', 3), peer('b', 2), peer('a', 4)],
+    peers: [
+      peerWithTurn('b', 6),
+      peerWithTurn('a', 5),
+      peerWithTurn('a', 3),
+      peerWithTurn('b', 2),
+      peerWithTurn('a', 4),
+    ],
     turns: [3, 4, 2],
   },
   {
     title: 'peers of other zones if the zone has too few',
-    peers: [peer('b', 6), peer('a', 9), peer('b', 2), peer('c', 1)],
+    peers: [peerWithTurn('b', 6), peerWithTurn('a', 9), peerWithTurn('b', 2), peerWithTurn('c', 1)],
     turns: [9, 1, 2],
   },
   {
     title: 'only peers of other zones if the daemon is alone in its zone',
-    peers: [peer('b', 6), peer('b', 2), peer('c', 1), peer('c', 7)],
+    peers: [peerWithTurn('b', 6), peerWithTurn('b', 2), peerWithTurn('c', 1), peerWithTurn('c', 7)],
     turns: [1, 2, 6],
   },
   {
     title: 'no more peers of the zone than its share',
-    peers: [peer('a', 3), peer('a', 2), peer('a', 1)],
+    peers: [peerWithTurn('a', 3), peerWithTurn('a', 2), peerWithTurn('a', 1)],
     turns: [1, 2],
   },
 ];
--- a/src/cookie-edge/spreading/peer-choice.ts
+++ b/src/cookie-edge/spreading/peer-choice.ts
@@ -7,7 +7,7 @@
  *
  * Order of a push: first peers of the same zone, then peers of other zones, which also get the slots that the own zone
  * cannot fill. Within each group the peers that were chosen least recently go first. Equal turns do not occur, since
- * each turn has a random part. Without peers a push goes to nobody.
+ * each turn has a random part. Without peers nothing is sent.
  *
  * Ownership uses rendezvous hashing: daemons that know the same peers agree on it without messages. Daemons of equal
  * rank do not outrank each other, so that both own the key. A daemon that is not a candidate owns nothing.
@@ -21,8 +21,8 @@
 }
 
 /**
- * Returns up to `sameZoneCount` peers of `zone` and `otherZonesCount` of other zones, more of these if the zone has too
- * few.
+ * Returns up to `sameZoneCount` peers of `zone` and `otherZonesCount` of other zones. If the zone has too few, peers of
+ * other zones fill its slots.
  *
  * @param zone zone of this daemon
  */
@@ -35,8 +35,8 @@
   const sameZone: PeerType[] = [];
   const otherZones: PeerType[] = [];
   for (const peer of peers) (peer.zone === zone ? sameZone : otherZones).push(peer);
-  const chosen = lowestTurns(sameZone, sameZoneCount);
-  return [...chosen, ...lowestTurns(otherZones, otherZonesCount + sameZoneCount - chosen.length)];
+  const chosen = peersWithLowestTurns(sameZone, sameZoneCount);
+  return [...chosen, ...peersWithLowestTurns(otherZones, otherZonesCount + sameZoneCount - chosen.length)];
 }
 
 /**
@@ -62,6 +62,9 @@
   return true;
 }
 
-function lowestTurns<PeerType extends PeerWithTurn>(peers: readonly PeerType[], count: number): PeerType[] {
+function peersWithLowestTurns<PeerType extends PeerWithTurn>(
+  peers: readonly PeerType[],
+  count: number,
+): PeerType[] {
   return [...peers].sort((left, right) => left.turn - right.turn).slice(0, count);
 }
--- a/src/cookie-edge/spreading/peer-view.ts
+++ b/src/cookie-edge/spreading/peer-view.ts
@@ -1,7 +1,7 @@
 /**
  * The peers that this daemon knows (all of them in a small fleet, a random part in a large one) and the estimated fleet
- * size. Owns the turns of peers and the random draws; `peer-choice.ts` decides which peers receive a push and which
- * daemons own a key. `GossipNode` records the peers that messages come from or mention.
+ * size. Owns the turns of peers and draws random peers; `peer-choice.ts` decides which peers receive a push and which
+ * daemons own a key. `GossipNode` records each peer that a message comes from or mentions.
  */
 import { hashString } from '../../common/hash.js';
 import { pick, type RandomSource } from '../../common/random.js';
@@ -74,8 +74,8 @@
 
   /**
    * Returns whether this daemon is one of the `count` owners that rendezvous hashing assigns to `key`. Daemons that
-   * know the same peers agree: while a daemon knows all others, every daemon is a candidate; in a larger fleet only
-   * those in the sketch are, which all daemons share.
+   * know the same peers agree: while a daemon knows all others, every daemon is a candidate. In a larger fleet only the
+   * daemons in the sketch are candidates, since all daemons agree on the sketch.
    */
   isOwner(key: string, count: number): boolean {
     const candidates = this.size < MAX_PEERS ? this.peers.values() : this.sketch.otherSampleMembers;
@@ -94,7 +94,7 @@
     this.sketch.remove(endpoint);
   }
 
-  /** Removes peers that no message came from or mentioned for `PEER_TTL_MS`. */
+  /** Removes each peer that no message came from or mentioned for `PEER_TTL_MS`. */
   prune(nowMs: number): void {
     this.sketch.prune(nowMs);
     for (const [key, { heardAtMs }] of this.peers) {
--- a/src/cookie-edge/spreading/pull-rule.ts
+++ b/src/cookie-edge/spreading/pull-rule.ts
@@ -1,5 +1,5 @@
 /**
- * Rule: what a daemon pulls when it lags behind a peer, and how. Does no input or output; `CatchUp` applies the
+ * Rule: when a daemon that lags behind a peer pulls, and in which way. Does no input or output; `CatchUp` applies the
  * outcomes.
  *
  * Prevents transfers of the whole state whenever a push is lost, and expensive traffic between zones. A request closes
@@ -22,7 +22,7 @@
   RESPONSE_TIMEOUT_MS,
 } from './constants.js';
 
-/** Inputs of `decidePull`, when a message of a peer shows that this daemon lacks changes. */
+/** Inputs of `decidePull`, after a message of a peer showed that changes are missing at this daemon. */
 export interface Gap {
   /** This daemon knows nothing of a topic that the peer knows. */
   readonly isTopicUnknown: boolean;
--- a/src/cookie-edge/spreading/reader-role.ts
+++ b/src/cookie-edge/spreading/reader-role.ts
@@ -13,8 +13,8 @@
 const RANK_SPACE = 2 ** 32;
 
 /**
- * Random share of a delay, 0 to 1. It keeps daemons of nearly equal rank from repeatedly acting at the same time. It is
- * small, so that the rank dominates.
+ * Share of a delay that is random, 0 to 1; the rank determines the rest. It keeps daemons of nearly equal rank from
+ * repeatedly acting at the same time. It is small, so that the rank dominates.
  */
 const POSITION_RANDOM_SHARE = 0.1;
 
@@ -34,7 +34,7 @@
   readonly daemons: number;
 }
 
-/** A reader with its rank: the readers of the highest ranks keep reading. */
+/** A sighted reader with its rank. The readers of the highest ranks keep reading. */
 interface RankedSighting extends ReaderSighting {
   readonly rank: number;
 }
@@ -83,7 +83,7 @@
     this.sightings.set(id, { id, confirmedAtMs: newestMs, rank: known?.rank ?? rankOf(id) });
   }
 
-  /** Returns the other readers that confirmed something within `readerMissedMs`; removes the rest. */
+  /** Returns the other readers that received a confirmation within `readerMissedMs`; removes the rest. */
   otherReaders(nowMs: number): RankedSighting[] {
     for (const { id, confirmedAtMs } of this.sightings.values()) {
       if (nowMs - confirmedAtMs >= this.timings.readerMissedMs) this.sightings.delete(id);
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Returns up to `count` other readers to include in a message. The highest ranks come first, because a reader stops
-   * only when it knows of readers of higher rank. Readers without a recent confirmation come last.
+   * Returns up to `count` other readers to include in a message. The highest ranks come first, because a reader stands
+   * down only if it knows readers of higher rank. Readers without a recent confirmation come last.
    */
   readersToAdvertise(nowMs: number, count: number): ReaderSighting[] {
     const isFresh = ({ confirmedAtMs }: ReaderSighting): boolean =>
--- a/src/cookie-edge/spreading/reader-rule.ts
+++ b/src/cookie-edge/spreading/reader-rule.ts
@@ -33,15 +33,15 @@
   readonly isReading: boolean;
   /** Time since routes and back ends were last confirmed to be current. */
   readonly ageMs: number;
-  /** The same, but at most the time since the first decision of this daemon. */
+  /** `ageMs`, limited to the time since the first decision of this daemon. */
   readonly unconfirmedMs: number;
   /** Routes and back ends have both been received. */
   readonly isComplete: boolean;
   /** The source has answered for both topics, even with an empty list. */
   readonly hasBeenRead: boolean;
-  /** Number of other readers that confirmed something within `readerMissedMs`. */
+  /** Number of other readers that received a confirmation from the source within `readerMissedMs`. */
   readonly otherReaders: number;
-  /** Number of other readers of higher rank that confirmed something within `readerFreshMs`. */
+  /** Number of other readers of higher rank that received one within `readerFreshMs`. */
   readonly freshHigherRanked: number;
   /** This daemon has seen another reader since its start. */
   readonly hasSeenOtherReaders: boolean;
--- a/src/cookie-edge/spreading/recent-ejections.ts
+++ b/src/cookie-edge/spreading/recent-ejections.ts
@@ -1,6 +1,7 @@
 /**
- * Recent ejection reports, of this daemon and of others. Messages repeat them for as long as receivers act on them, for
- * daemons that missed the first push or have just started. Owns the newest report of each back end.
+ * Recent ejection reports, of this daemon and of others. Messages repeat them for as long as receivers act on them, so
+ * that daemons that missed the first push or have just started receive them as well. Owns the newest report of each
+ * back end.
  */
 import { EJECTIONS_PER_MESSAGE, EJECTION_GOSSIP_MS } from './constants.js';
 import { newestReports } from './gossip-rule.js';
--- a/src/cookie-edge/spreading/restored-history.test.ts
+++ b/src/cookie-edge/spreading/restored-history.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against route tables that go back, and daemons that miss the current state, when the source is restored from
- * an older snapshot: for any order of changes, restores, reads and gossip.
+ * Guards against two failures when the source is restored from an older snapshot: route tables that go back, and
+ * daemons that miss the current state. Covers any order of changes, restores, reads and gossip.
  */
 import test from 'ava';
 import fc from 'fast-check';
@@ -31,7 +31,9 @@
     .map((change): Step => ({ kind: 'backend', ...change })),
   fc.constantFrom<Step>({ kind: 'snapshot' }, { kind: 'restore' }),
   daemonIndex.map((daemon): Step => ({ kind: 'read', daemon })),
-  fc.record({ from: daemonIndex, to: daemonIndex }).map((ends): Step => ({ kind: 'gossip', ...ends })),
+  fc
+    .record({ from: daemonIndex, to: daemonIndex })
+    .map((daemonIndexes): Step => ({ kind: 'gossip', ...daemonIndexes })),
 );
 
 /** A source that its operator changes, and that is sometimes restored from a snapshot. */
@@ -69,6 +71,7 @@
   }
 }
 
+/** The routes and back ends that a daemon knows, and the log from which it sends changes. */
 class GossipingDaemon {
   readonly knowledge: RoutingKnowledge;
   private readonly log = new UpdateLog();
@@ -80,11 +83,12 @@
     );
   }
 
-  async read(source: RestoredSource): Promise<void> {
+  async readFrom(source: RestoredSource): Promise<void> {
     for (const topic of TOPICS) this.apply(topic, -1, await source.read(topic));
   }
 
-  gossipTo(other: GossipingDaemon): void {
+  /** Sends `other` the changes that it lacks, or the complete topic if the log does not reach back far enough. */
+  sendMissingTo(other: GossipingDaemon): void {
     for (const topic of TOPICS) {
       const { epoch, revision } = other.knowledge.confirmationOf(topic);
       const known = { epoch, revision, table: other.knowledge.tableRevision };
@@ -115,14 +119,14 @@
       const daemons = Array.from({ length: DAEMONS }, () => new GossipingDaemon(clock));
       for (const step of steps) {
         const versionsBefore = daemons.map(({ version }) => version);
-        if (step.kind === 'read') await daemons[step.daemon]!.read(source);
-        else if (step.kind === 'gossip') daemons[step.from]!.gossipTo(daemons[step.to]!);
+        if (step.kind === 'read') await daemons[step.daemon]!.readFrom(source);
+        else if (step.kind === 'gossip') daemons[step.from]!.sendMissingTo(daemons[step.to]!);
         else source.applyStep(step);
         daemons.forEach(({ version }, index) => t.true(version >= (versionsBefore[index] ?? 0)));
       }
       const [first, ...others] = daemons;
-      await first!.read(source);
-      for (const other of others) first!.gossipTo(other);
+      await first!.readFrom(source);
+      for (const other of others) first!.sendMissingTo(other);
       const expected = (await source.read('backends')).backends.map(({ id }) => id).sort();
       const [table] = (await source.read('routes')).routes;
       for (const daemon of daemons) {
--- a/src/cookie-edge/spreading/simulated-peer-network.ts
+++ b/src/cookie-edge/spreading/simulated-peer-network.ts
@@ -18,7 +18,8 @@
   /** Total size of the fetched states. */
   fetchedBytes = 0;
   fetchedBytesBetweenZones = 0;
-  private readonly nodes = new Map<string, { receive: DatagramReceiver; provideState: StateProvider }>();
+  /** Handlers of each open transport, by `host:port`. */
+  private readonly handlers = new Map<string, { receive: DatagramReceiver; provideState: StateProvider }>();
 
   constructor(
     private readonly clock: Clock,
@@ -31,43 +32,43 @@
       endpoint,
       send: (to, bytes) => this.deliver(self, endpoint, formatEndpoint(to), bytes),
       fetch: (from, known) => this.fetch(self, from, known),
-      serve: (receive, provideState) => this.nodes.set(self, { receive, provideState }),
+      serve: (receive, provideState) => this.handlers.set(self, { receive, provideState }),
       close: () => {
-        this.nodes.delete(self);
+        this.handlers.delete(self);
         return Promise.resolve();
       },
     };
   }
 
-  removeNode(endpoint: Endpoint): void {
-    this.nodes.delete(formatEndpoint(endpoint));
+  removeDaemon(endpoint: Endpoint): void {
+    this.handlers.delete(formatEndpoint(endpoint));
   }
 
-  private deliver(self: string, from: Endpoint, to: string, bytes: Uint8Array): void {
+  private deliver(senderKey: string, sender: Endpoint, receiverKey: string, bytes: Uint8Array): void {
     this.bytesSent += bytes.length;
-    if (!this.canReach(self, to) || this.random() < this.lossRate) return;
+    if (!this.canReach(senderKey, receiverKey) || this.random() < this.lossRate) return;
     this.clock.schedule(MEAN_DELAY_MS * (0.5 + this.random()), () => {
-      if (this.canReach(self, to)) this.nodes.get(to)?.receive(bytes, from);
+      if (this.canReach(senderKey, receiverKey)) this.handlers.get(receiverKey)?.receive(bytes, sender);
     });
   }
 
   private async fetch(
-    self: string,
-    from: Endpoint,
+    requesterKey: string,
+    peer: Endpoint,
     known: KnownRevisions,
   ): Promise<Result<Uint8Array, SpreadingError>> {
-    const to = formatEndpoint(from);
+    const peerKey = formatEndpoint(peer);
     await new Promise<void>((resolve) => void this.clock.schedule(2 * MEAN_DELAY_MS, resolve));
-    const node = this.canReach(self, to) ? this.nodes.get(to) : undefined;
-    if (!node) return Result.err(fetchError(from, new Error('simulated')));
-    const bytes = node.provideState(known);
+    const handler = this.canReach(requesterKey, peerKey) ? this.handlers.get(peerKey) : undefined;
+    if (!handler) return Result.err(fetchError(peer, new Error('simulated')));
+    const bytes = handler.provideState(known);
     this.fetchedBytes += bytes.length;
-    if (zoneOf(self) !== zoneOf(to)) this.fetchedBytesBetweenZones += bytes.length;
+    if (zoneOf(requesterKey) !== zoneOf(peerKey)) this.fetchedBytesBetweenZones += bytes.length;
     return Result.ok(bytes);
   }
 
-  private canReach(self: string, to: string): boolean {
-    return !this.isolatedDaemons.has(self) && !this.isolatedDaemons.has(to);
+  private canReach(oneKey: string, otherKey: string): boolean {
+    return !this.isolatedDaemons.has(oneKey) && !this.isolatedDaemons.has(otherKey);
   }
 }
 
--- a/src/cookie-edge/spreading/simulated-source.ts
+++ b/src/cookie-edge/spreading/simulated-source.ts
@@ -15,7 +15,7 @@
 } from '../routing/index.js';
 import { backendAt, tableAt, updateAt } from '../routing/routing-test-support.js';
 
-const RESPONSE_MS = 4;
+const RESPONSE_DELAY_MS = 4;
 const CALL_TIMEOUT_MS = 1_000;
 
 /** Fault in the responses to a daemon. `silent`: no response until the call times out. */
@@ -25,9 +25,9 @@
   readonly revision: number;
   readonly topic: RoutingTopic;
   readonly backend?: RoutedBackend;
-  readonly removed?: string;
-  readonly cordoned?: string;
-  readonly uncordoned?: string;
+  readonly removedBackendId?: string;
+  readonly cordonedZone?: string;
+  readonly uncordonedZone?: string;
 }
 
 /** State of the source at some time. */
@@ -56,7 +56,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Removes the routes, as before the operator has written any. Does not count as a change. */
+  /** Removes the routes, so that the source is as before the operator wrote any. Does not count as a change. */
   removeRoutes(): void {
     this.table = undefined;
   }
@@ -78,21 +78,21 @@
   removeBackend(id: string): number {
     this.revision += 1;
     this.backends.delete(id);
-    return this.recordChange({ revision: this.revision, topic: 'backends', removed: id });
+    return this.recordChange({ revision: this.revision, topic: 'backends', removedBackendId: id });
   }
 
   /** Cordons a zone. */
   cordon(zone: string): number {
     this.revision += 1;
     this.cordons.set(zone, this.revision);
-    return this.recordChange({ revision: this.revision, topic: 'cordons', cordoned: zone });
+    return this.recordChange({ revision: this.revision, topic: 'cordons', cordonedZone: zone });
   }
 
   /** Removes the cordon of a zone. */
   uncordon(zone: string): number {
     this.revision += 1;
     this.cordons.delete(zone);
-    return this.recordChange({ revision: this.revision, topic: 'cordons', uncordoned: zone });
+    return this.recordChange({ revision: this.revision, topic: 'cordons', uncordonedZone: zone });
   }
 
   /** Discards the change history; watches from an earlier revision fail with `history-gone`. */
@@ -145,7 +145,7 @@
     respond: () => Promise<RoutingUpdate | undefined>,
   ): Promise<Result<RoutingUpdate, RoutingSourceError>> {
     this.calls += 1;
-    await this.sleep(RESPONSE_MS, signal);
+    await this.sleep(RESPONSE_DELAY_MS, signal);
     const fault = this.faultOf(id);
     if (fault === 'refuse') return failure('routing.unavailable');
     if (fault === 'throttle') return failure('routing.throttled');
@@ -165,15 +165,16 @@
 
   private completeUpdateOf(topic: RoutingTopic): RoutingUpdate {
     const { epoch, revision } = this;
-    if (topic === 'routes') return updateAt(revision, { epoch, complete: true, routes: this.tables() });
+    if (topic === 'routes')
+      return updateAt(revision, { epoch, complete: true, routes: this.currentTables() });
     if (topic === 'cordons') {
-      const cordons = [...this.cordons].map(([zone, at]) => ({ zone, revision: at }));
+      const cordons = [...this.cordons].map(([zone, cordonRevision]) => ({ zone, revision: cordonRevision }));
       return updateAt(revision, { epoch, complete: true, cordons });
     }
     return updateAt(revision, { epoch, complete: true, backends: [...this.backends.values()] });
   }
 
-  private tables(): readonly RouteTable[] {
+  private currentTables(): readonly RouteTable[] {
     return this.table ? [{ ...this.table, epoch: this.epoch }] : [];
   }
 
@@ -192,12 +193,12 @@
     const changes = this.changes.filter((change) => change.topic === topic && change.revision > since);
     return updateAt(this.revision, {
       epoch: this.epoch,
-      routes: topic === 'routes' && changes.length > 0 ? this.tables() : [],
+      routes: topic === 'routes' && changes.length > 0 ? this.currentTables() : [],
       backends: changes.flatMap(({ backend }) => backend ?? []),
-      removals: changes.flatMap(({ removed, revision }) => (removed ? [{ id: removed, revision }] : [])),
-      cordons: changes.flatMap(({ cordoned, revision }) => (cordoned ? [{ zone: cordoned, revision }] : [])),
-      cordonRemovals: changes.flatMap(({ uncordoned, revision }) =>
-        uncordoned ? [{ zone: uncordoned, revision }] : [],
+      removals: changes.flatMap(({ removedBackendId: id, revision }) => (id ? [{ id, revision }] : [])),
+      cordons: changes.flatMap(({ cordonedZone: zone, revision }) => (zone ? [{ zone, revision }] : [])),
+      cordonRemovals: changes.flatMap(({ uncordonedZone: zone, revision }) =>
+        zone ? [{ zone, revision }] : [],
       ),
     });
   }
--- a/src/cookie-edge/spreading/source-outage.test.ts
+++ b/src/cookie-edge/spreading/source-outage.test.ts
@@ -1,4 +1,4 @@
-/** Daemons while the source does not respond to some or all of them, and after it recovers. */
+/** How fast daemons become current, and how often they call the source, during and after an outage of the source. */
 import test from 'ava';
 import { READS_PER_SECOND, FIRST_READS, TARGET_READERS } from './constants.js';
 import {
--- a/src/cookie-edge/spreading/source-restored.test.ts
+++ b/src/cookie-edge/spreading/source-restored.test.ts
@@ -1,13 +1,13 @@
 /**
- * Guards against daemons that ignore a source restored from an older snapshot. Its revisions go back and are assigned
- * again. While daemons ordered everything by revision alone, new changes had lower revisions than known ones, and
- * daemons ignored them until the source had passed the known revision:
+ * Guards against daemons that ignore the changes of a source that was restored from an older snapshot. The revisions of
+ * such a source go back and are assigned again. A daemon that orders everything by revision alone ignores new changes
+ * until their revisions exceed the known one. Before the fix, this happened:
  *
- * - After an outage of two seconds the two readers ignored the current route table 591 times as older than the one in
+ * - After an outage of two seconds the two readers ignored the current route table 591 times, as older than the one in
  *   force (SQ2008: version 27 with revision 19, while version 24 with revision 21 was in force).
  * - Each of them made about 100 calls a second: a watch from revision 21 was refused, and a read returned a lower
  *   revision.
- * - Only they noticed that a back end was draining. It still received requests 3.4 s later; the bound is 3.0 s.
+ * - Only they noted that a back end was leaving. It still received requests 3.4 s later; the bound is 3.0 s.
  */
 import test from 'ava';
 import { startSettledCluster, type SpreadingCluster } from './spreading-test-support.js';
--- a/src/cookie-edge/spreading/spreading-test-support.ts
+++ b/src/cookie-edge/spreading/spreading-test-support.ts
@@ -32,7 +32,7 @@
   readonly endpoint: Endpoint;
   /** Back ends that other daemons ejected, each once. */
   readonly ejectionsReceived: string[] = [];
-  /** Arrival times of the bad answers that others observed, by `backendId observer`. */
+  /** Arrival times of the bad answers that other daemons observed, by `backendId observer`. */
   readonly badAnswerArrivals = new Map<string, number>();
   /** Load of back ends as other daemons reported it. */
   readonly loads = new LoadView();
@@ -93,12 +93,12 @@
   kill(network: SimulatedPeerNetwork): void {
     this.abort.abort();
     this.readingAbort?.abort();
-    network.removeNode(this.endpoint);
+    network.removeDaemon(this.endpoint);
   }
 
   private createFollowers({ source, options }: SpreadingCluster): readonly SourceFollower[] {
     const { clock, knowledge, availability } = this;
-    const following = {
+    const followerOptions = {
       clock,
       source: source.asSeenBy(this.id),
       knowledge,
@@ -109,7 +109,7 @@
       usesLongWatches: options.usesLongWatches,
       onConfirmation: () => this.gossipNode.recordOwnConfirmation(),
     };
-    return knowledge.topics.map((topic) => new SourceFollower(topic, following));
+    return knowledge.topics.map((topic) => new SourceFollower(topic, followerOptions));
   }
 
   private setReading(isReading: boolean): void {
--- a/src/cookie-edge/spreading/spreading.test.ts
+++ b/src/cookie-edge/spreading/spreading.test.ts
@@ -13,11 +13,15 @@
   type SourceFault,
 } from './spreading-test-support.js';
 
-/** Maximum age in ms of the data of a daemon: a change must be in force within 3 s, and older data is read again. */
+/**
+ * Maximum age in ms of the data of a daemon. Before data is older, the daemon reads the source, so that a change is in
+ * force within 3 s.
+ */
 const AGE_BOUND_MS = TIMINGS.readAfterMs + TIMINGS.readSpreadMs + 300;
 
 /**
- * The pushes of a change miss very few daemons; these pull it after the next confirmation. Bounds in ms, and a share.
+ * Bounds in ms within which the share `MOST` of the daemons, and all of them, must have a change. The pushes miss very
+ * few daemons; these pull the change after the next confirmation.
  */
 const MOST_WITHIN_MS = 400;
 const ALL_WITHIN_MS = 1_800;
@@ -37,9 +41,9 @@
     const cluster = await startSettledCluster(size);
     for (let round = 0; round < 4; round += 1) {
       const version = cluster.source.changeRoutes();
-      const share = (): number =>
+      const shareWithNewVersion = (): number =>
         cluster.daemons.filter((daemon) => daemon.version === version).length / size;
-      const mostMs = await cluster.timeUntil(() => share() >= MOST, 5_000);
+      const mostMs = await cluster.timeUntil(() => shareWithNewVersion() >= MOST, 5_000);
       t.true(mostMs <= MOST_WITHIN_MS, `most after ${mostMs} ms`);
       const restMs = await timeUntilVersion(cluster, version);
       t.true(mostMs + restMs <= ALL_WITHIN_MS, `all after ${mostMs + restMs} ms`);
@@ -82,14 +86,14 @@
   ['the source refuses the readers', (cluster) => injectReaderFault(cluster, 'refuse')],
   ['the source throttles the readers', (cluster) => injectReaderFault(cluster, 'throttle')],
   ['the source falls silent for the readers', (cluster) => injectReaderFault(cluster, 'silent')],
-  ['the source falls silent for all but one', silentForAllButOne],
+  ['the source falls silent for all but one', silenceSourceForAllButOne],
   ['the source discards its history', (cluster) => cluster.source.discardHistory()],
   ['a third of the datagrams is lost', (cluster) => (cluster.network.lossRate = 1 / 3)],
   ['the readers are cut off from other daemons', isolateReaders],
   ['all daemons are cut off from each other', isolateAll],
 ];
 
-function silentForAllButOne(cluster: SpreadingCluster): void {
+function silenceSourceForAllButOne(cluster: SpreadingCluster): void {
   for (const { id } of cluster.daemons.slice(1)) cluster.source.faults.set(id, 'silent');
 }
 
@@ -133,7 +137,7 @@
   t.is(cluster.daemons.filter(({ knowledge }) => knowledge.backends.get('burst-0')).length, 20);
 });
 
-/** Returns the content of a table of 1,500 routes, one of which leads to `service`. */
+/** Returns the content of a table of 1,500 routes: route 7 leads to `service`, all others to `alpha`. */
 function manyRoutes(service: string): { readonly routes: readonly Route[] } {
   const target = (index: number): string => (index === 7 ? service : 'alpha');
   const routes = Array.from({ length: 1_500 }, (_, index): Route => {
@@ -192,10 +196,10 @@
       await cluster.clock.advanceAsync(10 + 10 * (index % 5), 5);
       for (const { id: daemon, knowledge } of cluster.daemons) {
         const knownRevision = knowledge.revisionOf('backends');
-        const lacking = changes.filter(
+        const missingBackends = changes.filter(
           ([backend, revision]) => revision <= knownRevision && !knowledge.backends.get(backend),
         );
-        t.deepEqual(lacking, [], `${daemon} at ${knownRevision}`);
+        t.deepEqual(missingBackends, [], `${daemon} at ${knownRevision}`);
       }
     }
   });
@@ -314,15 +318,15 @@
   const { gossipNode } = cluster.daemons[0]!;
   const sentBefore = gossipNode.statistics.messagesSent;
   await cluster.clock.advanceAsync(2_000, 5);
-  const calmMessages = gossipNode.statistics.messagesSent - sentBefore;
+  const calmMessageCount = gossipNode.statistics.messagesSent - sentBefore;
   for (let index = 0; index < 100; index += 1) {
     gossipNode.gossipEjection({ backendId: `b-${index}`, atMs: cluster.clock.now() });
     await cluster.clock.advanceAsync(20, 5);
   }
-  const busyMessages = gossipNode.statistics.messagesSent - sentBefore - calmMessages;
+  const busyMessageCount = gossipNode.statistics.messagesSent - sentBefore - calmMessageCount;
   t.true(
-    busyMessages - calmMessages <= 11 * (FANOUT_SAME_ZONE + FANOUT_OTHER_ZONES),
-    `${calmMessages} calm, ${busyMessages} busy`,
+    busyMessageCount - calmMessageCount <= 11 * (FANOUT_SAME_ZONE + FANOUT_OTHER_ZONES),
+    `${calmMessageCount} calm, ${busyMessageCount} busy`,
   );
 });
 
@@ -342,14 +346,14 @@
           `${daemon.id} went back to ${daemon.version}`,
         );
         highestVersions.set(daemon, daemon.version);
-        const reachable = !cluster.source.faults.has(daemon.id) && !cluster.source.faults.has('*');
-        if (!reachable) reachableSinceMs.set(daemon, Number.POSITIVE_INFINITY);
+        const canReachSource = !cluster.source.faults.has(daemon.id) && !cluster.source.faults.has('*');
+        if (!canReachSource) reachableSinceMs.set(daemon, Number.POSITIVE_INFINITY);
         else if (!Number.isFinite(reachableSinceMs.get(daemon) ?? Infinity)) {
           reachableSinceMs.set(daemon, cluster.clock.now());
         }
-        const sinceMs = cluster.clock.now() - (reachableSinceMs.get(daemon) ?? cluster.clock.now());
+        const reachableForMs = cluster.clock.now() - (reachableSinceMs.get(daemon) ?? cluster.clock.now());
         const ageMs = daemon.knowledge.maxTopicAge();
-        if (sinceMs >= 4_000)
+        if (reachableForMs >= 4_000)
           t.true(ageMs <= AGE_BOUND_MS, `${daemon.id} is ${ageMs} ms old at step ${step}`);
       }
     }
@@ -427,16 +431,16 @@
   const cluster = await startSettledCluster(20);
   const incarnationOf = (index: number): number | undefined =>
     cluster.daemons[index]?.knowledge.backends.get('a')?.record.incarnation;
-  const isEverywhere = (incarnation: number) => (): boolean =>
+  const isKnownEverywhere = (incarnation: number) => (): boolean =>
     cluster.daemons.every((_daemon, index) => incarnationOf(index) === incarnation);
   cluster.source.changeBackend('a', { incarnation: 1_000 });
-  t.true((await cluster.timeUntil(isEverywhere(1_000), 3_000)) <= 3_000);
-  const before = cluster.daemons.map(({ knowledge }) => knowledge.backends.get('a'));
+  t.true((await cluster.timeUntil(isKnownEverywhere(1_000), 3_000)) <= 3_000);
+  const recordsBefore = cluster.daemons.map(({ knowledge }) => knowledge.backends.get('a'));
   cluster.source.faults.set('*', 'silent');
   await cluster.clock.advanceAsync(2_000, 10);
   cluster.source.changeBackend('a', { incarnation: 2_000 });
   cluster.source.changeBackend('a', { incarnation: 1_500 });
   cluster.source.faults.clear();
-  t.true((await cluster.timeUntil(isEverywhere(1_500), 3_000)) <= 3_000);
-  cluster.daemons.forEach(({ knowledge }, index) => t.not(knowledge.backends.get('a'), before[index]));
+  t.true((await cluster.timeUntil(isKnownEverywhere(1_500), 3_000)) <= 3_000);
+  cluster.daemons.forEach(({ knowledge }, index) => t.not(knowledge.backends.get('a'), recordsBefore[index]));
 });
--- a/src/cookie-edge/spreading/table-consistency.test.ts
+++ b/src/cookie-edge/spreading/table-consistency.test.ts
@@ -1,6 +1,6 @@
 /**
  * Guards against a route table whose content differs from the table of the same revision in the source, for any order
- * and joining of changes.
+ * of changes and any way of merging them.
  */
 import test from 'ava';
 import fc from 'fast-check';
@@ -14,8 +14,8 @@
 const SEED = 20_261_202;
 
 /**
- * One step of a history: the source changes, a daemon reads it, or a daemon sends another one the changes that a third
- * one lacks, as an unrequested push does.
+ * One step of a test run: the source changes, a daemon reads the source, or a daemon sends another daemon the changes
+ * that a third one lacks. The last is what an unrequested push does.
  */
 type Step =
   | { readonly kind: 'change'; readonly routes: readonly Route[] }
@@ -35,7 +35,7 @@
   daemonIndex.map((daemon): Step => ({ kind: 'read', daemon })),
   fc
     .record({ from: daemonIndex, to: daemonIndex, lacking: daemonIndex })
-    .map((ends): Step => ({ kind: 'gossip', ...ends })),
+    .map((daemonIndexes): Step => ({ kind: 'gossip', ...daemonIndexes })),
 );
 
 /** The routes that a daemon knows, and the log from which it sends changes. */
@@ -59,14 +59,15 @@
   }
 
   /**
-   * Sends `other` the changes that `lacking` lacks, or the complete table if the log does not reach back far enough.
+   * Sends `receiver` the changes that the daemon in the second parameter lacks, or the complete table if the log does
+   * not reach back far enough.
    */
-  gossipTo(other: GossipingDaemon, { knowledge }: GossipingDaemon): void {
+  gossipTo(receiver: GossipingDaemon, { knowledge }: GossipingDaemon): void {
     const known = { revision: knowledge.revisionOf('routes'), table: knowledge.tableRevision };
     const update = this.log.changesSince('routes', known) ?? completeUpdate(this.knowledge, 'routes');
     if (!update) return;
     const origin = { since: update.since, confirmedAtMs: 0, mayHaveLapsed: false };
-    other.knowledge.apply('routes', update.update, origin);
+    receiver.knowledge.apply('routes', update.update, origin);
   }
 }
 
--- a/src/cookie-edge/spreading/types.ts
+++ b/src/cookie-edge/spreading/types.ts
@@ -9,18 +9,18 @@
 import type { RoutingTopic, RoutingUpdate, TopicConfirmation } from '../routing/index.js';
 import type { SpreadingError } from './errors.js';
 
-/** Another daemon, and when it last gave a sign of life. */
+/** Another daemon, and when a message last came from it or mentioned it. */
 export interface Peer {
   readonly endpoint: Endpoint;
   readonly zone: string;
-  /** Monotonic ms of the last message from or about it. */
+  /** Monotonic ms of the last message that came from it or mentioned it. */
   heardAtMs: number;
 }
 
-/** A reader of the source, and when it last confirmed something. */
+/** A reader of the source, and when the source last confirmed its data. */
 export interface ReaderSighting {
   readonly id: string;
-  /** Monotonic ms of its last freshness confirmation. */
+  /** Monotonic ms of the last confirmation that it received from the source. */
   readonly confirmedAtMs: number;
 }
 
@@ -31,7 +31,7 @@
   readonly update: RoutingUpdate;
 }
 
-/** Ejection of a back end by a daemon; called a suspicion on the wire. */
+/** Reports that a daemon ejected a back end. The wire format calls it a suspicion. */
 export interface EjectionReport {
   readonly backendId: string;
   /** Monotonic ms at which the daemon ejected it. */
@@ -58,11 +58,13 @@
   readonly departedCount: number;
   /** Revision of the route table in force at the sender; -1 for none. */
   readonly tableRevision: number;
-  /** Live back ends may be missing from the list of the sender. False if the sender does not support this field. */
+  /**
+   * True if live back ends may be missing from the list of the sender. False if the sender does not support this field.
+   */
   readonly unsettled: boolean;
 }
 
-/** The known revisions of one topic; -1 if nothing is known. */
+/** What a daemon knows of one topic; revisions are -1 if it knows nothing. */
 export interface KnownTopic {
   /** Epoch of the source's history to which the revisions belong; absent: 0. */
   readonly epoch?: number;
--- a/src/cookie-edge/spreading/update-log.test.ts
+++ b/src/cookie-edge/spreading/update-log.test.ts
@@ -8,6 +8,7 @@
   return { revision, table: NOTHING_KNOWN };
 }
 
+/** Returns a log with one change per revision. Each changes a back end of its own and the back end `often`. */
 function logWithRevisions(...revisions: readonly number[]): UpdateLog {
   const log = new UpdateLog();
   let since = 0;
@@ -19,14 +20,15 @@
   return log;
 }
 
-function backendRevisions(log: UpdateLog, revision: number): string[] | undefined {
+/** Returns the records, as `id@revision`, that the log returns to a requester at `revision`. */
+function recordsAfter(log: UpdateLog, revision: number): string[] | undefined {
   return log
     .changesSince('backends', knownAt(revision))
-    ?.update.backends.map(({ id, revision: at }) => `${id}@${at}`);
+    ?.update.backends.map(({ id, revision: recordRevision }) => `${id}@${recordRevision}`);
 }
 
 test('a lagging daemon gets only the latest record of each back end', (t) => {
-  t.deepEqual(backendRevisions(logWithRevisions(5, 7, 9), 5), ['b-7@7', 'often@9', 'b-9@9']);
+  t.deepEqual(recordsAfter(logWithRevisions(5, 7, 9), 5), ['b-7@7', 'often@9', 'b-9@9']);
 });
 
 test('a daemon that knows a part of a long change gets only the rest', (t) => {
@@ -34,7 +36,7 @@
   const backends = [3, 5, 7, 9].map((revision) => backendAt(`b-${revision}`, revision));
   const removals = [{ id: 'gone', revision: 2 }];
   log.record({ topic: 'backends', since: 1, update: updateAt(9, { backends, removals }) });
-  t.deepEqual(backendRevisions(log, 6), ['b-7@7', 'b-9@9']);
+  t.deepEqual(recordsAfter(log, 6), ['b-7@7', 'b-9@9']);
   t.deepEqual(
     log.changesSince('backends', knownAt(6))?.update.removals,
     removals,
--- a/src/cookie-edge/spreading/update-log.ts
+++ b/src/cookie-edge/spreading/update-log.ts
@@ -1,11 +1,12 @@
 /**
- * Rule: which changes a lagging daemon receives. Does no input or output; `MessageComposer` sends the result.
+ * Rule: which changes a lagging daemon receives. Does no input or output; `MessageComposer` puts the result into
+ * messages.
  *
  * Prevents transfers of the whole state for a small gap. Keeps the last `MAX_LOGGED_UPDATES` changes of each topic; a
  * complete update clears the log of its topic.
  *
- * Back ends and cordons are records with revisions: any logged change that starts at or before the revision of the
- * requester may begin the response, and records that the requester has are left out. Routes are differences between
+ * Back ends and cordons are records with revisions: the response may start with any logged change that starts at or
+ * before the revision of the requester, and omits records that the requester has. Routes are differences between
  * tables: the chain of changes must start from exactly the table of the requester and have no gap.
  *
  * If the log does not reach back far enough, the response omits the topic. The requester then fetches the state, which
@@ -76,15 +77,15 @@
     routes: updates.flatMap(({ routes }) => routes).slice(-1),
     routeChange: updates
       .flatMap(({ routeChange }) => routeChange ?? [])
-      .reduce<RouteTableChange | undefined>(joinOptionalChange, undefined),
-    backends: latestRecordOfEach(updates.flatMap(({ backends }) => backends)),
+      .reduce<RouteTableChange | undefined>(mergeOptionalChange, undefined),
+    backends: latestRecordPerBackend(updates.flatMap(({ backends }) => backends)),
     removals: updates.flatMap(({ removals }) => removals),
     cordons: updates.flatMap(({ cordons = [] }) => cordons),
     cordonRemovals: updates.flatMap(({ cordonRemovals = [] }) => cordonRemovals),
   };
 }
 
-function latestRecordOfEach(records: readonly RoutedBackend[]): RoutedBackend[] {
+function latestRecordPerBackend(records: readonly RoutedBackend[]): RoutedBackend[] {
   const byId = new Map<string, RoutedBackend>();
   for (const record of records) {
     if (record.revision >= (byId.get(record.id)?.revision ?? 0)) byId.set(record.id, record);
@@ -113,7 +114,10 @@
   return isUnbroken ? firstIndex : -1;
 }
 
-function joinOptionalChange(first: RouteTableChange | undefined, second: RouteTableChange): RouteTableChange {
+function mergeOptionalChange(
+  first: RouteTableChange | undefined,
+  second: RouteTableChange,
+): RouteTableChange {
   return first ? mergeTableChanges(first, second) : second;
 }
 
--- a/src/cookie-edge/spreading/wire-values.ts
+++ b/src/cookie-edge/spreading/wire-values.ts
@@ -16,7 +16,7 @@
 
 /**
  * Largest age in ms, 2^32 - 1, the maximum of the field. Greater ages are encoded as this value. A confirmation of this
- * age means that there is none.
+ * age counts as missing.
  */
 export const MAX_AGE_MS = 0xffff_ffff;
 
@@ -35,7 +35,7 @@
   return epoch === 0 ? undefined : epoch;
 }
 
-/** Decodes an epoch; the field is absent if the wire has none. */
+/** Decodes an epoch; the result has no `epoch` field if the message has none. */
 export function decodeEpoch(epoch: number | null | undefined): { readonly epoch?: number } {
   return epoch ? { epoch } : {};
 }
