--- a/src/cookie-edge/spreading/owners.test.ts
+++ b/src/cookie-edge/spreading/owners.test.ts
@@ -14,11 +14,11 @@
 
 /** Returns the views of `size` daemons, each of which has recorded all others. */
 function createViews(size: number): PeerView[] {
-  const addresses = Array.from({ length: size }, (_unused, index) => endpointOf(index));
-  return addresses.map((self, index) => {
+  const endpoints = Array.from({ length: size }, (_unused, index) => endpointOf(index));
+  return endpoints.map((self, index) => {
     const random = seededRandom(index + 1);
     const view = new PeerView({ self, zone: 'z', random, events: SILENT_EVENT_LOG });
-    for (const peer of addresses) view.record(peer, 'z', 0);
+    for (const peer of endpoints) view.record(peer, 'z', 0);
     return view;
   });
 }
--- a/src/cookie-edge/spreading/peer-choice.test.ts
+++ b/src/cookie-edge/spreading/peer-choice.test.ts
@@ -36,7 +36,7 @@
     turns: [1, 2, 6],
   },
   {
-    title: 'no more peers of the zone than its share',
+    title: 'at most two peers of the zone, even if there are no peers of other zones',
     peers: [peerWithTurn('a', 3), peerWithTurn('a', 2), peerWithTurn('a', 1)],
     turns: [1, 2],
   },
--- a/src/cookie-edge/spreading/reader-role.ts
+++ b/src/cookie-edge/spreading/reader-role.ts
@@ -1,6 +1,7 @@
 /**
  * Role of this daemon towards the source: reader or not. Applies the rule in `reader-rule.ts`. Owns the sightings of
- * other readers, the own rank and the random positions. `GossipNode` calls it at each tick and starts or stops reading.
+ * other readers, the rank of this daemon and its random positions. `GossipNode` calls it at each tick and starts or
+ * stops reading.
  */
 import { hashString } from '../../common/hash.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
--- a/src/cookie-edge/spreading/restored-history.test.ts
+++ b/src/cookie-edge/spreading/restored-history.test.ts
@@ -105,7 +105,7 @@
     return this.knowledge.routes()?.table.version ?? 0;
   }
 
-  get presentIds(): string[] {
+  get presentBackendIds(): string[] {
     const all = [...this.knowledge.backends.all()];
     return all.filter(({ departed, restored }) => !departed || restored).map(({ id }) => id);
   }
@@ -130,7 +130,7 @@
       const expected = (await source.read('backends')).backends.map(({ id }) => id).sort();
       const [table] = (await source.read('routes')).routes;
       for (const daemon of daemons) {
-        t.deepEqual(daemon.presentIds.sort(), expected);
+        t.deepEqual(daemon.presentBackendIds.sort(), expected);
         t.is(daemon.version, table?.version ?? 0);
         t.is(daemon.knowledge.epochOf('backends'), source.source.epoch);
       }
--- a/src/cookie-edge/spreading/settled-peers.test.ts
+++ b/src/cookie-edge/spreading/settled-peers.test.ts
@@ -12,7 +12,7 @@
   t.true(tookMs < 500, `${tookMs} ms`);
 });
 
-test('daemons that all start together do not settle each other too early', async (t) => {
+test('daemons that all start together do not cause each other to settle too early', async (t) => {
   const cluster = new SpreadingCluster(SIZE);
   const isAnySettled = (): boolean =>
     cluster.daemons.some(({ settlement }) => settlement.state === 'settled');
@@ -20,7 +20,7 @@
   t.true(tookMs >= 2_500, `${tookMs} ms`);
 });
 
-test('a single settled daemon settles starting daemons; a daemon without peers settles after some time', async (t) => {
+test('one settled peer is enough for starting daemons to settle; without peers a daemon settles after a while', async (t) => {
   const cluster = await startSettledCluster(SIZE);
   for (const daemon of cluster.daemons.slice(1)) cluster.killDaemon(daemon);
   const newDaemons = Array.from({ length: SIZE }, () => cluster.startDaemon());
--- a/src/cookie-edge/spreading/simulated-source.ts
+++ b/src/cookie-edge/spreading/simulated-source.ts
@@ -39,7 +39,10 @@
   readonly changes: readonly LoggedChange[];
 }
 
-/** Simulated source with a single revision counter for all topics. */
+/**
+ * Simulated source with a single revision counter for all topics. The methods that change a topic return the revision
+ * of the change.
+ */
 export class SimulatedSource {
   revision = 2;
   /** Number of restores so far. */
--- a/src/cookie-edge/spreading/update-log.test.ts
+++ b/src/cookie-edge/spreading/update-log.test.ts
@@ -53,7 +53,7 @@
   t.is(log.changesSince('backends', knownAt(1))?.since, 1);
 });
 
-test('table changes are not joined across a change that was not logged', (t) => {
+test('table changes are not merged across a change that was not logged', (t) => {
   const log = new UpdateLog();
   const change = (fromRevision: number, revision: number) =>
     updateAt(revision, {
--- a/src/cookie-edge/spreading/update-sender.ts
+++ b/src/cookie-edge/spreading/update-sender.ts
@@ -1,6 +1,6 @@
 /**
- * Pushes gossip to some peers after the delays that `gossip-rule.ts` defines. Owns the timers of the pushes and the
- * revisions up to which changes were sent; relies on `MessageComposer` for the content.
+ * Pushes gossip to some peers, after the delays that `gossip-rule.ts` defines. Owns the timers of the pushes and the
+ * revisions up to which it has sent changes; relies on `MessageComposer` for the content.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
@@ -108,7 +108,10 @@
     );
   }
 
-  /** Pushes unsent changes. Two later pushes of confirmations reach the missed peers, which then pull the changes. */
+  /**
+   * Pushes unsent changes. Two later pushes of confirmations reach the peers that this push missed; these then pull the
+   * changes.
+   */
   private pushChanges(): void {
     const { clock, knowledge, log, composer, isOn } = this.options;
     this.changeTimer?.cancel();
