--- a/src/cookie-edge/spreading/source-restored.test.ts
+++ b/src/cookie-edge/spreading/source-restored.test.ts
@@ -1,7 +1,7 @@
 /**
  * Guards against daemons that ignore the changes of a source that was restored from an older snapshot. The revisions of
  * such a source go back and are assigned again. A daemon that orders everything by revision alone ignores new changes
- * until their revisions exceed the known one. Before the fix, this happened:
+ * until their revisions exceed the known one. The observed failure:
  *
  * - After an outage of two seconds the two readers ignored the current route table 591 times, as older than the one in
  *   force (SQ2008: version 27 with revision 19, while version 24 with revision 21 was in force).
