--- a/src/cookie-edge/spreading/reader-role.ts
+++ b/src/cookie-edge/spreading/reader-role.ts
@@ -1,6 +1,7 @@
 /**
  * Role of this daemon towards the source: reader or not. Applies the rule in `reader-rule.ts`. Owns the sightings of
- * other readers, the own rank and the random positions. `GossipNode` calls it at each tick and starts or stops reading.
+ * other readers, the rank of this daemon and its random positions. `GossipNode` calls it at each tick and starts or
+ * stops reading.
  */
 import { hashString } from '../../common/hash.js';
 import type { MechanismCheck } from '../../common/mechanisms.js';
@@ -13,8 +14,8 @@
 const RANK_SPACE = 2 ** 32;
 
 /**
- * Random share of a delay, 0 to 1. It keeps daemons of nearly equal rank from repeatedly acting at the same time. It is
- * small, so that the rank dominates.
+ * Share of a delay that is random, 0 to 1; the rank determines the rest. It keeps daemons of nearly equal rank from
+ * repeatedly acting at the same time. It is small, so that the rank dominates.
  */
 const POSITION_RANDOM_SHARE = 0.1;
 
@@ -34,7 +35,7 @@
   readonly daemons: number;
 }
 
-/** A reader with its rank: the readers of the highest ranks keep reading. */
+/** A sighted reader with its rank. The readers of the highest ranks keep reading. */
 interface RankedSighting extends ReaderSighting {
   readonly rank: number;
 }
@@ -83,7 +84,7 @@
     this.sightings.set(id, { id, confirmedAtMs: newestMs, rank: known?.rank ?? rankOf(id) });
   }
 
-  /** Returns the other readers that confirmed something within `readerMissedMs`; removes the rest. */
+  /** Returns the other readers that received a confirmation within `readerMissedMs`; removes the rest. */
   otherReaders(nowMs: number): RankedSighting[] {
     for (const { id, confirmedAtMs } of this.sightings.values()) {
       if (nowMs - confirmedAtMs >= this.timings.readerMissedMs) this.sightings.delete(id);
@@ -92,8 +93,8 @@
   }
 
   /**
-   * Returns up to `count` other readers to include in a message. The highest ranks come first, because a reader stops
-   * only when it knows of readers of higher rank. Readers without a recent confirmation come last.
+   * Returns up to `count` other readers to include in a message. The highest ranks come first, because a reader stands
+   * down only if it knows readers of higher rank. Readers without a recent confirmation come last.
    */
   readersToAdvertise(nowMs: number, count: number): ReaderSighting[] {
     const isFresh = ({ confirmedAtMs }: ReaderSighting): boolean =>
