--- a/src/cookie-edge/backend-health/address-reuse-rule.test.ts
+++ b/src/cookie-edge/backend-health/address-reuse-rule.test.ts
@@ -9,7 +9,7 @@
 const EARLY_REVISION = 10;
 const LATE_REVISION = 20;
 
-function recorded(id: string, createdRevision: number): KnownBackend {
+function recordedBackend(id: string, createdRevision: number): KnownBackend {
   return {
     id,
     record: backendAt(id, createdRevision),
@@ -21,8 +21,8 @@
   };
 }
 
-function departed(id: string, createdRevision: number, lapsed = false): KnownBackend {
-  return { ...recorded(id, createdRevision), departed: true, departedAtMs: DEPARTED_AT_MS, lapsed };
+function departedBackend(id: string, createdRevision: number, lapsed = false): KnownBackend {
+  return { ...recordedBackend(id, createdRevision), departed: true, departedAtMs: DEPARTED_AT_MS, lapsed };
 }
 
 interface Case {
@@ -37,83 +37,83 @@
 const CASES: readonly Case[] = [
   {
     title: 'no other back end at the address',
-    backend: recorded('a', EARLY_REVISION),
+    backend: recordedBackend('a', EARLY_REVISION),
     otherBackends: [],
     status: 'undisputed',
   },
   {
     title: 'recorded, with one created earlier that is recorded as well',
-    backend: recorded('a', LATE_REVISION),
-    otherBackends: [recorded('b', EARLY_REVISION)],
+    backend: recordedBackend('a', LATE_REVISION),
+    otherBackends: [recordedBackend('b', EARLY_REVISION)],
     status: 'undisputed',
   },
   {
     title: 'recorded, with one created later, whose record may have been written late',
-    backend: recorded('a', EARLY_REVISION),
-    otherBackends: [recorded('b', LATE_REVISION)],
+    backend: recordedBackend('a', EARLY_REVISION),
+    otherBackends: [recordedBackend('b', LATE_REVISION)],
     status: 'disputed',
   },
   {
     title: 'recorded, with a departed one that was created later',
-    backend: recorded('a', EARLY_REVISION),
-    otherBackends: [departed('b', LATE_REVISION)],
+    backend: recordedBackend('a', EARLY_REVISION),
+    otherBackends: [departedBackend('b', LATE_REVISION)],
     status: 'undisputed',
   },
   {
     title: 'departed, with a recorded one that was created later',
-    backend: departed('a', EARLY_REVISION),
-    otherBackends: [recorded('b', LATE_REVISION)],
+    backend: departedBackend('a', EARLY_REVISION),
+    otherBackends: [recordedBackend('b', LATE_REVISION)],
     status: 'superseded',
   },
   {
     title: 'departed, with a departed one that was created later',
-    backend: departed('a', EARLY_REVISION),
-    otherBackends: [departed('b', LATE_REVISION)],
+    backend: departedBackend('a', EARLY_REVISION),
+    otherBackends: [departedBackend('b', LATE_REVISION)],
     status: 'superseded',
   },
   {
     title: 'departed, with a recorded one that was created earlier',
-    backend: departed('a', LATE_REVISION),
-    otherBackends: [recorded('b', EARLY_REVISION)],
+    backend: departedBackend('a', LATE_REVISION),
+    otherBackends: [recordedBackend('b', EARLY_REVISION)],
     status: 'disputed',
   },
   {
     title: 'lapsed, with a recorded one that was created later',
-    backend: departed('a', EARLY_REVISION, true),
-    otherBackends: [recorded('b', LATE_REVISION)],
+    backend: departedBackend('a', EARLY_REVISION, true),
+    otherBackends: [recordedBackend('b', LATE_REVISION)],
     status: 'disputed',
   },
   {
     title: 'departed, with a sign of life since',
-    backend: departed('a', EARLY_REVISION),
-    otherBackends: [recorded('b', LATE_REVISION)],
+    backend: departedBackend('a', EARLY_REVISION),
+    otherBackends: [recordedBackend('b', LATE_REVISION)],
     lastSignOfLifeMs: DEPARTED_AT_MS + 1,
     status: 'disputed',
   },
   {
     title: 'departed, with the last sign of life at its departure',
-    backend: departed('a', EARLY_REVISION),
-    otherBackends: [recorded('b', LATE_REVISION)],
+    backend: departedBackend('a', EARLY_REVISION),
+    otherBackends: [recordedBackend('b', LATE_REVISION)],
     lastSignOfLifeMs: DEPARTED_AT_MS,
     status: 'superseded',
   },
   {
     title: 'departed, with one created later, before this daemon received the first creations from peers',
-    backend: departed('a', EARLY_REVISION),
-    otherBackends: [recorded('b', LATE_REVISION)],
+    backend: departedBackend('a', EARLY_REVISION),
+    otherBackends: [recordedBackend('b', LATE_REVISION)],
     hasCreationHistory: false,
     status: 'disputed',
   },
   {
     title: 'departed, with one created in the same revision; both may be of an earlier epoch',
-    backend: departed('a', EARLY_REVISION),
-    otherBackends: [departed('b', EARLY_REVISION)],
+    backend: departedBackend('a', EARLY_REVISION),
+    otherBackends: [departedBackend('b', EARLY_REVISION)],
     status: 'undisputed',
   },
   {
     title: 'departed, with one created earlier and one created later',
-    backend: departed('a', EARLY_REVISION),
-    otherBackends: [recorded('b', EARLY_REVISION - 1), departed('c', LATE_REVISION)],
+    backend: departedBackend('a', EARLY_REVISION),
+    otherBackends: [recordedBackend('b', EARLY_REVISION - 1), departedBackend('c', LATE_REVISION)],
     status: 'superseded',
   },
 ];
--- a/src/cookie-edge/backend-health/address-reuse.test.ts
+++ b/src/cookie-edge/backend-health/address-reuse.test.ts
@@ -69,7 +69,7 @@
   t.is(harness.resets.length, 0);
 });
 
-test('flows of a crashed back end are reset once a peer has sent that it was created before its successor', (t) => {
+test('flows of a crashed back end are reset once a peer reports that it was created before its successor', (t) => {
   const crashed = backendAt('x', 20, ADDRESS);
   const successor = backendAt('y', 15, { ...ADDRESS, service: 'beta' });
   const harness = startWithList([crashed, successor]);
@@ -97,9 +97,9 @@
   t.is(harness.open(42_000)?.backend, undefined, 'no new flow');
 });
 
-test('no flow is reset because of a later record before peers have sent when both back ends were first created', (t) => {
-  const surroundings = { hasReceivedDeparted: () => false };
-  const harness = new ForwarderHarness(undefined, 1, [], surroundings);
+test('a later record at the address resets no flow before peers have sent when both back ends were first created', (t) => {
+  const options = { hasReceivedDeparted: () => false };
+  const harness = new ForwarderHarness(undefined, 1, [], options);
   harness.applyRecords([backendAt('x', 5, ADDRESS)], { services: SERVICES }, LISTED_REVISION);
   const successor = backendAt('y', LISTED_REVISION + 1, { ...ADDRESS, service: 'beta' });
   applyUpdate(harness, LISTED_REVISION, updateAt(LISTED_REVISION + 1, { backends: [successor] }));
--- a/src/cookie-edge/backend-health/constants.ts
+++ b/src/cookie-edge/backend-health/constants.ts
@@ -38,7 +38,7 @@
 export const CLOSED_FLOW_DECAY_MS = 2_000;
 
 /**
- * Timeout of a probe. Longer than packets wait on a link that is not overloaded (500 ms by the platform's measure), so
+ * Timeout of a probe. Longer than packets wait on a link that the platform does not count as overloaded (500 ms), so
  * that a busy link does not look like a dead back end. A probe that loses a packet also takes the whole timeout.
  */
 export const PROBE_TIMEOUT_MS = 600;
@@ -80,8 +80,8 @@
 export const ZONE_DEATH_WINDOW_MS = 2_000;
 
 /**
- * Uptime after which a daemon has received from its peers whether they know more back ends than the source lists, and
- * therefore when each back end was first created.
+ * Uptime after which a daemon has received from its peers whether they remember more about back ends than the source
+ * lists. Before that it cannot know when each back end was first created.
  */
 export const CREATION_HISTORY_UPTIME_MS = 5_000;
 
--- a/src/cookie-edge/backend-health/dead-backends-test-support.ts
+++ b/src/cookie-edge/backend-health/dead-backends-test-support.ts
@@ -15,11 +15,12 @@
 export type UnreachableHosts = Map<string, ProbeOutcome>;
 
 /**
- * A harness whose probes take no time and end as `unreachable` says, else answered; `probed` lists the probed hosts.
+ * A harness whose probes take no time. Probes of a host in `unreachable` end with the outcome given there, all others
+ * are answered. `probed` lists the probed hosts.
  */
-export function setUp(
+export function createHarnessWithProbes(
   count: number,
-  surroundings: HarnessOptions = {},
+  options: HarnessOptions = {},
 ): { harness: ForwarderHarness; unreachable: UnreachableHosts; probed: string[] } {
   const unreachable: UnreachableHosts = new Map();
   const probed: string[] = [];
@@ -27,7 +28,7 @@
     probed.push(host);
     return Promise.resolve(unreachable.get(host) ?? 'answered');
   };
-  const harness = new ForwarderHarness(new VirtualClock(), 1, [], { probe, ...surroundings });
+  const harness = new ForwarderHarness(new VirtualClock(), 1, [], { probe, ...options });
   harness.applyRecords(backends(count), { services: SERVICES });
   return { harness, unreachable, probed };
 }
--- a/src/cookie-edge/backend-health/dead-backends.test.ts
+++ b/src/cookie-edge/backend-health/dead-backends.test.ts
@@ -15,7 +15,7 @@
   waitForProbes,
   retransmitRequest,
   REQUEST,
-  setUp,
+  createHarnessWithProbes,
   type UnreachableHosts,
 } from './dead-backends-test-support.js';
 
@@ -24,13 +24,13 @@
 
 for (const outcome of ['silent', 'refused'] as const) {
   test(`flows at a back end whose probes are ${outcome} are reset, including idle ones, and it gets no new ones`, async (t) => {
-    const { harness, unreachable } = setUp(3);
+    const { harness, unreachable } = createHarnessWithProbes(3);
     const flows = openFlowAtEach(harness);
     const packetsToA = harness.sent.filter(({ backend }) => backend === 'a').length;
     unreachable.set(hostOf('a'), outcome);
     await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
     t.true(harness.events().includes(DEAD_EVENT));
-    t.is(harness.resets.length, 4, `all of 12 flows over 3 back ends (${packetsToA} packets)`);
+    t.is(harness.resets.length, 4, `all flows at a: 4 of 12, over 3 back ends (${packetsToA} packets to a)`);
     t.is(harness.events().filter((number) => number === RESET_EVENT).length, 4);
     const later = Array.from({ length: 12 }, (_unused, index) => harness.open(42_000 + index)?.backend);
     t.false(later.includes('a'));
@@ -38,7 +38,7 @@
 }
 
 test('an opening at a dead back end is not reset, because a retransmission of its SYN may be open elsewhere', async (t) => {
-  const { harness, unreachable } = setUp(2);
+  const { harness, unreachable } = createHarnessWithProbes(2);
   const flows = openFlowAtEach(harness);
   const opening = [44_000, 44_001, 44_002].find((port) => harness.open(port)?.backend === 'a');
   unreachable.set(hostOf('a'), 'refused');
@@ -50,7 +50,7 @@
 });
 
 test('a reset is addressed to the caller of the flow and carries its last acknowledgement', async (t) => {
-  const { harness, unreachable } = setUp(2);
+  const { harness, unreachable } = createHarnessWithProbes(2);
   const flows = openFlowAtEach(harness);
   const { port, cookie } = flows.get('a')!;
   harness.sendMidFlow(port, cookie, { acknowledgement: 77_777 });
@@ -61,7 +61,7 @@
 });
 
 test('flows at a busy back end that acknowledges late but answers probes are not reset', async (t) => {
-  const { harness, probed } = setUp(3);
+  const { harness, probed } = createHarnessWithProbes(3);
   const flows = openFlowAtEach(harness);
   for (let round = 0; round < 5; round += 1) {
     await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
@@ -72,7 +72,7 @@
 });
 
 test('a refused probe proves a back end dead even while no other back end gives signs of life', async (t) => {
-  const { harness, unreachable } = setUp(2);
+  const { harness, unreachable } = createHarnessWithProbes(2);
   const flows = openFlowAtEach(harness);
   unreachable.set(hostOf('a'), 'refused');
   harness.clock.advance(1_000);
@@ -81,7 +81,7 @@
 });
 
 test('a daemon that is cut off from all back ends resets no flow', async (t) => {
-  const { harness, unreachable } = setUp(3);
+  const { harness, unreachable } = createHarnessWithProbes(3);
   const flows = openFlowAtEach(harness);
   for (const id of ['a', 'b', 'c']) unreachable.set(hostOf(id), 'silent');
   harness.clock.advance(1_000);
@@ -90,7 +90,7 @@
 });
 
 /** A harness in which an unanswered probe takes its whole timeout. */
-function setUpTimedProbes(count: number): {
+function createHarnessWithTimedProbes(count: number): {
   harness: ForwarderHarness;
   flows: ReturnType<typeof openFlowAtEach>;
   unreachable: UnreachableHosts;
@@ -107,14 +107,17 @@
 }
 
 /** A harness with two back ends, of which `a` no longer answers. */
-function setUpSilent(): Omit<ReturnType<typeof setUpTimedProbes>, 'unreachable'> {
-  const { harness, flows, unreachable } = setUpTimedProbes(2);
+function createHarnessWithSilentBackend(): Omit<
+  ReturnType<typeof createHarnessWithTimedProbes>,
+  'unreachable'
+> {
+  const { harness, flows, unreachable } = createHarnessWithTimedProbes(2);
   unreachable.set(hostOf('a'), 'silent');
   return { harness, flows };
 }
 
 test('a possible death is gossiped when the second probe is sent, and not again with the proof shortly after', async (t) => {
-  const { harness, flows } = setUpSilent();
+  const { harness, flows } = createHarnessWithSilentBackend();
   await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
   await advanceInSteps(harness.clock, PROBE_SPACING_MS - 50);
   t.deepEqual(harness.gossipedEjections, []);
@@ -126,7 +129,7 @@
 });
 
 test('an unanswered probe is not gossiped while no other back end gives signs of life', async (t) => {
-  const { harness, flows } = setUpSilent();
+  const { harness, flows } = createHarnessWithSilentBackend();
   harness.clock.advance(1_000);
   await retransmitRequest(harness, flows.get('a')!, []);
   await advanceInSteps(harness.clock, PROBE_SPACING_MS + 50);
@@ -134,7 +137,7 @@
 });
 
 test('an unanswered probe is not gossiped after another daemon gossiped an ejection of the same back end', async (t) => {
-  const { harness, flows } = setUpSilent();
+  const { harness, flows } = createHarnessWithSilentBackend();
   harness.forwarder.applyEjectionReport('a', harness.clock.now());
   harness.sendMidFlow(flows.get('b')!.port, flows.get('b')!.cookie, { acknowledgement: 9_000 });
   await advanceInSteps(harness.clock, PROBE_SPACING_MS + 100);
@@ -142,7 +145,7 @@
 });
 
 test('the second probe does not wait for the timeout of the first', async (t) => {
-  const { harness, flows } = setUpSilent();
+  const { harness, flows } = createHarnessWithSilentBackend();
   await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
   await advanceInSteps(harness.clock, PROBE_TIMEOUT_MS + PROBE_SPACING_MS - 50);
   t.is(harness.resets.length, 0, 'one unanswered probe proves nothing');
@@ -168,7 +171,7 @@
 });
 
 test('no flow is reset when a sign of life comes while probes are in progress', async (t) => {
-  const { harness } = setUp(2, {
+  const { harness } = createHarnessWithProbes(2, {
     probe: () => {
       const { port, cookie } = flows.get('a')!;
       harness.sendMidFlow(port, cookie, { acknowledgement: 5_000 });
@@ -181,7 +184,7 @@
 });
 
 test('probes that end late prove nothing, because this process was paused', async (t) => {
-  const { harness } = setUp(2, {
+  const { harness } = createHarnessWithProbes(2, {
     probe: () => {
       harness.clock.advance(PROBE_TIMEOUT_MS + 10 * HOUSEKEEPING_TICK_MS);
       return Promise.resolve('silent');
@@ -216,7 +219,7 @@
 
 for (const outcome of ['silent', 'refused'] as const) {
   test(`no flow serves as a trial at a back end whose probes stay ${outcome}, and its ejection is gossiped again`, async (t) => {
-    const { harness, flows, unreachable } = setUpTimedProbes(3);
+    const { harness, flows, unreachable } = createHarnessWithTimedProbes(3);
     const aliveFlows = [flows.get('b')!, flows.get('c')!];
     unreachable.set(hostOf('a'), outcome);
     await retransmitRequest(harness, flows.get('a')!, aliveFlows);
@@ -227,7 +230,7 @@
 }
 
 test('a dead back end gets new flows again as soon as it answers a probe', async (t) => {
-  const { harness, unreachable } = setUp(3);
+  const { harness, unreachable } = createHarnessWithProbes(3);
   const flows = openFlowAtEach(harness);
   const aliveFlows = [flows.get('b')!, flows.get('c')!];
   unreachable.set(hostOf('a'), 'refused');
@@ -238,7 +241,7 @@
 });
 
 test('a dead back end is not revived by probe answers of the process that now has its address', async (t) => {
-  const { harness, unreachable } = setUp(3);
+  const { harness, unreachable } = createHarnessWithProbes(3);
   const flows = openFlowAtEach(harness);
   const aliveFlows = [flows.get('b')!, flows.get('c')!];
   unreachable.set(hostOf('a'), 'refused');
@@ -251,7 +254,7 @@
 });
 
 test('a packet of a flow that another daemon placed at a dead back end is answered with a reset', async (t) => {
-  const { harness, unreachable } = setUp(2);
+  const { harness, unreachable } = createHarnessWithProbes(2);
   const flows = openFlowAtEach(harness);
   unreachable.set(hostOf('a'), 'refused');
   await retransmitRequest(harness, flows.get('a')!, [flows.get('b')!]);
@@ -261,7 +264,7 @@
 });
 
 test('two deaths in a zone cause probes of its other back ends, and of none in another zone', async (t) => {
-  const { harness, unreachable, probed } = setUp(0);
+  const { harness, unreachable, probed } = createHarnessWithProbes(0);
   const zones = ['north', 'north', 'north', 'south', 'south', 'south'];
   harness.applyRecords(backends(6).map((backend, index) => ({ ...backend, zone: zones[index]! })));
   const flows = openFlowAtEach(harness);
--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -126,7 +126,7 @@
   }
 
   /**
-   * Probes a dead back end again and again, and renews and gossips its verdict while the probes confirm it, so that no
+   * Probes a dead back end repeatedly, and renews and gossips its verdict while the probes confirm it, so that no
    * caller's flow serves as a trial. Stops when the back end answers a probe or when the verdict lapses.
    */
   private async renewVerdict(state: LocalBackendState): Promise<void> {
--- a/src/cookie-edge/backend-health/dead-verdict.ts
+++ b/src/cookie-edge/backend-health/dead-verdict.ts
@@ -4,10 +4,13 @@
  * verdicts from two probes of 400 ms cut failed requests from 401 to 95. Does no input or output. Times are monotonic
  * ms.
  *
- * Missing answers to callers' packets prove nothing, because a busy back end acknowledges late. Two findings are
- * proof. A refused probe: the refusal came over a working network. A pair of unanswered probes while other back ends
- * give signs of life. Another daemon's proof does not count, because that daemon's links may be cut.
- * `address-reuse.ts` decides whether a back end ended because a later process has its address.
+ * Missing answers to callers' packets prove nothing, because a busy back end acknowledges late. Two findings prove that
+ * a back end is dead:
+ * - a refused probe, because the refusal came over a working network;
+ * - a pair of unanswered probes while other back ends give signs of life.
+ *
+ * Another daemon's proof does not count, because that daemon's links may be cut. `address-reuse.ts` decides whether a
+ * back end is dead because a later process has its address.
  */
 import type { ProbeFinding, ProbeOutcome } from './backend-prober.js';
 import {
@@ -57,9 +60,13 @@
  * Evaluates one probe. An answer always counts. A refusal or silence counts only if the probe ended in time and this
  * process was not paused, since it may have missed an answer while it was.
  */
-export function evaluateProbe(outcome: ProbeOutcome, tookMs: number, mayHavePaused: boolean): ProbeFinding {
+export function evaluateProbe(
+  outcome: ProbeOutcome,
+  tookMs: number,
+  mayHaveBeenPaused: boolean,
+): ProbeFinding {
   if (outcome === 'answered') return outcome;
-  return tookMs > PROBE_TIMEOUT_MS + PROBE_TIMEOUT_SLACK_MS || mayHavePaused ? 'inconclusive' : outcome;
+  return tookMs > PROBE_TIMEOUT_MS + PROBE_TIMEOUT_SLACK_MS || mayHaveBeenPaused ? 'inconclusive' : outcome;
 }
 
 /**
@@ -88,8 +95,8 @@
 }
 
 /**
- * Conclusion from a pair of probes. `alive`: a caller's packet was a sign of life; `unproved`: another pair may prove
- * more.
+ * Conclusion from a pair of probes. `alive`: a caller's packet was a sign of life; `unproved`: the pair proved nothing,
+ * but another one may.
  */
 export type ProbeConclusion = 'alive' | 'answered' | DeathFinding | 'unproved';
 
--- a/src/cookie-edge/backend-health/ejection-report.ts
+++ b/src/cookie-edge/backend-health/ejection-report.ts
@@ -6,7 +6,10 @@
  */
 import { SHARED_SUSPECT_MS, SUSPECT_MS } from './constants.js';
 
-/** Result of a report; only a `new` one is gossiped further. */
+/**
+ * Result of a report; only a `new` one is gossiped further. `disproved`: a sign of life came at its time or later.
+ * `known`: a duplicate.
+ */
 export type ReportOutcome = 'new' | 'disproved' | 'known';
 
 /** The last ejection report of one back end. */
--- a/src/cookie-edge/backend-health/own-flows.ts
+++ b/src/cookie-edge/backend-health/own-flows.ts
@@ -14,7 +14,7 @@
     this.recentlyClosed.count(nowMs);
   }
 
-  /** Open and recently closed flows. Rounded, so that daemons with similar counts see equal loads as equal. */
+  /** Open and recently closed flows. Rounded, so that daemons with similar counts treat the same loads as equal. */
   recentCountAt(nowMs: number): number {
     return this.open + Math.round(this.recentlyClosed.recentAt(nowMs));
   }
--- a/src/cookie-edge/backend-health/slow-back-ends.test.ts
+++ b/src/cookie-edge/backend-health/slow-back-ends.test.ts
@@ -6,12 +6,15 @@
 /** Time at which back ends turn slow or a burst starts. */
 const ONSET_MS = 6_000;
 const REPLAY_MS = 14_000;
-/** Time by which the daemons have had time to detect the outliers. */
+/** Time by which the daemons should have detected the outliers. */
 const DETECTED_MS = ONSET_MS + 2_000;
 /** A request that takes longer than this is late. */
-const TARGET_MS = 400;
+const LATE_AFTER_MS = 400;
 
-/** Load of a lift operator: 790 requests a second, most of them on persistent flows; 27% of the slots are busy. */
+/**
+ * Load like that of a lift operator: 790 requests a second, most of them on persistent flows. 27% of the slots are
+ * busy.
+ */
 const CALM_LOAD: LoadSimulationParameters = {
   balancers: 28,
   backends: BACKENDS,
@@ -23,7 +26,7 @@
   seed: 1,
 };
 
-function runLoad(overrides: Partial<LoadSimulationParameters>): LoadSimulation {
+function runSimulation(overrides: Partial<LoadSimulationParameters>): LoadSimulation {
   const load = new LoadSimulation({ ...CALM_LOAD, ...overrides });
   load.run(REPLAY_MS);
   return load;
@@ -34,10 +37,10 @@
  * back ends and 2 s before the end, so that all could be answered.
  */
 function lateShareOfPlaceable(load: LoadSimulation): number {
-  const fresh = load.requests.filter(
+  const placeable = load.requests.filter(
     ({ isOnNewFlow, sentAtMs }) => isOnNewFlow && sentAtMs >= DETECTED_MS && sentAtMs < REPLAY_MS - 2_000,
   );
-  return fresh.filter(({ durationMs }) => durationMs > TARGET_MS).length / fresh.length;
+  return placeable.filter(({ durationMs }) => durationMs > LATE_AFTER_MS).length / placeable.length;
 }
 
 const rateFactorAt = (nowMs: number): number => (nowMs >= ONSET_MS && nowMs < ONSET_MS + 3_000 ? 1.7 : 1);
@@ -50,9 +53,9 @@
       serviceTimeFactorOf: (backend, nowMs) => (backend % 5 === 0 && nowMs >= ONSET_MS ? 5 : 1),
     };
     const lateWithoutDetection = lateShareOfPlaceable(
-      runLoad({ ...overrides, switchedOff: ['outlier-detection'] }),
+      runSimulation({ ...overrides, switchedOff: ['outlier-detection'] }),
     );
-    const late = lateShareOfPlaceable(runLoad(overrides));
+    const late = lateShareOfPlaceable(runSimulation(overrides));
     t.log({ lateWithoutDetection, late });
     t.true(
       late <= lateWithoutDetection / 3,
@@ -66,9 +69,9 @@
     serviceTimeFactorOf: (backend, nowMs) => (backend % 10 === 0 && nowMs >= ONSET_MS ? Infinity : 1),
   };
   const lateWithoutDetection = lateShareOfPlaceable(
-    runLoad({ ...overrides, switchedOff: ['outlier-detection'] }),
+    runSimulation({ ...overrides, switchedOff: ['outlier-detection'] }),
   );
-  const late = lateShareOfPlaceable(runLoad(overrides));
+  const late = lateShareOfPlaceable(runSimulation(overrides));
   t.log({ lateWithoutDetection, late });
   t.true(
     late <= lateWithoutDetection / 3,
@@ -82,10 +85,10 @@
     isGossipLostAt: (nowMs) => nowMs >= ONSET_MS - 500 && nowMs < ONSET_MS + 4_500,
   };
   const lateWithoutDetection = lateShareOfPlaceable(
-    runLoad({ ...overrides, switchedOff: ['outlier-detection'] }),
+    runSimulation({ ...overrides, switchedOff: ['outlier-detection'] }),
   );
-  const late = lateShareOfPlaceable(runLoad(overrides));
-  t.log({ loadWithoutDetection: lateWithoutDetection, late });
+  const late = lateShareOfPlaceable(runSimulation(overrides));
+  t.log({ lateWithoutDetection, late });
   t.true(
     late <= lateWithoutDetection,
     `${late} of the placeable requests late, ${lateWithoutDetection} without`,
@@ -93,24 +96,24 @@
 });
 
 test('neither a steady load nor a burst causes detections', (t) => {
-  for (const load of [runLoad({}), runLoad({ rateFactorAt })]) {
-    const verdicts = load.balancers.map(({ forwarder }) => forwarder.outliers.detections);
-    t.true(Math.max(...verdicts) <= 1, `${verdicts.join(' ')}`);
+  for (const load of [runSimulation({}), runSimulation({ rateFactorAt })]) {
+    const detectionCounts = load.balancers.map(({ forwarder }) => forwarder.outliers.detections);
+    t.true(Math.max(...detectionCounts) <= 1, `${detectionCounts.join(' ')}`);
   }
 });
 
 test('detection makes at most 2% more requests late while the whole service is overloaded', (t) => {
   const overrides: Partial<LoadSimulationParameters> = { rateFactorAt: (nowMs) => 1.8 * rateFactorAt(nowMs) };
-  const loadWithoutDetection = runLoad({ ...overrides, switchedOff: ['outlier-detection'] });
-  const load = runLoad(overrides);
-  const lateWithoutDetection = loadWithoutDetection.lateShare(ONSET_MS, ONSET_MS + 3_000, TARGET_MS);
-  const late = load.lateShare(ONSET_MS, ONSET_MS + 3_000, TARGET_MS);
-  t.log({ lateWithout: lateWithoutDetection, late });
+  const loadWithoutDetection = runSimulation({ ...overrides, switchedOff: ['outlier-detection'] });
+  const load = runSimulation(overrides);
+  const lateWithoutDetection = loadWithoutDetection.lateShare(ONSET_MS, ONSET_MS + 3_000, LATE_AFTER_MS);
+  const late = load.lateShare(ONSET_MS, ONSET_MS + 3_000, LATE_AFTER_MS);
+  t.log({ lateWithoutDetection, late });
   t.true(late <= lateWithoutDetection * 1.02, `${late} late, ${lateWithoutDetection} without`);
 });
 
 test('a back end that recovered gets at least a third of the average number of new flows', (t) => {
-  const load = runLoad({
+  const load = runSimulation({
     serviceTimeFactorOf: (backend, nowMs) => (backend === 7 && nowMs >= 5_000 && nowMs < 6_500 ? 8 : 1),
   });
   const recoveredMs = REPLAY_MS - 2_500;
--- a/src/cookie-edge/backend-health/successive-starts.test.ts
+++ b/src/cookie-edge/backend-health/successive-starts.test.ts
@@ -3,10 +3,10 @@
 import { HOUSEKEEPING_TICK_MS } from '../forwarding/constants.js';
 import { backendAt, tableAt, updateAt } from '../routing/routing-test-support.js';
 import { CREATION_HISTORY_UPTIME_MS } from './constants.js';
-import { hostOf, openFlowAtEach, setUp } from './dead-backends-test-support.js';
+import { hostOf, openFlowAtEach, createHarnessWithProbes } from './dead-backends-test-support.js';
 
 test('a later start at its address keeps new flows from a back end, and resets its flows once its record is gone', (t) => {
-  const { harness } = setUp(2);
+  const { harness } = createHarnessWithProbes(2);
   const flows = openFlowAtEach(harness);
   harness.clock.advance(CREATION_HISTORY_UPTIME_MS);
   const successor = backendAt('z', 20, { endpoint: { host: hostOf('a'), port: 8_080 }, service: 'beta' });
@@ -24,7 +24,7 @@
 });
 
 test('an earlier start gets no new flows even if its record is received after that of its successor', (t) => {
-  const { harness } = setUp(2);
+  const { harness } = createHarnessWithProbes(2);
   const earlier = backendAt('y', 0, { endpoint: { host: hostOf('a'), port: 8_080 }, createdRevision: 0 });
   const origin = { since: 10, confirmedAtMs: 0, mayHaveLapsed: false };
   harness.knowledge.apply('backends', updateAt(20, { backends: [{ ...earlier, revision: 20 }] }), origin);
@@ -34,7 +34,7 @@
 });
 
 test('after a restore of the source, a new start takes precedence over one of the previous epoch at its address', (t) => {
-  const { harness } = setUp(2);
+  const { harness } = createHarnessWithProbes(2);
   const atAddressOfA = { endpoint: { host: hostOf('a'), port: 8_080 } };
   const origin = (since: number) => ({ since, confirmedAtMs: 0, mayHaveLapsed: false });
   const inFirstEpoch = updateAt(30, { backends: [backendAt('z', 30, atAddressOfA)] });
@@ -48,14 +48,14 @@
 });
 
 test('a record of a service that is not configured does not dispute the address of a back end', (t) => {
-  const { harness } = setUp(2);
+  const { harness } = createHarnessWithProbes(2);
   openFlowAtEach(harness);
-  const unnamedServiceBackend = backendAt('x', 20, {
+  const backendOfUnconfiguredService = backendAt('x', 20, {
     endpoint: { host: hostOf('a'), port: 8_080 },
     service: 'unheard-of',
   });
   const origin = { since: 10, confirmedAtMs: 0, mayHaveLapsed: false };
-  harness.knowledge.apply('backends', updateAt(20, { backends: [unnamedServiceBackend] }), origin);
+  harness.knowledge.apply('backends', updateAt(20, { backends: [backendOfUnconfiguredService] }), origin);
   t.is(harness.resets.length, 0);
   const placed = Array.from({ length: 12 }, (_unused, index) => harness.open(42_000 + index)?.backend);
   t.true(placed.includes('a'));
