--- a/src/cookie-edge/roster/constants.ts
+++ b/src/cookie-edge/roster/constants.ts
@@ -13,8 +13,8 @@
 export const ROSTER_RETRY_MS = 2_000;
 
 /**
- * Delay between the first list of back ends and the first read of the roster. A settled peer usually answers within it,
- * which makes the read unnecessary.
+ * Delay between the first list of back ends and the first read of the roster. A peer whose list is settled usually
+ * answers within this time, which makes the read unnecessary.
  */
 export const ROSTER_READ_DELAY_MS = 20;
 
--- a/src/cookie-edge/roster/roster-reader.ts
+++ b/src/cookie-edge/roster/roster-reader.ts
@@ -1,7 +1,7 @@
 /**
- * Reads the roster during start-up and adds the back ends that the list lacks to the registry as remembered. Skips
- * the read if a settled peer answers first. Keeps no back ends itself. Uses `BackendSettlement` to check whether the
- * list is complete.
+ * Reads the roster during start-up and adds to the registry, as remembered, the back ends that the list lacks. Skips
+ * the read if a peer whose list is settled answers first. Keeps no back ends itself. Uses `BackendSettlement` to check
+ * whether the list is complete.
  *
  * Prevents two failures when all daemons start at once while live back ends are recorded again one by one: open flows
  * to back ends that are not listed yet break, and all new flows go to the first few back ends that are listed.
@@ -28,7 +28,7 @@
 /** Reads the roster once, with retries. No method throws or rejects. */
 export class RosterReader {
   private callCount = 0;
-  private daemonCount: number | undefined;
+  private largestRecordedFleetSize: number | undefined;
   private isDone = false;
 
   constructor(private readonly options: RosterReaderOptions) {}
@@ -40,7 +40,7 @@
 
   /** Fleet size according to the roster; undefined if the roster was not read or has no pages. */
   get recordedFleetSize(): number | undefined {
-    return this.daemonCount;
+    return this.largestRecordedFleetSize;
   }
 
   /** True until the roster has been read or the read has become unnecessary. */
@@ -63,12 +63,12 @@
   private waitForFirstList(signal: AbortSignal): Promise<void> {
     const { settlement } = this.options;
     return new Promise((resolve) => {
-      const check = (): void => {
+      const resolveIfKnown = (): void => {
         if (settlement.state !== 'unknown') resolve();
       };
-      settlement.subscribe(check);
+      settlement.subscribe(resolveIfKnown);
       signal.addEventListener('abort', () => resolve());
-      check();
+      resolveIfKnown();
     });
   }
 
@@ -93,7 +93,7 @@
     const servicesWithBackends = new Set<string>();
     let [entryCount, rememberedCount] = [0, 0];
     for (const { page } of pages) {
-      this.daemonCount = Math.max(this.daemonCount ?? 0, page.daemons ?? 0);
+      this.largestRecordedFleetSize = Math.max(this.largestRecordedFleetSize ?? 0, page.daemons ?? 0);
       for (const entry of page.entries) {
         entryCount += 1;
         if (!entry.hasLeft) servicesWithBackends.add(page.service);
@@ -106,7 +106,7 @@
       named: entryCount,
       remembered: rememberedCount,
       awaited: knowledge.backends.awaitedCount,
-      daemons: this.daemonCount,
+      daemons: this.largestRecordedFleetSize,
     });
     settlement.recordRoster(servicesWithBackends);
   }
--- a/src/cookie-edge/roster/roster-writer.ts
+++ b/src/cookie-edge/roster/roster-writer.ts
@@ -64,7 +64,7 @@
   }
 
   private async checkOnce(signal: AbortSignal): Promise<void> {
-    const outcome = this.decide();
+    const outcome = this.evaluateWriterRule();
     if (outcome === 'stand-by') this.cache = undefined;
     if (outcome !== 'write') return;
     if (this.cache?.epoch !== this.epoch && !(await this.readPages(signal))) return;
@@ -75,7 +75,7 @@
     return this.options.knowledge.epochOf('backends');
   }
 
-  private decide(): WriterOutcome {
+  private evaluateWriterRule(): WriterOutcome {
     const { clock, knowledge, isLeading, isSettled, maxConfirmationAgeMs } = this.options;
     return decideWriter({
       isLeading: isLeading(),
@@ -92,7 +92,7 @@
     this.callCount += 1;
     const response = await this.options.store.readRoster(false, signal);
     if (response.isErr) {
-      await this.reportAndWait(response.error, signal);
+      await this.logAndWait(response.error, signal);
       return false;
     }
     const { pages, unreadable } = response.value;
@@ -114,7 +114,7 @@
       needsWriting(this.cache?.byService.get(page.service)?.page, page),
     );
     for (const page of outdatedPages) {
-      if (this.decide() !== 'write' || !(await this.writePage(page, signal))) return;
+      if (this.evaluateWriterRule() !== 'write' || !(await this.writePage(page, signal))) return;
     }
     if (outdatedPages.length > 0) this.lastRoundAtMs = this.options.clock.now();
   }
@@ -131,7 +131,7 @@
     if (response.isErr) {
       // The store may have applied the write or may still apply it, so the pages are read again before the next write.
       this.cache = undefined;
-      await this.reportAndWait(response.error, signal);
+      await this.logAndWait(response.error, signal);
       return false;
     }
     const { service, entries } = page;
@@ -148,7 +148,7 @@
   }
 
   /** Logs a failed call and waits before the next attempt. */
-  private async reportAndWait(error: RoutingSourceError, signal: AbortSignal): Promise<void> {
+  private async logAndWait(error: RoutingSourceError, signal: AbortSignal): Promise<void> {
     if (signal.aborted || error.kind === 'routing.cancelled') return;
     const event = error.kind === 'routing.too-large' ? ROSTER_EVENTS.tooLarge : ROSTER_EVENTS.callFailed;
     this.options.events.emit(event, { kind: error.kind, error: error.problem });
--- a/src/cookie-edge/roster/writer-rule.ts
+++ b/src/cookie-edge/roster/writer-rule.ts
@@ -15,7 +15,7 @@
 
 /** Inputs of `decideWriter`. */
 export interface WriterInputs {
-  /** This daemon is the highest-ranked reader that it knows of. */
+  /** This daemon ranks highest among the readers that it knows. */
   readonly isLeading: boolean;
   /** The list of back ends is considered complete. */
   readonly isSettled: boolean;
