--- a/src/cookie-edge/daemon/buffered-packets.ts
+++ b/src/cookie-edge/daemon/buffered-packets.ts
@@ -4,10 +4,10 @@
  *
  * Prevents two failures. A packet dropped during start-up arrives again only with the caller's next retransmission,
  * which may come after the caller's deadline. A SYN delivered too late can open one flow at two back ends: the caller
- * may already have sent a retransmission, which another balancer may have placed elsewhere. Both matter most after the
- * loss of all daemons, when nearly every caller has a pending SYN and most of these SYNs are retransmissions. Without
- * the retransmission count, a fleet of 146 small machines dropped 395 of 889 buffered packets as too old, although
- * their callers had not sent a newer SYN.
+ * may already have sent a retransmission, which another daemon may have placed elsewhere. Both matter most after the
+ * loss of all daemons, when nearly every caller has a pending SYN and most of these SYNs are retransmissions. While the
+ * rule ignored the retransmission count, a fleet of 146 small machines dropped 395 of the 889 packets that it buffered
+ * after such a loss as too old, although their callers had not sent a newer SYN.
  *
  * On arrival, the mechanism switch and the edge are checked first, because without them no packet can be buffered, and
  * then the memory bound.
@@ -21,7 +21,10 @@
 import { untilNextTransmissionMs } from '../forwarding/syn-schedule.js';
 import { MAX_BUFFERED_PACKETS, MAX_BUFFERED_SYN_AFTER_READ_MS, MAX_BUFFERED_SYN_MS } from './constants.js';
 
-/** Decision about a packet that arrives before the buffer is flushed. */
+/**
+ * Decision about a packet that arrives before the buffer is flushed. `drop-holding-off`: packets are not buffered,
+ * because no edge is attached or the mechanism is switched off.
+ */
 type ArrivalOutcome = 'hold' | 'drop-holding-off' | 'drop-buffer-full';
 
 /** Decision about a buffered packet when the buffer is flushed. */
--- a/src/cookie-edge/daemon/components.ts
+++ b/src/cookie-edge/daemon/components.ts
@@ -1,8 +1,8 @@
 /**
  * Creates and wires the components of a daemon on a cookie edge. Their order of creation is also the order in which
  * they draw from the shared random source. Some dependencies are circular: gossip and forwarding call each other, and
- * the reading of the source calls gossip. A component that is created earlier therefore gets a function that returns
- * the later one, and calls it only after all components are wired.
+ * the components that read the source call gossip. A component that is created earlier therefore gets a function that
+ * returns the later one, and calls it only after all components are wired.
  */
 import type { Clock } from '../../common/clock.js';
 import { hashString } from '../../common/hash.js';
--- a/src/cookie-edge/daemon/config.ts
+++ b/src/cookie-edge/daemon/config.ts
@@ -17,11 +17,11 @@
 const MAX_PORT = 65_535;
 const NAME_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/;
 
-const name = z.string().check(z.regex(NAME_PATTERN, 'use 1 to 63 letters, digits, ".", "_" or "-"'));
-const milliseconds = z.int().check(z.positive());
+const nameSchema = z.string().check(z.regex(NAME_PATTERN, 'use 1 to 63 letters, digits, ".", "_" or "-"'));
+const positiveMsSchema = z.int().check(z.positive());
 
 /** `host:port` with a numeric IPv4 host. Port 0 (the kernel chooses) is valid only for local addresses. */
-function endpoint(minPort: number) {
+function endpointSchema(minPort: number) {
   const text = z.string().check(
     z.refine((value) => parseEndpoint(value, minPort) !== undefined, {
       error: `write IPv4:port with a port of ${minPort} to 65535`,
@@ -33,45 +33,45 @@
   );
 }
 
-const localAddress = endpoint(MIN_LOCAL_PORT);
-const remoteAddress = endpoint(1);
+const localAddressSchema = endpointSchema(MIN_LOCAL_PORT);
+const remoteAddressSchema = endpointSchema(1);
 
 /** Schema of the configuration file. */
 export const cookieDaemonConfigSchema = z.object({
   /** Unique among all daemons. */
-  id: name,
-  region: name,
-  zone: name,
+  id: nameSchema,
+  region: nameSchema,
+  zone: nameSchema,
   /** UDP address on which callers' packets arrive. */
-  data: localAddress,
+  data: localAddressSchema,
   /** HTTP address of the readiness, status and metrics pages. */
-  admin: localAddress,
+  admin: localAddressSchema,
   /** UDP and TCP address for messages between daemons. */
-  control: localAddress,
+  control: localAddressSchema,
   /** Control addresses of some peers; they may be stale. */
-  seeds: z._default(z.array(remoteAddress), []),
+  seeds: z._default(z.array(remoteAddressSchema), []),
   /** Control port of all daemons. If given, it replaces the ports of `seeds`. */
   seedPort: z.optional(z.int().check(z.positive(), z.maximum(MAX_PORT))),
   /** Address of the source of routes and back ends. */
-  source: remoteAddress,
+  source: remoteAddressSchema,
   /** Bounds in ms within which each kind of change must be in force on all daemons. The smallest bound applies. */
-  changeBoundsMs: z._default(z.array(milliseconds).check(z.minLength(1)), [DEFAULT_FRESHNESS_BOUND_MS]),
+  changeBoundsMs: z._default(z.array(positiveMsSchema).check(z.minLength(1)), [DEFAULT_FRESHNESS_BOUND_MS]),
   /**
    * Bound in ms within which a cordon must be in force on all daemons. Without it the daemon does not read cordons.
    */
-  cordonBoundMs: z.optional(milliseconds),
+  cordonBoundMs: z.optional(positiveMsSchema),
   /**
    * Region of each zone. Required if routes are limited to regions: such a route never uses a back end whose zone is
    * not listed here.
    */
   zoneRegions: z._default(z.record(z.string(), z.string()), {}),
   /**
-   * Limits of `ColdAdmission` for a cold back end, over all balancers: a factor on its rate, and a number of openings.
+   * Limits of `ColdAdmission` for a cold back end, over all daemons: a factor on its rate, and a number of openings.
    */
   coldOverage: z._default(z.number().check(z.positive()), defaults.DEFAULT_COLD_OVERAGE),
   coldSlack: z._default(z.number().check(z.nonnegative()), defaults.DEFAULT_COLD_SLACK),
   /** Maximum lifetime of a flow in ms. */
-  maxFlowAgeMs: z._default(milliseconds, defaults.DEFAULT_MAX_FLOW_AGE_MS),
+  maxFlowAgeMs: z._default(positiveMsSchema, defaults.DEFAULT_MAX_FLOW_AGE_MS),
   /**
    * Flows per unit of capacity by which another zone must be less loaded to be preferred; 0 disables this margin.
    */
@@ -101,11 +101,11 @@
   drain: z.prefault(
     z.object({
       /** Minimum time of forwarding after a stop request, in ms. */
-      minMs: z._default(milliseconds, defaults.DEFAULT_DRAIN_MIN_MS),
+      minMs: z._default(positiveMsSchema, defaults.DEFAULT_DRAIN_MIN_MS),
       /** After `minMs` the daemon exits once no packet has arrived for this many ms. */
-      quietMs: z._default(milliseconds, defaults.DEFAULT_DRAIN_QUIET_MS),
+      quietMs: z._default(positiveMsSchema, defaults.DEFAULT_DRAIN_QUIET_MS),
       /** Maximum time of forwarding after a stop request, in ms. */
-      maxMs: z._default(milliseconds, defaults.DEFAULT_DRAIN_MAX_MS),
+      maxMs: z._default(positiveMsSchema, defaults.DEFAULT_DRAIN_MAX_MS),
     }),
     {},
   ),
--- a/src/cookie-edge/daemon/constants.ts
+++ b/src/cookie-edge/daemon/constants.ts
@@ -20,7 +20,10 @@
 /** Maximum lifetime of a flow in ms. A deployment with shorter or longer flows should override it. */
 export const DEFAULT_MAX_FLOW_AGE_MS = 3_600_000;
 
-/** Interval in ms at which the modification time of the configuration file is checked, for changes without a signal. */
+/**
+ * Interval in ms at which the modification time of the configuration file is checked, for changes without a signal. The
+ * check is one cheap `stat` call.
+ */
 export const CONFIG_POLL_MS = 2_000;
 
 /** Maximum log lines for each event in ten seconds, to bound the log in an outage. Further lines are only counted. */
@@ -45,8 +48,8 @@
 export const MAX_BUFFERED_SYN_AFTER_READ_MS = 50;
 
 /**
- * Within any second, all balancers together may send a cold back end at most its rate times the overage, plus the
- * slack, in openings. A deployment that has figures for its back ends should override both.
+ * Within any second, all daemons together may send a cold back end at most as many openings as its rate times the
+ * overage, plus the slack. A deployment that has figures for its back ends should override both.
  */
 export const DEFAULT_COLD_OVERAGE = 1.5;
 export const DEFAULT_COLD_SLACK = 5;
@@ -59,7 +62,7 @@
 
 /**
  * Factor by which the load of a back end of another zone is multiplied, so that the own zone gets up to this many times
- * as much load. A balancer with few flows keeps all of them in its zone, so that a network partition between zones
+ * as much load. A daemon with few flows keeps all of them in its zone, so that a network partition between zones
  * breaks few flows.
  */
 export const DEFAULT_ZONE_LOAD_FACTOR = 1.5;
--- a/src/cookie-edge/daemon/run.ts
+++ b/src/cookie-edge/daemon/run.ts
@@ -58,15 +58,15 @@
     lastModifiedMs = modificationTimeMs(configPath);
     void reloadConfig(context);
   });
-  const poll = (): void => {
+  const scheduleNextPoll = (): void => {
     clock.schedule(CONFIG_POLL_MS, () => {
       const modifiedMs = modificationTimeMs(configPath);
       if (modifiedMs !== lastModifiedMs) void reloadConfig(context);
       lastModifiedMs = modifiedMs;
-      poll();
+      scheduleNextPoll();
     });
   };
-  poll();
+  scheduleNextPoll();
 }
 
 function modificationTimeMs(path: string): number | undefined {
--- a/src/cookie-edge/daemon/source-reading.ts
+++ b/src/cookie-edge/daemon/source-reading.ts
@@ -33,9 +33,9 @@
   }
 
   /** Starts to follow all topics, or stops and aborts the calls in progress. */
-  setFollowing(isReading: boolean): void {
-    if (isReading === (this.followAbort !== undefined)) return;
-    if (!isReading) return this.stopFollowing();
+  setFollowing(shouldFollow: boolean): void {
+    if (shouldFollow === (this.followAbort !== undefined)) return;
+    if (!shouldFollow) return this.stopFollowing();
     const followAbort = new AbortController();
     this.followAbort = followAbort;
     this.options.availability.beginReading();
--- a/src/cookie-edge/daemon/startup-buffer.test.ts
+++ b/src/cookie-edge/daemon/startup-buffer.test.ts
@@ -26,7 +26,7 @@
   const clock = new VirtualClock();
   const buffer = new StartupBuffer({ clock, events: SILENT_EVENT_LOG });
   const handled: string[] = [];
-  let current: CookiePacket = DATA_PACKET;
+  let currentPacket: CookiePacket = DATA_PACKET;
   const handler: CookieEdgeHandler = {
     onPacket: ({ syn, sourcePort }) => handled.push(`${syn ? 'syn' : 'data'} ${sourcePort}`),
     onDrop: (reason) => handled.push(reason),
@@ -34,15 +34,15 @@
   buffer.attach({
     boundAtMs: clock.now(),
     keepPacket: () => {
-      const kept = { ...current };
+      const kept = { ...currentPacket };
       return () => buffer.onPacket(kept);
     },
   });
-  const deliver = (change: Partial<CookiePacket>): void => {
-    current = { ...DATA_PACKET, ...change };
-    buffer.onPacket(current);
+  const receive = (change: Partial<CookiePacket>): void => {
+    currentPacket = { ...DATA_PACKET, ...change };
+    buffer.onPacket(currentPacket);
   };
-  return { clock, buffer, handled, handler, deliver };
+  return { clock, buffer, handled, handler, receive };
 }
 
 const synFrom = (sourcePort: number): Partial<CookiePacket> => ({
@@ -53,41 +53,41 @@
 });
 
 test('buffered packets are delivered in order of arrival when the buffer is flushed', (t) => {
-  const { clock, buffer, handled, handler, deliver } = createBuffer();
-  deliver({ sourcePort: 1 });
+  const { clock, buffer, handled, handler, receive } = createBuffer();
+  receive({ sourcePort: 1 });
   clock.advance(20);
-  deliver(synFrom(2));
+  receive(synFrom(2));
   clock.advance(20);
   t.deepEqual(handled, []);
   buffer.flushTo(handler);
   t.deepEqual(handled, ['data 1', 'syn 2']);
-  deliver({ sourcePort: 3 });
+  receive({ sourcePort: 3 });
   t.deepEqual(handled, ['data 1', 'syn 2', 'data 3']);
 });
 
 test('a SYN whose caller may have retransmitted it is dropped; packets of open flows are delivered', (t) => {
-  const { clock, buffer, handled, handler, deliver } = createBuffer();
-  deliver(synFrom(1));
-  deliver({ sourcePort: 2 });
+  const { clock, buffer, handled, handler, receive } = createBuffer();
+  receive(synFrom(1));
+  receive({ sourcePort: 2 });
   clock.advance(MAX_BUFFERED_SYN_MS + 1);
   buffer.flushTo(handler);
   t.deepEqual(handled, ['data 2']);
 });
 
 test('long after the binding only a SYN that was just read is delivered', (t) => {
-  const { clock, buffer, handled, handler, deliver } = createBuffer();
+  const { clock, buffer, handled, handler, receive } = createBuffer();
   clock.advance(1_000);
-  deliver(synFrom(1));
+  receive(synFrom(1));
   clock.advance(10);
-  deliver(synFrom(2));
+  receive(synFrom(2));
   clock.advance(MAX_BUFFERED_SYN_AFTER_READ_MS);
   buffer.flushTo(handler);
   t.deepEqual(handled, ['syn 2']);
 });
 
 test('the number of buffered packets is bounded', (t) => {
-  const { buffer, handled, handler, deliver } = createBuffer();
-  for (let port = 1; port <= MAX_BUFFERED_PACKETS + 5; port += 1) deliver({ sourcePort: port });
+  const { buffer, handled, handler, receive } = createBuffer();
+  for (let port = 1; port <= MAX_BUFFERED_PACKETS + 5; port += 1) receive({ sourcePort: port });
   buffer.flushTo(handler);
   t.is(handled.length, MAX_BUFFERED_PACKETS);
 });
