--- a/src/cookie-edge/backend-health/dead-backends.test.ts
+++ b/src/cookie-edge/backend-health/dead-backends.test.ts
@@ -32,8 +32,11 @@
     t.true(harness.events().includes(DEAD_EVENT));
     t.is(harness.resets.length, 4, `all flows at a: 4 of 12, over 3 back ends (${packetsToA} packets to a)`);
     t.is(harness.events().filter((number) => number === RESET_EVENT).length, 4);
-    const later = Array.from({ length: 12 }, (_unused, index) => harness.open(42_000 + index)?.backend);
-    t.false(later.includes('a'));
+    const laterBackends = Array.from(
+      { length: 12 },
+      (_unused, index) => harness.open(42_000 + index)?.backend,
+    );
+    t.false(laterBackends.includes('a'));
   });
 }
 
--- a/src/cookie-edge/backend-health/passive-ejection.test.ts
+++ b/src/cookie-edge/backend-health/passive-ejection.test.ts
@@ -59,7 +59,7 @@
   });
 }
 
-function withEjectionAt(nowMs: number): PassiveEjection {
+function createEjectionStartedAt(nowMs: number): PassiveEjection {
   const ejection = new PassiveEjection();
   ejection.recordFailure(nowMs, nowMs - 200);
   ejection.recordFailure(nowMs, nowMs - 150);
@@ -68,7 +68,7 @@
 }
 
 test('evaluation: a failure causes one ejection only, and a failure during an ejection causes none', (t) => {
-  const ejection = withEjectionAt(1_000);
+  const ejection = createEjectionStartedAt(1_000);
   t.is(ejection.evaluate(1_100, 1_100), 'already-evaluated');
   ejection.recordFailure(1_200, 1_050);
   t.is(ejection.evaluate(1_200, 1_200), 'already-ejected');
@@ -78,7 +78,7 @@
 });
 
 test('the ejection time doubles up to its maximum, and a sign of life resets it', (t) => {
-  const ejection = withEjectionAt(0);
+  const ejection = createEjectionStartedAt(0);
   let endMs = EJECT_MIN_MS;
   for (const expectedMs of [2 * EJECT_MIN_MS, 4 * EJECT_MIN_MS, EJECT_MAX_MS, EJECT_MAX_MS]) {
     ejection.recordFailure(endMs, endMs - 150);
@@ -96,13 +96,13 @@
   t.is(ejection.phaseAt(endMs + 2 + EJECT_MIN_MS), 'trial');
 });
 
-function withFailureAt(nowMs: number): PassiveEjection {
+function createEjectionWithFailureAt(nowMs: number): PassiveEjection {
   const ejection = new PassiveEjection();
   ejection.recordFailure(nowMs, nowMs - 150);
   return ejection;
 }
 
-function withTrialAt(ejection: PassiveEjection, nowMs: number): PassiveEjection {
+function recordTrialAt(ejection: PassiveEjection, nowMs: number): PassiveEjection {
   ejection.recordTrial(nowMs);
   return ejection;
 }
@@ -111,19 +111,19 @@
 
 const PHASES: readonly (readonly [string, PassiveEjection, number, EjectionPhase])[] = [
   ['without failures', new PassiveEjection(), 0, 'no-failure'],
-  ['just after one failure', withFailureAt(1_000), 1_000 + SUSPECT_MS - 1, 'suspect'],
-  ['long after one failure', withFailureAt(1_000), 1_000 + SUSPECT_MS, 'failures-expired'],
-  ['during an ejection', withEjectionAt(1_000), TRIAL_MS - 1, 'ejected'],
-  ['after an ejection', withEjectionAt(1_000), TRIAL_MS, 'trial'],
+  ['just after one failure', createEjectionWithFailureAt(1_000), 1_000 + SUSPECT_MS - 1, 'suspect'],
+  ['long after one failure', createEjectionWithFailureAt(1_000), 1_000 + SUSPECT_MS, 'failures-expired'],
+  ['during an ejection', createEjectionStartedAt(1_000), TRIAL_MS - 1, 'ejected'],
+  ['after an ejection', createEjectionStartedAt(1_000), TRIAL_MS, 'trial'],
   [
     'just before the next trial opening is due',
-    withTrialAt(withEjectionAt(1_000), TRIAL_MS),
+    recordTrialAt(createEjectionStartedAt(1_000), TRIAL_MS),
     TRIAL_MS + EJECT_MIN_MS - 1,
     'ejected',
   ],
   [
     'when the next trial opening is due',
-    withTrialAt(withEjectionAt(1_000), TRIAL_MS),
+    recordTrialAt(createEjectionStartedAt(1_000), TRIAL_MS),
     TRIAL_MS + EJECT_MIN_MS,
     'trial',
   ],
--- a/src/cookie-edge/backend-health/successive-starts.test.ts
+++ b/src/cookie-edge/backend-health/successive-starts.test.ts
@@ -13,8 +13,11 @@
   const origin = { since: 10, confirmedAtMs: 0, mayHaveLapsed: false };
   harness.knowledge.apply('backends', updateAt(20, { backends: [successor] }), origin);
   const { port, cookie } = flows.get('a')!;
-  const placed = Array.from({ length: 12 }, (_unused, index) => harness.open(42_000 + index)?.backend);
-  t.deepEqual(new Set(placed), new Set(['b']), 'no new flows while both are recorded');
+  const chosenBackends = Array.from(
+    { length: 12 },
+    (_unused, index) => harness.open(42_000 + index)?.backend,
+  );
+  t.deepEqual(new Set(chosenBackends), new Set(['b']), 'no new flows while both are recorded');
   t.is(harness.sendMidFlow(port, cookie)?.backend, 'a', 'open flows continue');
   t.is(harness.resets.length, 0);
   harness.removeRecord('a', 21);
@@ -43,8 +46,8 @@
   harness.knowledge.apply('backends', restored, origin(-1));
   const startedAfterRestore = updateAt(14, { epoch: 1, backends: [backendAt('y', 14, atAddressOfA)] });
   harness.knowledge.apply('backends', startedAfterRestore, origin(12));
-  const placed = Array.from({ length: 6 }, (_unused, index) => harness.open(42_000 + index)?.backend);
-  t.deepEqual(new Set(placed), new Set(['y']));
+  const chosenBackends = Array.from({ length: 6 }, (_unused, index) => harness.open(42_000 + index)?.backend);
+  t.deepEqual(new Set(chosenBackends), new Set(['y']));
 });
 
 test('a record of a service that is not configured does not dispute the address of a back end', (t) => {
@@ -57,13 +60,16 @@
   const origin = { since: 10, confirmedAtMs: 0, mayHaveLapsed: false };
   harness.knowledge.apply('backends', updateAt(20, { backends: [backendOfUnconfiguredService] }), origin);
   t.is(harness.resets.length, 0);
-  const placed = Array.from({ length: 12 }, (_unused, index) => harness.open(42_000 + index)?.backend);
-  t.true(placed.includes('a'));
+  const chosenBackends = Array.from(
+    { length: 12 },
+    (_unused, index) => harness.open(42_000 + index)?.backend,
+  );
+  t.true(chosenBackends.includes('a'));
   const services = ['alpha', 'unheard-of'].map((name) => ({ name, maxConnections: 100 }));
   const table = tableAt(21, { services });
   harness.knowledge.apply('routes', updateAt(21, { routes: [table] }), origin);
-  const later = Array.from({ length: 12 }, (_unused, index) => harness.open(43_000 + index)?.backend);
-  t.false(later.includes('a'), 'once its service is configured, it is the later start');
+  const laterBackends = Array.from({ length: 12 }, (_unused, index) => harness.open(43_000 + index)?.backend);
+  t.false(laterBackends.includes('a'), 'once its service is configured, it is the later start');
   harness.clock.advance(CREATION_HISTORY_UPTIME_MS);
   harness.removeRecord('a', 22);
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
--- a/src/cookie-edge/daemon/startup-buffer.test.ts
+++ b/src/cookie-edge/daemon/startup-buffer.test.ts
@@ -45,7 +45,7 @@
   return { clock, buffer, handled, handler, receive };
 }
 
-const synFrom = (sourcePort: number): Partial<CookiePacket> => ({
+const synFromPort = (sourcePort: number): Partial<CookiePacket> => ({
   syn: true,
   ack: false,
   cookie: 0,
@@ -56,7 +56,7 @@
   const { clock, buffer, handled, handler, receive } = createBuffer();
   receive({ sourcePort: 1 });
   clock.advance(20);
-  receive(synFrom(2));
+  receive(synFromPort(2));
   clock.advance(20);
   t.deepEqual(handled, []);
   buffer.flushTo(handler);
@@ -67,7 +67,7 @@
 
 test('a SYN whose caller may have retransmitted it is dropped; packets of open flows are delivered', (t) => {
   const { clock, buffer, handled, handler, receive } = createBuffer();
-  receive(synFrom(1));
+  receive(synFromPort(1));
   receive({ sourcePort: 2 });
   clock.advance(MAX_BUFFERED_SYN_MS + 1);
   buffer.flushTo(handler);
@@ -77,9 +77,9 @@
 test('long after the binding only a SYN that was just read is delivered', (t) => {
   const { clock, buffer, handled, handler, receive } = createBuffer();
   clock.advance(1_000);
-  receive(synFrom(1));
+  receive(synFromPort(1));
   clock.advance(10);
-  receive(synFrom(2));
+  receive(synFromPort(2));
   clock.advance(MAX_BUFFERED_SYN_AFTER_READ_MS);
   buffer.flushTo(handler);
   t.deepEqual(handled, ['syn 2']);
