--- a/src/cookie-edge/forwarding/cookie-forwarder.test.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.test.ts
@@ -272,15 +272,15 @@
   const harness = new ForwarderHarness().applyRecords(backends(3));
   const [opened] = ['a', 'b', 'c'].map((_id, index) => harness.establish(index + 1));
   harness.clock.advance(10);
-  const suspected = opened!.backend!;
-  t.true(harness.forwarder.applyEjectionReport(suspected, harness.clock.now()));
-  t.false(harness.forwarder.applyEjectionReport(suspected, harness.clock.now()), 'already known');
-  for (let port = 10; port < 18; port += 1) t.not(harness.establish(port).backend, suspected);
+  const ejectedId = opened!.backend!;
+  t.true(harness.forwarder.applyEjectionReport(ejectedId, harness.clock.now()));
+  t.false(harness.forwarder.applyEjectionReport(ejectedId, harness.clock.now()), 'already known');
+  for (let port = 10; port < 18; port += 1) t.not(harness.establish(port).backend, ejectedId);
   harness.clock.advance(5);
   harness.sendMidFlow(1, opened!.cookie, { acknowledgement: 500 });
-  t.is(harness.establish(20).backend, suspected);
+  t.is(harness.establish(20).backend, ejectedId);
   t.false(
-    harness.forwarder.applyEjectionReport(suspected, harness.clock.now() - 10),
+    harness.forwarder.applyEjectionReport(ejectedId, harness.clock.now() - 10),
     'older than the sign of life',
   );
   t.false(harness.forwarder.applyEjectionReport('nobody', harness.clock.now()));
@@ -305,6 +305,6 @@
     harness.sendMidFlow(port, cookie, { fin: true });
     harness.clock.advance(50);
   }
-  const fresh = counts.get('new') ?? 0;
-  t.true(fresh >= 10 && fresh <= 40, `${fresh} of 60`);
+  const flowsOfNewBackend = counts.get('new') ?? 0;
+  t.true(flowsOfNewBackend >= 10 && flowsOfNewBackend <= 40, `${flowsOfNewBackend} of 60`);
 });
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -79,13 +79,13 @@
   private currentPacket: CookiePacket = EMPTY_PACKET;
   private abort = new AbortController();
   /** Callbacks to run at the end of the current turn of the event loop. */
-  private readonly turns: (() => void)[] = [];
+  private readonly queued: (() => void)[] = [];
 
   constructor(
     readonly clock = new VirtualClock(),
     seed = 1,
     switchedOff: readonly Mechanism[] = [],
-    surroundings: HarnessOptions = {},
+    options: HarnessOptions = {},
   ) {
     const events = {
       emit: (event: EventDefinition, fields: EventFields = {}): void => {
@@ -104,18 +104,18 @@
       zoneMargin: 0.5,
       zoneLoadFactor: 1.5,
       isOn: allBut(switchedOff),
-      ...(surroundings.fleetSize && { fleetSize: () => surroundings.fleetSize }),
-      ...(surroundings.tracksSettlement && { settlement: this.settlement }),
-      ...(surroundings.hasReceivedDeparted && { hasReceivedDeparted: surroundings.hasReceivedDeparted }),
-      regionOf: (zone) => surroundings.regions?.[zone],
-      probe: surroundings.probe ?? (() => Promise.resolve('answered')),
-      cold: { overage: 1.5, slack: 5, isOwner: surroundings.isOwner ?? (() => true) },
+      ...(options.fleetSize && { fleetSize: () => options.fleetSize }),
+      ...(options.tracksSettlement && { settlement: this.settlement }),
+      ...(options.hasReceivedDeparted && { hasReceivedDeparted: options.hasReceivedDeparted }),
+      regionOf: (zone) => options.regions?.[zone],
+      probe: options.probe ?? (() => Promise.resolve('answered')),
+      cold: { overage: 1.5, slack: 5, isOwner: options.isOwner ?? (() => true) },
       random: seededRandom(seed),
-      pauses: new PauseDetector(clock.now(), HOUSEKEEPING_TICK_MS, (callback) => this.turns.push(callback)),
+      pauses: new PauseDetector(clock.now(), HOUSEKEEPING_TICK_MS, (callback) => this.queued.push(callback)),
       maxFlowAgeMs: 60_000,
       maxFlows: () => 1_000,
-      observer: surroundings.observer,
-      onBadAnswer: surroundings.onBadAnswer,
+      observer: options.observer,
+      onBadAnswer: options.onBadAnswer,
       onBackendUnhealthy: (backendId) => this.gossipedEjections.push(backendId),
     });
     this.forwarder.start(this.abort.signal);
@@ -132,7 +132,7 @@
 
   /** Ends a turn of the event loop. */
   endEventLoopTurn(): void {
-    for (const callback of this.turns.splice(0)) callback();
+    for (const callback of this.queued.splice(0)) callback();
   }
 
   /** Applies a complete list of back ends, routes and cordons as of `revision`. */
@@ -165,7 +165,7 @@
       sendResetTo: (target) => this.resets.push(target),
       keepPacket: () => {
         const kept = { ...this.currentPacket };
-        return (waitedMs) => this.handle(kept, waitedMs);
+        return (waitedMs) => this.passToForwarder(kept, waitedMs);
       },
     };
   }
@@ -184,13 +184,13 @@
 
   /** Delivers a packet. Returns the packet sent in response, or undefined. */
   deliver(packet: Partial<CookiePacket>): SentPacket | undefined {
-    const firstNew = this.sent.length;
-    this.handle(packet);
-    return this.sent[firstNew];
+    const firstNewIndex = this.sent.length;
+    this.passToForwarder(packet);
+    return this.sent[firstNewIndex];
   }
 
   /** Delivers a packet that was held for `waitedMs` since its arrival. */
-  handle(packet: Partial<CookiePacket>, waitedMs = 0): void {
+  passToForwarder(packet: Partial<CookiePacket>, waitedMs = 0): void {
     this.currentPacket = { ...EMPTY_PACKET, ...packet };
     this.forwarder.onPacket(this.currentPacket, waitedMs);
   }
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -104,7 +104,7 @@
 };
 
 /** Components that several others share. */
-interface SharedParts {
+interface SharedComponents {
   readonly isOn: MechanismCheck;
   readonly statistics: CookieStatistics;
   readonly cookies: CookieRegistry;
@@ -126,7 +126,7 @@
 /** Creates a forwarder. It can handle packets immediately; its timer starts with `start`. */
 export function createCookieForwarder(environment: CookieForwarderEnvironment): CookieForwarder {
   const { clock, events, knowledge, pauses } = environment;
-  const shared = createSharedParts(environment);
+  const shared = createSharedComponents(environment);
   const { cache, states, supersededBackends, pendingOpenings, answerTracker, outliers, failures } = shared;
   return new CookieForwarder({
     ...shared,
@@ -150,7 +150,7 @@
   });
 }
 
-function createSharedParts(environment: CookieForwarderEnvironment): SharedParts {
+function createSharedComponents(environment: CookieForwarderEnvironment): SharedComponents {
   const { clock, events, edge, pauses, probe } = environment;
   const isOn = environment.isOn ?? ALL_MECHANISMS_ON;
   const settlement = effectiveSettlement(environment, isOn);
@@ -220,14 +220,17 @@
       events,
       ownObserverId: observer ?? 0,
       serviceOf: (backendId) => backends.get(backendId)?.record.service,
-      countBackends: (service) => backends.countRecorded(service),
+      countBackends: (service) => backends.countListed(service),
       onReport: (report) => onBadAnswer?.(report),
     },
     clock.now(),
   );
 }
 
-function createOpeningHandler(environment: CookieForwarderEnvironment, shared: SharedParts): OpeningHandler {
+function createOpeningHandler(
+  environment: CookieForwarderEnvironment,
+  shared: SharedComponents,
+): OpeningHandler {
   const { random, events, knowledge, pauses, zone, zoneMargin, zoneLoadFactor, loads } = environment;
   const { isOn, states, outliers, pendingOpenings, coldAdmission, settlement } = shared;
   const eligibility = new BackendEligibility({
@@ -252,7 +255,7 @@
     cache: shared.cache,
     heldOpenings: shared.heldOpenings,
     flowsInProgress: shared.flowsInProgress,
-    recoveryAdmission: createCrowdAdmission(environment, shared),
+    recoveryAdmission: createRecoveryAdmission(environment, shared),
     pendingOpenings,
     failures: shared.failures,
     sender: shared.sender,
@@ -263,9 +266,9 @@
 }
 
 /** Returns undefined if openings never yield. */
-function createCrowdAdmission(
+function createRecoveryAdmission(
   { knowledge, fleetSize }: CookieForwarderEnvironment,
-  { isOn, flowsInProgress }: SharedParts,
+  { isOn, flowsInProgress }: SharedComponents,
 ): RecoveryAdmission | undefined {
   if (!fleetSize || !isOn('yielding-openings')) return undefined;
   const inProgressAt = (service: string, nowMs: number): number =>
@@ -275,7 +278,7 @@
 
 function createMidFlowHandler(
   { events, knowledge }: CookieForwarderEnvironment,
-  shared: SharedParts,
+  shared: SharedComponents,
 ): MidFlowHandler {
   const { isOn, statistics, cookies, cache, states, pendingOpenings, answerTracker, failures, sender } =
     shared;
--- a/src/cookie-edge/forwarding/events.ts
+++ b/src/cookie-edge/forwarding/events.ts
@@ -9,13 +9,13 @@
     message: 'New flow refused with a reset',
     action: 'no-route: check the routes; no-backend: check the back ends of the service',
   },
-  placedAnew: {
+  flowMoved: {
     number: 1252,
     level: 'warn',
     message: 'Retransmitted SYN assigned to another back end: the first one does not respond',
     action: 'Check the back end that did not respond',
   },
-  takenOver: {
+  flowAdopted: {
     number: 1253,
     level: 'info',
     message:
--- a/src/cookie-edge/forwarding/filling-backend-list.test.ts
+++ b/src/cookie-edge/forwarding/filling-backend-list.test.ts
@@ -237,7 +237,7 @@
 test('the hold of an opening that waited elsewhere before also ends before its caller retransmits', (t) => {
   const clock = new VirtualClock();
   const harness = new ForwarderHarness(clock, 1, [], { tracksSettlement: true }).applyRecords([]);
-  harness.handle({ sourcePort: 1, syn: true }, 100);
+  harness.passToForwarder({ sourcePort: 1, syn: true }, 100);
   clock.advance(60);
   t.is(harness.forwarder.heldOpenings, 0);
   t.is(harness.forwarder.statistics.heldTooLong, 1);
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -52,7 +52,7 @@
   private adoptFlow(packet: CookiePacket, backend: KnownBackend, nowMs: number): Flow | undefined {
     const { statistics, events, cache, states } = this.options;
     statistics.takenOver += 1;
-    events.emit(COOKIE_FLOW_EVENTS.takenOver, {
+    events.emit(COOKIE_FLOW_EVENTS.flowAdopted, {
       flow: formatFlowId(packet),
       backend: backend.id,
       service: backend.record.service,
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -117,8 +117,8 @@
     if (mayLeaveFirstBackend(flow.phase, flow.backendState.liveness(nowMs))) {
       const alternative = newFlowRule.chooseForRetransmission(packet, nowMs);
       if (alternative) newFlowRule.recordPlacement(alternative, nowMs);
-      const target = decideRetransmission(flow.backendState, alternative);
-      if (alternative && target === 'another-back-end')
+      const outcome = decideRetransmission(flow.backendState, alternative);
+      if (alternative && outcome === 'another-back-end')
         this.moveToAlternative(packet, flow, alternative, nowMs);
     }
     sender.forwardTo(flow.backendState.backend);
--- a/src/cookie-edge/forwarding/opening-log.ts
+++ b/src/cookie-edge/forwarding/opening-log.ts
@@ -38,7 +38,7 @@
 
   /** Logs that a retransmitted SYN goes to another back end. Call it before the flow is moved. */
   logMove(packet: CookiePacket, flow: Flow, placement: Placement): void {
-    this.options.events.emit(COOKIE_FLOW_EVENTS.placedAnew, {
+    this.options.events.emit(COOKIE_FLOW_EVENTS.flowMoved, {
       flow: formatFlowId(packet),
       before: flow.backendState.backend.id,
       backend: placement.state.backend.id,
--- a/src/cookie-edge/forwarding/overload-after-outage.test.ts
+++ b/src/cookie-edge/forwarding/overload-after-outage.test.ts
@@ -49,8 +49,8 @@
   constructor(private readonly switchedOff: readonly Mechanism[]) {}
 
   run(): this {
-    const calls = ((OUTAGE_MS + RUN_AFTER_RETURN_MS) * CALLS_PER_SECOND) / 1_000;
-    for (let index = 0; index < calls; index += 1) {
+    const callCount = ((OUTAGE_MS + RUN_AFTER_RETURN_MS) * CALLS_PER_SECOND) / 1_000;
+    for (let index = 0; index < callCount; index += 1) {
       const caller: Caller = { startMs: this.random() * (OUTAGE_MS + RUN_AFTER_RETURN_MS), attemptCount: 0 };
       this.callers.push(caller);
       this.clock.schedule(caller.startMs, () => this.startAttempt(caller));
@@ -116,11 +116,16 @@
     daemon.open(attempt.port, retransmissionCount);
   }
 
-  private sendRequest(attempt: Attempt, daemon: ForwarderHarness, backend: number, cookie: number): void {
+  private sendRequest(
+    attempt: Attempt,
+    daemon: ForwarderHarness,
+    backendIndex: number,
+    cookie: number,
+  ): void {
     attempt.isOver = true;
     const { caller, port } = attempt;
     daemon.sendMidFlow(port, cookie, { sequence: 2, payloadBytes: 100 });
-    const slots = this.slotFreeAtMs[backend] as number[];
+    const slots = this.slotFreeAtMs[backendIndex] as number[];
     const nowMs = this.clock.now();
     const slot = slots.indexOf(Math.min(...slots));
     const waitMs = Math.max(0, (slots[slot] as number) - nowMs);
@@ -163,9 +168,9 @@
       turnedAway: simulation.rejectedCount,
     };
   };
-  const both = { on: simulate([]), off: simulate(['yielding-openings']) };
-  t.log(JSON.stringify(both));
-  return both;
+  const results = { on: simulate([]), off: simulate(['yielding-openings']) };
+  t.log(JSON.stringify(results));
+  return results;
 }
 
 test('after an outage new callers are answered in time, and no fewer of the waiting callers get an answer', (t) => {
--- a/src/cookie-edge/forwarding/retransmission-rule.test.ts
+++ b/src/cookie-edge/forwarding/retransmission-rule.test.ts
@@ -23,13 +23,13 @@
 
 test('a retransmission goes to another back end only if there is an alternative other than the first', (t) => {
   const [first, other] = [createBackendState('a'), createBackendState('b')];
-  const at = (state: typeof first): Placement => ({
+  const placementAt = (state: typeof first): Placement => ({
     state,
     rule: 'least-flows',
     candidates: 2,
     passedOver: 0,
   });
   t.is(decideRetransmission(first, undefined), 'first-back-end');
-  t.is(decideRetransmission(first, at(first)), 'first-back-end');
-  t.is(decideRetransmission(first, at(other)), 'another-back-end');
+  t.is(decideRetransmission(first, placementAt(first)), 'first-back-end');
+  t.is(decideRetransmission(first, placementAt(other)), 'another-back-end');
 });
--- a/src/cookie-edge/routing/backend-registry.ts
+++ b/src/cookie-edge/routing/backend-registry.ts
@@ -54,7 +54,7 @@
   }
 
   /** Counts the back ends of a service that have not departed. */
-  countRecorded(service: string): number {
+  countListed(service: string): number {
     let count = 0;
     for (const { departed } of this.ofService(service)) if (!departed) count += 1;
     return count;
@@ -80,9 +80,13 @@
   /** Stores the first complete list and writes one log line for all of its back ends. */
   putFirstList(records: readonly RoutedBackend[], revision: number): void {
     const added = records.filter(({ id }) => !this.byId.has(id));
-    for (const record of added) this.notifyAdded(this.create(record));
+    for (const record of added) this.notifyAdded(this.createBackend(record));
     const draining = added.filter((record) => record.draining).length;
-    this.options.events.emit(ROUTING_EVENTS.backendsKnown, { backends: added.length, draining, revision });
+    this.options.events.emit(ROUTING_EVENTS.firstListReceived, {
+      backends: added.length,
+      draining,
+      revision,
+    });
   }
 
   /**
@@ -94,8 +98,8 @@
   put(record: RoutedBackend, knownRevision: number): boolean {
     const known = this.byId.get(record.id);
     if (!known) {
-      const added = this.create(record);
-      this.options.events.emit(ROUTING_EVENTS.backendKnown, describeRecord(record));
+      const added = this.createBackend(record);
+      this.options.events.emit(ROUTING_EVENTS.backendDiscovered, describeRecord(record));
       if (record.revision <= knownRevision) this.markDeparted(added, record.revision, false);
       this.notifyAdded(added);
       return true;
@@ -137,7 +141,7 @@
     const restored = { ...record, draining: record.draining || known.record.draining };
     if (known.departed && !known.lapsed) {
       known.record = { ...known.record, revision: record.revision };
-      known.restored = { record: restored, atMs: this.options.clock.now() };
+      known.restored = { record: restored, listedAtMs: this.options.clock.now() };
       return;
     }
     const { coldUntilMs } = known;
@@ -150,7 +154,8 @@
     const nowMs = this.options.clock.now();
     for (const known of this.departed) {
       const { restored } = known;
-      if (restored && nowMs - restored.atMs >= RESTORED_HOLD_MS) this.replaceRecord(known, restored.record);
+      if (restored && nowMs - restored.listedAtMs >= RESTORED_HOLD_MS)
+        this.replaceRecord(known, restored.record);
     }
   }
 
@@ -160,8 +165,8 @@
    * gossip it to each other forever.
    */
   putDeparted({ record, departedAtMs, lapsed = false }: DepartedBackend): void {
-    const listed = this.byId.get(record.id);
-    if (listed) return keepEarliestCreation(listed, record);
+    const existing = this.byId.get(record.id);
+    if (existing) return keepEarliestCreation(existing, record);
     if (this.options.clock.now() - departedAtMs >= this.options.retentionMs) return;
     this.put(record, record.revision);
     const known = this.byId.get(record.id);
@@ -176,10 +181,10 @@
    * `markAwaitedAsLeft`. Returns false when the back end is already known.
    */
   putFromRoster(record: RoutedBackend, hasLeft: boolean): boolean {
-    const listed = this.byId.get(record.id);
-    if (listed) keepEarliestCreation(listed, record);
-    if (listed) return false;
-    const added = this.create({ ...record, revision: UNKNOWN_REVISION });
+    const existing = this.byId.get(record.id);
+    if (existing) keepEarliestCreation(existing, record);
+    if (existing) return false;
+    const added = this.createBackend({ ...record, revision: UNKNOWN_REVISION });
     added.departed = true;
     added.departedAtMs = this.options.clock.now();
     this.departed.add(added);
@@ -218,10 +223,10 @@
   }
 
   /** Removes every back end that is not in `ids` and whose record is not newer than `revision`. */
-  removeUnlisted(ids: ReadonlySet<string>, revision: number, mayHaveLapsed: boolean): boolean {
+  removeUnlisted(listedIds: ReadonlySet<string>, revision: number, mayHaveLapsed: boolean): boolean {
     let changed = false;
     for (const known of this.byId.values()) {
-      if (ids.has(known.id) || known.record.revision > revision) continue;
+      if (listedIds.has(known.id) || known.record.revision > revision) continue;
       known.restored = undefined;
       if (known.departed) continue;
       changed = this.remove({ id: known.id, revision }, mayHaveLapsed) || changed;
@@ -265,11 +270,11 @@
       previous: known.record.incarnation,
       departed: known.departed,
     });
-    this.notifyAdded(this.create(record));
+    this.notifyAdded(this.createBackend(record));
   }
 
   /** Stores a back end without notifying the listeners. */
-  private create(record: RoutedBackend): KnownBackend {
+  private createBackend(record: RoutedBackend): KnownBackend {
     const backend: KnownBackend = {
       id: record.id,
       record,
@@ -320,7 +325,7 @@
 
   private evict(backend: KnownBackend): void {
     this.discard(backend);
-    this.options.events.emit(ROUTING_EVENTS.backendForgotten, { backend: backend.id });
+    this.options.events.emit(ROUTING_EVENTS.backendEvicted, { backend: backend.id });
   }
 
   private discard(backend: KnownBackend): void {
--- a/src/cookie-edge/routing/constants.ts
+++ b/src/cookie-edge/routing/constants.ts
@@ -13,10 +13,10 @@
  * Delay before a new reader starts long watches of a topic. Most daemons that start to read at the same time stop
  * reading before it ends, and responses about other topics confirm this one in the meantime.
  */
-export const LONG_WATCH_START_MS = 1_000;
+export const LONG_WATCH_START_DELAY_MS = 1_000;
 
 /** Interval at which a follower checks the age of a topic during a long watch. */
-export const CONFIRM_CHECK_MS = 100;
+export const CONFIRMATION_CHECK_INTERVAL_MS = 100;
 
 /** Backoff after the first failed call. It doubles with each further failure, and jitter is added. */
 export const RETRY_MIN_MS = 100;
--- a/src/cookie-edge/routing/events.ts
+++ b/src/cookie-edge/routing/events.ts
@@ -8,7 +8,7 @@
     message: 'New route table in force',
     action: 'none',
   },
-  backendKnown: { number: 2001, level: 'info', message: 'Back end discovered', action: 'none' },
+  backendDiscovered: { number: 2001, level: 'info', message: 'Back end discovered', action: 'none' },
   backendChanged: { number: 2002, level: 'info', message: 'Back end record changed', action: 'none' },
   backendDeparted: {
     number: 2003,
@@ -16,7 +16,7 @@
     message: 'Back end record removed from the source; open flows continue, no new flows',
     action: 'none if it was stopped; otherwise check whether the back end can write its record',
   },
-  backendForgotten: {
+  backendEvicted: {
     number: 2004,
     level: 'info',
     message: 'Departed back end evicted; no flow to it can still be open',
@@ -40,7 +40,7 @@
     message: 'List of back ends is considered complete; openings without a back end are refused at once',
     action: 'none',
   },
-  backendsKnown: {
+  firstListReceived: {
     number: 2009,
     level: 'info',
     message: 'First complete list of back ends received; later changes are logged one by one',
--- a/src/cookie-edge/routing/knowledge.test.ts
+++ b/src/cookie-edge/routing/knowledge.test.ts
@@ -8,7 +8,7 @@
 
 const RETENTION_MS = 60_000;
 
-function origin(since: number, confirmedAtMs = 0, mayHaveLapsed = false): UpdateOrigin {
+function originSince(since: number, confirmedAtMs = 0, mayHaveLapsed = false): UpdateOrigin {
   return { since, confirmedAtMs, mayHaveLapsed };
 }
 
@@ -21,7 +21,7 @@
 }
 
 /** Returns the ids of the back ends that have not departed. */
-function recordedIds(knowledge: RoutingKnowledge): string[] {
+function listedIds(knowledge: RoutingKnowledge): string[] {
   return [...knowledge.backends.all()].filter(({ departed }) => !departed).map(({ id }) => id);
 }
 
@@ -31,17 +31,17 @@
 
 test('a table older than the one in force is ignored', (t) => {
   const { knowledge } = createKnowledge();
-  knowledge.apply('routes', updateAt(9, { complete: true, routes: [tableAt(9)] }), origin(-1));
-  knowledge.apply('routes', updateAt(7, { complete: true, routes: [tableAt(7)] }), origin(-1));
-  knowledge.apply('routes', updateAt(12, { routes: [tableAt(8)] }), origin(9));
+  knowledge.apply('routes', updateAt(9, { complete: true, routes: [tableAt(9)] }), originSince(-1));
+  knowledge.apply('routes', updateAt(7, { complete: true, routes: [tableAt(7)] }), originSince(-1));
+  knowledge.apply('routes', updateAt(12, { routes: [tableAt(8)] }), originSince(9));
   t.is(knowledge.routes()?.table.version, 9);
-  knowledge.apply('routes', updateAt(13, { routes: [tableAt(13, { version: 5 })] }), origin(12));
+  knowledge.apply('routes', updateAt(13, { routes: [tableAt(13, { version: 5 })] }), originSince(12));
   t.is(knowledge.routes()?.table.version, 9, 'a later revision of an older version');
   t.truthy(knowledge.routes()?.find(SERVICE_ADDRESS, SERVICE_PORT));
   t.is(knowledge.routes()?.find(SERVICE_ADDRESS, SERVICE_PORT + 1), undefined);
 });
 
-const ORDERS: readonly (readonly [string, readonly RoutingUpdate[], readonly string[]])[] = [
+const UPDATE_SEQUENCES: readonly (readonly [string, readonly RoutingUpdate[], readonly string[]])[] = [
   ['a record, then its removal', [completeUpdate(3, backendAt('a', 3)), removalUpdate(5, 'a', 5)], []],
   [
     'a removal of the same revision as the record',
@@ -80,19 +80,19 @@
   ],
 ];
 
-function removalUpdate(revision: number, id: string, removedAt: number): RoutingUpdate {
-  return updateAt(revision, { removals: [{ id, revision: removedAt }] });
+function removalUpdate(revision: number, id: string, removalRevision: number): RoutingUpdate {
+  return updateAt(revision, { removals: [{ id, revision: removalRevision }] });
 }
 
 function recordsUpdate(revision: number, ...backends: RoutedBackend[]): RoutingUpdate {
   return updateAt(revision, { backends });
 }
 
-for (const [name, updates, expected] of ORDERS) {
+for (const [name, updates, expected] of UPDATE_SEQUENCES) {
   test(`records and removals are ordered by revision: ${name}`, (t) => {
     const { knowledge } = createKnowledge();
-    for (const update of updates) knowledge.apply('backends', update, origin(0));
-    t.deepEqual(recordedIds(knowledge), expected);
+    for (const update of updates) knowledge.apply('backends', update, originSince(0));
+    t.deepEqual(listedIds(knowledge), expected);
   });
 }
 
@@ -105,17 +105,17 @@
     retentionMs: RETENTION_MS,
   });
   const many = Array.from({ length: 50 }, (_, index) => backendAt(`b-${index}`, 3));
-  knowledge.apply('backends', completeUpdate(3, ...many), origin(-1));
+  knowledge.apply('backends', completeUpdate(3, ...many), originSince(-1));
   t.is(events.length, 1);
-  t.is(recordedIds(knowledge).length, 50);
-  knowledge.apply('backends', recordsUpdate(4, backendAt('c', 4), backendAt('d', 4)), origin(3));
+  t.is(listedIds(knowledge).length, 50);
+  knowledge.apply('backends', recordsUpdate(4, backendAt('c', 4), backendAt('d', 4)), originSince(3));
   t.is(events.length, 3);
 });
 
 test('a departed back end is kept for the retention time', (t) => {
   const { clock, knowledge } = createKnowledge();
-  knowledge.apply('backends', completeUpdate(3, backendAt('a', 3)), origin(-1));
-  knowledge.apply('backends', removalUpdate(4, 'a', 4), origin(3));
+  knowledge.apply('backends', completeUpdate(3, backendAt('a', 3)), originSince(-1));
+  knowledge.apply('backends', removalUpdate(4, 'a', 4), originSince(3));
   clock.advance(RETENTION_MS - 1);
   knowledge.backends.prune();
   t.truthy(knowledge.backends.get('a'));
@@ -127,24 +127,24 @@
 test('a record that disappears counts as lapsed unless its back end was draining', (t) => {
   const { knowledge } = createKnowledge();
   const drainingRecord = backendAt('b', 3, { draining: true });
-  knowledge.apply('backends', completeUpdate(3, backendAt('a', 3), drainingRecord), origin(-1));
-  knowledge.apply('backends', completeUpdate(9), origin(-1, 0, true));
+  knowledge.apply('backends', completeUpdate(3, backendAt('a', 3), drainingRecord), originSince(-1));
+  knowledge.apply('backends', completeUpdate(9), originSince(-1, 0, true));
   t.true(knowledge.backends.get('a')?.lapsed);
   t.false(knowledge.backends.get('b')?.lapsed);
 });
 
 test('changes after a gap are applied, but the known revision stays', (t) => {
   const { knowledge } = createKnowledge();
-  knowledge.apply('backends', completeUpdate(3, backendAt('a', 3)), origin(-1));
-  t.false(knowledge.apply('backends', recordsUpdate(9, backendAt('b', 9)), origin(7)));
-  t.deepEqual(recordedIds(knowledge), ['a', 'b']);
+  knowledge.apply('backends', completeUpdate(3, backendAt('a', 3)), originSince(-1));
+  t.false(knowledge.apply('backends', recordsUpdate(9, backendAt('b', 9)), originSince(7)));
+  t.deepEqual(listedIds(knowledge), ['a', 'b']);
   t.is(knowledge.revisionOf('backends'), 3);
 });
 
 test('a confirmation counts only when all changes that it covers are known', (t) => {
   const { clock, knowledge } = createKnowledge();
   clock.advance(10_000);
-  knowledge.apply('backends', completeUpdate(3, backendAt('a', 3)), origin(-1, 1_000));
+  knowledge.apply('backends', completeUpdate(3, backendAt('a', 3)), originSince(-1, 1_000));
   t.is(knowledge.ageOf('backends'), 9_000);
   t.false(knowledge.applyConfirmation('backends', { revision: 8, changedRevision: 5, confirmedAtMs: 9_000 }));
   t.is(knowledge.ageOf('backends'), 9_000);
@@ -159,8 +159,8 @@
   const { knowledge } = createKnowledge();
   const departed = [{ record: backendAt('b', 5), departedAtMs: 0 }];
   const update = { ...completeUpdate(9, backendAt('a', 3)), departed };
-  knowledge.apply('backends', update, origin(-1));
-  t.deepEqual(recordedIds(knowledge), ['a']);
+  knowledge.apply('backends', update, originSince(-1));
+  t.deepEqual(listedIds(knowledge), ['a']);
   t.true(knowledge.backends.get('b')?.departed);
 });
 
@@ -171,7 +171,7 @@
     { record: backendAt('b', 5), departedAtMs: 1 },
     { record: backendAt('c', 5), departedAtMs: 0 },
   ];
-  knowledge.apply('backends', { ...completeUpdate(9), departed }, origin(-1));
+  knowledge.apply('backends', { ...completeUpdate(9), departed }, originSince(-1));
   t.true(knowledge.backends.get('b')?.departed);
   t.is(knowledge.backends.get('c'), undefined);
   clock.advance(1);
@@ -181,9 +181,9 @@
 
 test('an outdated complete update reinstates no back end, and adds those that departed since', (t) => {
   const { knowledge } = createKnowledge();
-  knowledge.apply('backends', completeUpdate(9, backendAt('a', 3)), origin(-1));
-  knowledge.apply('backends', completeUpdate(5, backendAt('a', 3), backendAt('b', 4)), origin(-1));
-  t.deepEqual(recordedIds(knowledge), ['a']);
+  knowledge.apply('backends', completeUpdate(9, backendAt('a', 3)), originSince(-1));
+  knowledge.apply('backends', completeUpdate(5, backendAt('a', 3), backendAt('b', 4)), originSince(-1));
+  t.deepEqual(listedIds(knowledge), ['a']);
   t.true(knowledge.backends.get('b')?.departed);
   t.is(knowledge.revisionOf('backends'), 9);
 });
@@ -192,23 +192,26 @@
   const { knowledge: first } = createKnowledge();
   const gossiped: { readonly update: RoutingUpdate; readonly since: number }[] = [];
   first.subscribe((applied) => gossiped.push(applied));
-  first.apply('routes', updateAt(3, { complete: true, routes: [tableAt(3)] }), origin(-1));
+  first.apply('routes', updateAt(3, { complete: true, routes: [tableAt(3)] }), originSince(-1));
   first.applyConfirmation('routes', { revision: 8, changedRevision: 3, confirmedAtMs: 0 });
-  first.apply('routes', updateAt(9, { routes: [tableAt(9, { routes: [] })] }), origin(8));
+  first.apply('routes', updateAt(9, { routes: [tableAt(9, { routes: [] })] }), originSince(8));
   const { update, since } = gossiped[1]!;
   t.deepEqual(update.routes, []);
   t.is(since, 3, 'nothing changed between 3 and 8');
 
   const { knowledge: current } = createKnowledge();
-  current.apply('routes', updateAt(5, { complete: true, routes: [tableAt(3)] }), origin(-1));
-  t.true(current.apply('routes', update, origin(since)));
+  current.apply('routes', updateAt(5, { complete: true, routes: [tableAt(3)] }), originSince(-1));
+  t.true(current.apply('routes', update, originSince(since)));
   t.is(current.routes()?.table.version, 9);
   t.deepEqual(current.routes()?.table.routes, []);
 
   const { knowledge: older } = createKnowledge();
-  older.apply('routes', updateAt(2, { complete: true, routes: [tableAt(2)] }), origin(-1));
-  t.false(older.apply('routes', update, origin(since)));
-  t.false(older.apply('routes', update, origin(2)), 'even when the revision of the topic would allow it');
+  older.apply('routes', updateAt(2, { complete: true, routes: [tableAt(2)] }), originSince(-1));
+  t.false(older.apply('routes', update, originSince(since)));
+  t.false(
+    older.apply('routes', update, originSince(2)),
+    'even when the revision of the topic would allow it',
+  );
   t.is(older.routes()?.table.version, 2);
   t.is(older.revisionOf('routes'), 2);
 });
@@ -225,9 +228,9 @@
         (order) => {
           const { knowledge } = createKnowledge();
           const allBackends = ['a', 'b', 'c'].map((id) => backendAt(id, 0));
-          knowledge.apply('backends', completeUpdate(0, ...allBackends), origin(-1));
-          for (const update of order) knowledge.apply('backends', update, origin(0));
-          return recordedIds(knowledge).sort().join();
+          knowledge.apply('backends', completeUpdate(0, ...allBackends), originSince(-1));
+          for (const update of order) knowledge.apply('backends', update, originSince(0));
+          return listedIds(knowledge).sort().join();
         },
       );
       return new Set(outcomes).size === 1;
--- a/src/cookie-edge/routing/knowledge.ts
+++ b/src/cookie-edge/routing/knowledge.ts
@@ -75,7 +75,7 @@
     backends: NEVER_CONFIRMED,
     cordons: NEVER_CONFIRMED,
   };
-  private readonly applied = new Subject<AppliedUpdate>();
+  private readonly appliedUpdates = new Subject<AppliedUpdate>();
 
   constructor(private readonly options: RoutingKnowledgeOptions) {
     this.backends = new BackendRegistry(options);
@@ -134,7 +134,7 @@
 
   /** Calls `listener` after each update that changed something; returns an unsubscribe function. */
   subscribe(listener: (applied: AppliedUpdate) => void): () => void {
-    return this.applied.subscribe(listener);
+    return this.appliedUpdates.subscribe(listener);
   }
 
   /**
@@ -192,7 +192,7 @@
     if (!changed || revision <= previousRevision) return true;
     const updateToGossip =
       topic === 'routes' ? this.routesInForce.updateToGossip(update, previousTable, beginsEpoch) : update;
-    this.applied.push({ topic, update: updateToGossip, since: previousChangedRevision });
+    this.appliedUpdates.push({ topic, update: updateToGossip, since: previousChangedRevision });
     return true;
   }
 
--- a/src/cookie-edge/routing/known-backend.ts
+++ b/src/cookie-edge/routing/known-backend.ts
@@ -34,7 +34,7 @@
 interface RestoredRecord {
   readonly record: RoutedBackend;
   /** Monotonic ms at which it was listed again. */
-  readonly atMs: number;
+  readonly listedAtMs: number;
 }
 
 /** Returns the log fields of a record. */
--- a/src/cookie-edge/routing/lapsed-records.ts
+++ b/src/cookie-edge/routing/lapsed-records.ts
@@ -17,6 +17,6 @@
 }
 
 /** Returns true if a missing record may have lapsed. The record of a draining back end was removed on purpose. */
-export function countsAsLapsed(mayLapse: boolean, draining: boolean): boolean {
-  return mayLapse && !draining;
+export function countsAsLapsed(mayLapse: boolean, isDraining: boolean): boolean {
+  return mayLapse && !isDraining;
 }
--- a/src/cookie-edge/routing/route-table-change.test.ts
+++ b/src/cookie-edge/routing/route-table-change.test.ts
@@ -19,7 +19,7 @@
   .array(routes, { minLength: 2, maxLength: 6 })
   .map((versions) => versions.map((content, index) => tableAt(10 * (index + 1), { routes: content })));
 
-function sorted(table: RouteTable | undefined): RouteTable | undefined {
+function withSortedRoutes(table: RouteTable | undefined): RouteTable | undefined {
   if (!table) return undefined;
   return { ...table, routes: [...table.routes].sort((left, right) => (left.name < right.name ? -1 : 1)) };
 }
@@ -32,7 +32,8 @@
         .slice(1)
         .map((table, index) => diffTables(tables[index]!, table))
         .reduce(mergeTableChanges);
-      for (const table of tables) t.deepEqual(sorted(applyTableChange(table, joined)), sorted(last));
+      for (const table of tables)
+        t.deepEqual(withSortedRoutes(applyTableChange(table, joined)), withSortedRoutes(last));
     }),
     { seed: 20_261_202, numRuns: 300 },
   );
--- a/src/cookie-edge/routing/route-table-change.ts
+++ b/src/cookie-edge/routing/route-table-change.ts
@@ -9,8 +9,10 @@
 export function diffTables(fromTable: RouteTable, toTable: RouteTable): RouteTableChange {
   const previousRoutes = byName(fromTable.routes);
   const routes = toTable.routes.filter((route) => !isSameRoute(previousRoutes.get(route.name), route));
-  const present = new Set(toTable.routes.map(({ name }) => name));
-  const removedRoutes = fromTable.routes.filter(({ name }) => !present.has(name)).map(({ name }) => name);
+  const currentNames = new Set(toTable.routes.map(({ name }) => name));
+  const removedRoutes = fromTable.routes
+    .filter(({ name }) => !currentNames.has(name))
+    .map(({ name }) => name);
   const { version, revision, idleTimeoutMs, services } = toTable;
   return {
     fromRevisions: [fromTable.revision],
@@ -36,10 +38,10 @@
   for (const name of change.removedRoutes) routes.delete(name);
   for (const route of change.routes) routes.set(route.name, route);
   const { version, revision, idleTimeoutMs, services, digest } = change;
-  const changed = [...routes.values()];
-  if (digestOfRoutes(changed) !== digest) return undefined;
+  const changedRoutes = [...routes.values()];
+  if (digestOfRoutes(changedRoutes) !== digest) return undefined;
   const epoch = table.epoch === undefined ? {} : { epoch: table.epoch };
-  return { version, ...epoch, revision, idleTimeoutMs, services, routes: changed };
+  return { version, ...epoch, revision, idleTimeoutMs, services, routes: changedRoutes };
 }
 
 /** Returns true when `second` starts from the table that `first` produces. */
@@ -50,17 +52,17 @@
 /** Merges two consecutive changes into one; `isConsecutiveChange(first, second)` must be true. */
 export function mergeTableChanges(first: RouteTableChange, second: RouteTableChange): RouteTableChange {
   const routes = byName(first.routes);
-  const removed = new Set(first.removedRoutes);
+  const removedNames = new Set(first.removedRoutes);
   for (const name of second.removedRoutes) {
     routes.delete(name);
-    removed.add(name);
+    removedNames.add(name);
   }
   for (const route of second.routes) {
     routes.set(route.name, route);
-    removed.delete(route.name);
+    removedNames.delete(route.name);
   }
   const fromRevisions = [...new Set([...first.fromRevisions, ...second.fromRevisions])];
-  return { ...second, fromRevisions, routes: [...routes.values()], removedRoutes: [...removed] };
+  return { ...second, fromRevisions, routes: [...routes.values()], removedRoutes: [...removedNames] };
 }
 
 /** Computes a 32-bit digest of routes that does not depend on their order. */
@@ -69,9 +71,9 @@
 }
 
 function digestOfRoute({ name, address, port, targets, allowedRegions = [] }: Route): number {
-  const start = combine32(hashString(name), combine32(address, port));
-  const parts = [...targets.map(({ service, weight }) => `${service} ${weight}`), ...allowedRegions];
-  return parts.reduce((digest, part) => combine32(digest, hashString(part)), start);
+  const addressDigest = combine32(hashString(name), combine32(address, port));
+  const digestedTexts = [...targets.map(({ service, weight }) => `${service} ${weight}`), ...allowedRegions];
+  return digestedTexts.reduce((digest, part) => combine32(digest, hashString(part)), addressDigest);
 }
 
 function byName(routes: readonly Route[]): Map<string, Route> {
--- a/src/cookie-edge/routing/source-follower.test.ts
+++ b/src/cookie-edge/routing/source-follower.test.ts
@@ -13,12 +13,12 @@
 import { SourceHistoryLog } from './source-history-log.js';
 import type { RoutingUpdate } from './types.js';
 
-type Answer = RoutingUpdate | RoutingSourceErrorKind;
+type SourceResponse = RoutingUpdate | RoutingSourceErrorKind;
 
 const TIMINGS = freshnessTimings(3_000);
 
 /** Starts a follower of back ends on a virtual clock, with a source that responds by `script`. */
-function startFollower(respond: (call: SourceCall, clock: VirtualClock) => Promise<Answer>) {
+function startFollower(respond: (call: SourceCall, clock: VirtualClock) => Promise<SourceResponse>) {
   const clock = new VirtualClock();
   const source = new ScriptedSource((call) => respond(call, clock));
   const knowledge = new RoutingKnowledge({ clock, events: SILENT_EVENT_LOG, retentionMs: 60_000 });
@@ -108,7 +108,7 @@
   const { clock, source, knowledge, stop } = startFollower((call, virtual) => {
     if (call.kind === 'read') return resolveAfter(virtual, 4, FIRST_LIST);
     watches += 1;
-    return watches === 1 ? resolveAfter<Answer>(virtual, 4, 'routing.history-gone') : PENDING;
+    return watches === 1 ? resolveAfter<SourceResponse>(virtual, 4, 'routing.history-gone') : PENDING;
   });
   await clock.advanceAsync(6, 1);
   t.truthy(knowledge.backends.get('a'));
@@ -124,7 +124,7 @@
   let reads = 0;
   const { clock, knowledge, stop } = startFollower((call, virtual) => {
     if (call.kind === 'watch')
-      return reads === 1 ? resolveAfter<Answer>(virtual, 50, 'routing.history-gone') : PENDING;
+      return reads === 1 ? resolveAfter<SourceResponse>(virtual, 50, 'routing.history-gone') : PENDING;
     reads += 1;
     return resolveAfter(virtual, 4, reads === 1 ? FIRST_LIST : updateAt(9, { complete: true }));
   });
@@ -145,8 +145,8 @@
   test(`the known state stays after ${kind}, and calls are retried with backoff`, async (t) => {
     const { clock, source, knowledge, availability, stop } = startFollower((call, virtual) =>
       call.kind === 'read'
-        ? resolveAfter<Answer>(virtual, 4, FIRST_LIST)
-        : resolveAfter<Answer>(virtual, 4, kind),
+        ? resolveAfter<SourceResponse>(virtual, 4, FIRST_LIST)
+        : resolveAfter<SourceResponse>(virtual, 4, kind),
     );
     await clock.advanceAsync(10_000, 5);
     t.truthy(knowledge.backends.get('a'));
@@ -163,8 +163,8 @@
 test('records that disappear just after an outage count as lapsed', async (t) => {
   let isSourceDown = true;
   const { clock, knowledge, stop } = startFollower((call, virtual) => {
-    if (call.kind === 'read') return resolveAfter<Answer>(virtual, 4, FIRST_LIST);
-    if (isSourceDown) return resolveAfter<Answer>(virtual, 4, 'routing.unavailable');
+    if (call.kind === 'read') return resolveAfter<SourceResponse>(virtual, 4, FIRST_LIST);
+    if (isSourceDown) return resolveAfter<SourceResponse>(virtual, 4, 'routing.unavailable');
     return resolveAfter(virtual, 4, updateAt(9, { removals: [{ id: 'a', revision: 5 }] }));
   });
   await clock.advanceAsync(3_000, 5);
@@ -178,8 +178,8 @@
 test('a stopped follower makes no further call', async (t) => {
   const { clock, source, stop } = startFollower((call, virtual) =>
     call.kind === 'read'
-      ? resolveAfter<Answer>(virtual, 4, FIRST_LIST)
-      : resolveAfter<Answer>(virtual, 4, 'routing.unavailable'),
+      ? resolveAfter<SourceResponse>(virtual, 4, FIRST_LIST)
+      : resolveAfter<SourceResponse>(virtual, 4, 'routing.unavailable'),
   );
   await clock.advanceAsync(100, 1);
   stop();
@@ -245,7 +245,7 @@
 
 test('calls back off while the source has lost its history after each read', async (t) => {
   const { clock, source, history, stop } = startFollower((call, virtual) =>
-    resolveAfter<Answer>(virtual, 4, call.kind === 'read' ? FIRST_LIST : 'routing.history-gone'),
+    resolveAfter<SourceResponse>(virtual, 4, call.kind === 'read' ? FIRST_LIST : 'routing.history-gone'),
   );
   await clock.advanceAsync(10_000, 10);
   // Once the backoff has grown, at least half of the longest delay passes between two rounds of a read and a watch.
--- a/src/cookie-edge/routing/source-follower.ts
+++ b/src/cookie-edge/routing/source-follower.ts
@@ -5,7 +5,11 @@
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import { pause } from '../../common/pause.js';
-import { CHANGE_WATCH_DELAY_MS, CONFIRM_CHECK_MS, LONG_WATCH_START_MS } from './constants.js';
+import {
+  CHANGE_WATCH_DELAY_MS,
+  CONFIRMATION_CHECK_INTERVAL_MS,
+  LONG_WATCH_START_DELAY_MS,
+} from './constants.js';
 import { RoutingSourceError } from './errors.js';
 import type { FreshnessTimings } from './freshness.js';
 import { hasContent, type RoutingKnowledge } from './knowledge.js';
@@ -14,7 +18,7 @@
 import { compareEpochs, isBefore } from './source-epoch.js';
 import type { SourceHistoryLog } from './source-history-log.js';
 import type { ReadFreshness, RoutingSource, RoutingTopic, RoutingUpdate } from './types.js';
-import { isOverdue, canUseLongWatch, watchWaitMs, type WatchRequest } from './watch-wait.js';
+import { isOverdue, canUseLongWatch, computeWatchWaitMs, type WatchRequest } from './watch-wait.js';
 
 export interface SourceFollowerOptions {
   readonly clock: Clock;
@@ -43,8 +47,8 @@
 
 /** Follows one topic. Its methods never throw or reject. */
 export class SourceFollower {
-  private reads = 0;
-  private watches = 0;
+  private readCount = 0;
+  private watchCount = 0;
   private firstRead: Promise<void> | undefined;
   /** Revision of the last response to a watch; `isRevisionStable`: the previous response had the same revision. */
   private lastWatchRevision = -1;
@@ -59,7 +63,7 @@
 
   /** Number of calls since start. */
   get calls(): number {
-    return this.reads + this.watches;
+    return this.readCount + this.watchCount;
   }
 
   /** Reads the topic once, unless gossip delivers it first; the response may be some seconds old. */
@@ -72,7 +76,7 @@
   async run(signal: AbortSignal): Promise<void> {
     await this.readFirst(signal);
     let hasGap = !this.isKnown();
-    if (this.shouldDelayFirstWatch) await pause(this.options.clock, LONG_WATCH_START_MS, signal);
+    if (this.shouldDelayFirstWatch) await pause(this.options.clock, LONG_WATCH_START_DELAY_MS, signal);
     while (!signal.aborted) {
       const complete = await this.callOnce(hasGap, signal);
       hasGap = !complete;
@@ -112,7 +116,7 @@
   private async readAll(freshness: ReadFreshness, signal: AbortSignal): Promise<boolean> {
     const { source, clock } = this.options;
     const requestedAtMs = clock.now();
-    this.reads += 1;
+    this.readCount += 1;
     const response = await source.read(this.topic, freshness, signal);
     if (response.isErr) {
       await this.backOff(response.error, signal);
@@ -120,7 +124,7 @@
     }
     const isCurrent = freshness === 'current';
     if (isCurrent) this.logIfOlderRevision(response.value);
-    return this.apply(response.value, -1, isCurrent ? requestedAtMs : NO_CONFIRMATION_MS);
+    return this.applyResponse(response.value, -1, isCurrent ? requestedAtMs : NO_CONFIRMATION_MS);
   }
 
   /** Watches once; returns false when the whole topic must be read again. */
@@ -129,8 +133,8 @@
     const since = knowledge.revisionOf(this.topic);
     const epoch = knowledge.epochOf(this.topic);
     const requestedAtMs = clock.now();
-    this.watches += 1;
-    const waitMs = watchWaitMs(this.watchRequest(), this.options.timings);
+    this.watchCount += 1;
+    const waitMs = computeWatchWaitMs(this.watchRequest(), this.options.timings);
     const abortableWatch = this.beginAbortableWatch(signal);
     const response = await source.watch(this.topic, since, waitMs, abortableWatch.signal);
     abortableWatch.end();
@@ -157,7 +161,7 @@
     this.lastWatchRevision = response.value.revision;
     const heldMs = hasChanges ? 0 : waitMs;
     this.options.history.clearLoggedBreaks(this.topic);
-    const complete = this.apply(response.value, since, Math.min(requestedAtMs + heldMs, clock.now()));
+    const complete = this.applyResponse(response.value, since, Math.min(requestedAtMs + heldMs, clock.now()));
     if (hasChanges) await pause(clock, CHANGE_WATCH_DELAY_MS, signal);
     return complete;
   }
@@ -217,11 +221,11 @@
     const watchAbort = new AbortController();
     const abort = (): void => watchAbort.abort();
     let timer: TimerHandle;
-    const check = (): void => {
+    const abortIfOverdue = (): void => {
       if (this.isTopicOverdue()) abort();
-      else timer = this.options.clock.schedule(CONFIRM_CHECK_MS, check);
+      else timer = this.options.clock.schedule(CONFIRMATION_CHECK_INTERVAL_MS, abortIfOverdue);
     };
-    timer = this.options.clock.schedule(CONFIRM_CHECK_MS, check);
+    timer = this.options.clock.schedule(CONFIRMATION_CHECK_INTERVAL_MS, abortIfOverdue);
     signal.addEventListener('abort', abort);
     const end = (): void => {
       timer.cancel();
@@ -230,7 +234,7 @@
     return { signal: watchAbort.signal, end };
   }
 
-  private apply(update: RoutingUpdate, since: number, confirmedAtMs: number): boolean {
+  private applyResponse(update: RoutingUpdate, since: number, confirmedAtMs: number): boolean {
     const { availability, knowledge, problems } = this.options;
     problems.record(this.topic, update.problems);
     const mayHaveLapsed = availability.recordsMayLapse();
@@ -243,10 +247,10 @@
   private async backOff(
     error: RoutingSourceError,
     signal: AbortSignal,
-    failuresInARow?: number,
+    consecutiveFailures?: number,
   ): Promise<void> {
     if (signal.aborted || error.kind === 'routing.cancelled') return;
-    const waitMs = this.options.availability.recordFailure(this.topic, error, failuresInARow);
+    const waitMs = this.options.availability.recordFailure(this.topic, error, consecutiveFailures);
     await pause(this.options.clock, waitMs, signal);
   }
 }
--- a/src/cookie-edge/routing/watch-wait.test.ts
+++ b/src/cookie-edge/routing/watch-wait.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { FIRST_WATCH_WAIT_MS } from './constants.js';
 import { freshnessTimings } from './freshness.js';
-import { isOverdue, canUseLongWatch, watchWaitMs, type WatchRequest } from './watch-wait.js';
+import { isOverdue, canUseLongWatch, computeWatchWaitMs, type WatchRequest } from './watch-wait.js';
 
 const TIMINGS = freshnessTimings(3_000);
 const ORDINARY: WatchRequest = { ageMs: 0, isLongWatchEnabled: false, isRevisionStable: true };
@@ -25,7 +25,7 @@
 
 for (const [name, request, expected] of WAIT_CASES) {
   test(`wait: ${name}`, (t) => {
-    t.is(watchWaitMs(request, TIMINGS), expected);
+    t.is(computeWatchWaitMs(request, TIMINGS), expected);
   });
 }
 
--- a/src/cookie-edge/routing/watch-wait.ts
+++ b/src/cookie-edge/routing/watch-wait.ts
@@ -34,7 +34,7 @@
 }
 
 /** Computes the longest time that the source may hold back the response. */
-export function watchWaitMs(request: WatchRequest, timings: FreshnessTimings): number {
+export function computeWatchWaitMs(request: WatchRequest, timings: FreshnessTimings): number {
   if (!Number.isFinite(request.ageMs)) return FIRST_WATCH_WAIT_MS;
   if (canUseLongWatch(request, timings)) return timings.longWatchWaitMs;
   const leftMs = Math.floor(timings.readerAgeMs - request.ageMs);
--- a/src/cookie-edge/routing/zone-cordons.test.ts
+++ b/src/cookie-edge/routing/zone-cordons.test.ts
@@ -12,14 +12,14 @@
   return new RoutingKnowledge({ clock, events: SILENT_EVENT_LOG, retentionMs: 60_000, followsCordons });
 }
 
-function origin(since: number, confirmedAtMs = 0): Parameters<RoutingKnowledge['apply']>[2] {
+function originSince(since: number, confirmedAtMs = 0): Parameters<RoutingKnowledge['apply']>[2] {
   return { since, confirmedAtMs, mayHaveLapsed: false };
 }
 
 function completeUpdate(revision: number, ...cordons: readonly [string, number][]): RoutingUpdate {
   return updateAt(revision, {
     complete: true,
-    cordons: cordons.map(([zone, recordedAt]) => ({ zone, revision: recordedAt })),
+    cordons: cordons.map(([zone, cordonRevision]) => ({ zone, revision: cordonRevision })),
   });
 }
 
@@ -37,18 +37,18 @@
     [false, true],
   ] as const) {
     const knowledge = createKnowledge(follows);
-    knowledge.apply('routes', updateAt(5, { complete: true, routes: [tableAt(5)] }), origin(-1));
+    knowledge.apply('routes', updateAt(5, { complete: true, routes: [tableAt(5)] }), originSince(-1));
     const backends = [backendAt('a', 2)];
-    knowledge.apply('backends', updateAt(5, { complete: true, backends }), origin(-1));
+    knowledge.apply('backends', updateAt(5, { complete: true, backends }), originSince(-1));
     t.is(knowledge.isComplete(), isCompleteWithoutCordons);
-    knowledge.apply('cordons', completeUpdate(5), origin(-1));
+    knowledge.apply('cordons', completeUpdate(5), originSince(-1));
     t.true(knowledge.isComplete());
   }
 });
 
 test('cordons are ignored if they are not followed', (t) => {
   const knowledge = createKnowledge(false);
-  knowledge.apply('cordons', completeUpdate(5, ['north', 3]), origin(-1));
+  knowledge.apply('cordons', completeUpdate(5, ['north', 3]), originSince(-1));
   t.false(knowledge.cordons.has('north'));
 });
 
@@ -146,24 +146,24 @@
 for (const [name, updates, expected] of CASES) {
   test(`a zone is ${expected ? '' : 'not '}cordoned: ${name}`, (t) => {
     const knowledge = createKnowledge();
-    for (const [update, since] of updates) knowledge.apply('cordons', update, origin(since));
+    for (const [update, since] of updates) knowledge.apply('cordons', update, originSince(since));
     t.is(knowledge.cordons.has('north'), expected);
   });
 }
 
 test('a change after a gap is applied, but the topic must be read again', (t) => {
   const knowledge = createKnowledge();
-  knowledge.apply('cordons', completeUpdate(3), origin(-1));
-  t.false(knowledge.apply('cordons', cordonUpdate('north', 9), origin(7)));
+  knowledge.apply('cordons', completeUpdate(3), originSince(-1));
+  t.false(knowledge.apply('cordons', cordonUpdate('north', 9), originSince(7)));
   t.true(knowledge.cordons.has('north'));
   t.is(knowledge.revisionOf('cordons'), 3);
 });
 
 test('a response about one topic confirms only the topics that are known up to its revision', (t) => {
   const knowledge = createKnowledge();
-  knowledge.apply('routes', updateAt(5, { complete: true, routes: [tableAt(5)] }), origin(-1));
-  knowledge.apply('cordons', completeUpdate(7), origin(-1));
-  knowledge.apply('backends', updateAt(6, { complete: true, backends: [] }), origin(-1, 900));
+  knowledge.apply('routes', updateAt(5, { complete: true, routes: [tableAt(5)] }), originSince(-1));
+  knowledge.apply('cordons', completeUpdate(7), originSince(-1));
+  knowledge.apply('backends', updateAt(6, { complete: true, backends: [] }), originSince(-1, 900));
   t.is(knowledge.ageOf('backends'), 100);
   t.is(knowledge.ageOf('cordons'), 100, 'nothing newer than revision 6 existed, and 7 is known');
   t.is(knowledge.ageOf('routes'), 1_000, 'a change of routes at revision 6 may be missing');
@@ -183,8 +183,8 @@
   fc.assert(
     fc.property(orders, (order) => {
       const knowledge = createKnowledge();
-      for (const [update, since] of order) knowledge.apply('cordons', update, origin(since));
-      knowledge.apply('cordons', completeUpdate(12, ...state), origin(-1));
+      for (const [update, since] of order) knowledge.apply('cordons', update, originSince(since));
+      knowledge.apply('cordons', completeUpdate(12, ...state), originSince(-1));
       const zones = knowledge.cordons.all().map(({ zone }) => zone);
       return zones.sort().join() === [...state.keys()].sort().join();
     }),
--- a/src/cookie-edge/routing/zone-cordons.ts
+++ b/src/cookie-edge/routing/zone-cordons.ts
@@ -64,8 +64,8 @@
 
   /** Removes every cordon that is not in `listed` and whose record is not newer than `revision`. */
   removeUnlisted(listed: ReadonlySet<string>, revision: number): void {
-    for (const { zone, revision: recordedAt } of this.all()) {
-      if (!listed.has(zone) && recordedAt <= revision) this.remove({ zone, revision });
+    for (const { zone, revision: recordRevision } of this.all()) {
+      if (!listed.has(zone) && recordRevision <= revision) this.remove({ zone, revision });
     }
   }
 
