--- a/src/cookie-edge/forwarding/constants.ts
+++ b/src/cookie-edge/forwarding/constants.ts
@@ -22,7 +22,7 @@
 export const STALE_REQUEST_MS = 500;
 
 /**
- * Data repeated sooner than this, in ms, is a duplicate created by the network, not a retransmission. Callers
+ * Data repeated sooner than this, in ms, counts as a duplicate created by the network, not a retransmission. Callers
  * retransmit after 200 ms at the earliest; the margin is 50 ms.
  */
 export const MIN_RETRANSMISSION_INTERVAL_MS = 150;
--- a/src/cookie-edge/forwarding/cookie-registry.test.ts
+++ b/src/cookie-edge/forwarding/cookie-registry.test.ts
@@ -1,4 +1,4 @@
-/** Colliding cookies, and cookies of removed back ends. */
+/** Guards against colliding cookies, and against cookies that still lead to a removed back end. */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import { SILENT_EVENT_LOG } from '../../observability/event.js';
--- a/src/cookie-edge/forwarding/cookie-test-support.ts
+++ b/src/cookie-edge/forwarding/cookie-test-support.ts
@@ -1,4 +1,4 @@
-/** A cookie forwarder on a virtual clock, with an edge that records the sent packets. */
+/** Runs a cookie forwarder on a virtual clock, with an edge that records the sent packets. */
 import { VirtualClock } from '../../common/clock.js';
 import { combine32 } from '../../common/hash.js';
 import { allBut, type Mechanism } from '../../common/mechanisms.js';
@@ -47,7 +47,7 @@
   readonly probe?: ConnectProbe;
   /** Returns true once peers have sent their data about back ends. Default: always. */
   readonly hasReceivedDeparted?: () => boolean;
-  /** Number of daemons. Without it no opening yields. */
+  /** Number of daemons. Without it no opening is deferred. */
   readonly fleetSize?: number;
   /** Uses `settlement` to decide whether the list of back ends is complete. Default: the list is always complete. */
   readonly tracksSettlement?: boolean;
@@ -78,7 +78,7 @@
   /** The packet being handled. */
   private currentPacket: CookiePacket = EMPTY_PACKET;
   private abort = new AbortController();
-  /** Callbacks to run at the end of the current turn of the event loop. */
+  /** Callbacks that `endEventLoopTurn` runs. */
   private readonly queued: (() => void)[] = [];
 
   constructor(
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -63,8 +63,8 @@
   /** Returns the region of a zone, or undefined if none is configured. */
   readonly regionOf: (zone: string) => string | undefined;
   /**
-   * Returns the number of daemons, including this one, or undefined while unknown. Without this function no opening
-   * yields.
+   * Returns the number of daemons, including this one, or undefined while unknown. Without this function no opening is
+   * deferred.
    */
   readonly fleetSize?: () => number | undefined;
   /**
@@ -265,7 +265,7 @@
   });
 }
 
-/** Returns undefined if openings never yield. */
+/** Returns undefined if openings are never deferred. */
 function createRecoveryAdmission(
   { knowledge, fleetSize }: CookieForwarderEnvironment,
   { isOn, flowsInProgress }: SharedComponents,
--- a/src/cookie-edge/forwarding/filling-backend-list.test.ts
+++ b/src/cookie-edge/forwarding/filling-backend-list.test.ts
@@ -33,7 +33,7 @@
   backend?: string;
 }
 
-/** Results of all callers. */
+/** Summary over all callers. */
 interface Outcome {
   readonly failed: number;
   readonly resets: number;
@@ -234,7 +234,7 @@
   t.deepEqual(harness.sentPorts, [4, 2, 3, 1]);
 });
 
-test('the hold of an opening that waited elsewhere before also ends before its caller retransmits', (t) => {
+test('the time that an opening has already been held counts, so that its hold ends before its caller retransmits', (t) => {
   const clock = new VirtualClock();
   const harness = new ForwarderHarness(clock, 1, [], { tracksSettlement: true }).applyRecords([]);
   harness.passToForwarder({ sourcePort: 1, syn: true }, 100);
--- a/src/cookie-edge/forwarding/flow-expiry-rule.test.ts
+++ b/src/cookie-edge/forwarding/flow-expiry-rule.test.ts
@@ -1,4 +1,4 @@
-/** When a cached flow expires. */
+/** Checks when a cached flow expires, by its phase. */
 import test from 'ava';
 import { TRANSIENT_FLOW_TIMEOUT_MS } from './constants.js';
 import type { FlowPhase } from './flow-cache.js';
--- a/src/cookie-edge/forwarding/flows-in-progress.ts
+++ b/src/cookie-edge/forwarding/flows-in-progress.ts
@@ -1,7 +1,7 @@
 /**
- * Tracks the flows that this daemon opened during a return (the period after an outage) and whose first request is not
- * answered yet. Flows opened earlier are excluded: many of their callers have given up meanwhile, so the daemon would
- * never see their requests answered. `FlowTracker` updates the flows.
+ * Tracks the flows that this daemon opened during a recovery (see `RecoveryAdmission`) and whose first request is
+ * not answered yet. Flows opened earlier are excluded: many of their callers have given up meanwhile, so the daemon
+ * would never see their requests answered. `FlowTracker` updates the flows.
  */
 import { STALE_REQUEST_MS } from './constants.js';
 import type { Flow } from './flow-cache.js';
@@ -27,8 +27,8 @@
 }
 
 /**
- * Excludes flows older than `STALE_REQUEST_MS`, because one unusually slow request would delay other openings without
- * need.
+ * Returns false for a flow older than `STALE_REQUEST_MS`, because a single unusually slow request would needlessly
+ * delay other openings.
  */
 function isInProgress(
   { phase, openedAtMs, highestDataSequence: dataSequence, request }: Flow,
--- a/src/cookie-edge/forwarding/held-openings.ts
+++ b/src/cookie-edge/forwarding/held-openings.ts
@@ -1,12 +1,12 @@
 /**
- * Holds openings that no back end can serve yet, or that yield to others, and re-evaluates them later.
- * `placement/no-backend-rule.ts` and `admission/yield-rule.ts` decide which openings are held. The edge keeps the
- * packets and delivers them again.
+ * Holds openings that no back end can serve yet, or that are deferred in favor of other openings, and re-evaluates them
+ * later. `placement/no-backend-rule.ts` and `admission/deferral-rule.ts` decide which openings are held. The edge keeps
+ * the packets and delivers them again.
  *
- * Load case: all daemons were lost, perhaps in an outage in which records lapsed. Hundreds of callers then wait until
- * back ends are listed one by one, or for their turn. Openings are re-evaluated by priority, then by how long the
- * caller has waited. An opening is not held beyond the time at which its caller sends the next SYN, which replaces it,
- * or gives up.
+ * Handles the load after all daemons were lost, perhaps in an outage in which records lapsed. Hundreds of callers then
+ * wait while back ends are listed one by one, or until their deferred openings are admitted. Openings are re-evaluated
+ * in order of route priority, then of how long the caller has waited. An opening is held at most until its caller sends
+ * the next SYN, which replaces it, or gives up.
  */
 import type { Clock, TimerHandle } from '../../common/clock.js';
 import type { CookieEdgePort, CookiePacket } from '../../fabric/cookie-edge.js';
@@ -35,7 +35,7 @@
   readonly waitedMs: number;
 }
 
-/** Why an opening is held: no back end can serve it yet, or it yields to others. */
+/** Why an opening is held: no back end can serve it yet, or it is deferred in favor of others (`yields`). */
 interface HoldCause {
   readonly route: Route;
   readonly reason: 'no-backend' | 'yields';
@@ -134,8 +134,8 @@
   }
 
   /**
-   * Removes openings whose callers are about to retransmit or give up. One that only yields to others is delivered a
-   * last time if its caller sends no further SYN.
+   * Removes openings whose callers are about to retransmit or give up. A deferred one is delivered a last time if its
+   * caller sends no further SYN.
    */
   private removeExpired(nowMs: number): void {
     for (const [flowId, opening] of [...this.openingsByFlowId]) {
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Detects a pause of the process, and then discards pending openings and requests: their answers may be in packets
-   * not read yet, so answered ones look unanswered.
+   * After a pause of the process, logs it and discards the pending openings and requests. Their answers may be in
+   * packets that are not read yet, so answered ones would count as unanswered.
    */
   private checkPause(nowMs: number): void {
     const { pauses, events, pendingOpenings, answerTracker } = this.options;
--- a/src/cookie-edge/forwarding/incarnation.test.ts
+++ b/src/cookie-edge/forwarding/incarnation.test.ts
@@ -1,6 +1,6 @@
 /**
- * A back end that restarts under its id has lost its state. These tests guard its flows, and what the daemon has
- * recorded of the previous incarnation, against being applied to the new one.
+ * Guards against treating a back end that restarted under its id as the old process, whose connections and state are
+ * lost. Load, failures, ejection, draining and slow start of the old incarnation must not apply to the new one.
  */
 import test from 'ava';
 import type { RoutedBackend } from '../routing/index.js';
--- a/src/cookie-edge/forwarding/mid-flow-rule.test.ts
+++ b/src/cookie-edge/forwarding/mid-flow-rule.test.ts
@@ -1,4 +1,4 @@
-/** Where a packet other than a SYN goes: each outcome, and the precedence of the cookie over the cached flow. */
+/** Checks each outcome for a packet other than a SYN, and the precedence of its cookie over the cached flow. */
 import test from 'ava';
 import type { KnownBackend } from '../routing/index.js';
 import { backendOfPacket, decideMidFlow, type MidFlowOutcome } from './mid-flow-rule.js';
--- a/src/cookie-edge/forwarding/mid-flow-rule.ts
+++ b/src/cookie-edge/forwarding/mid-flow-rule.ts
@@ -1,5 +1,5 @@
 /**
- * Rule: where a packet other than a SYN goes.
+ * Rule: whether a packet other than a SYN is forwarded to its back end, answered with a reset, or dropped.
  *
  * Prevents two failures. A packet that is forwarded to a guessed back end could reach another service, so a packet
  * whose back end is unknown is dropped. A caller whose packets go to a dead back end would wait for its timeout, so the
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -27,7 +27,7 @@
   readonly cache: FlowCache;
   readonly heldOpenings: HeldOpenings;
   readonly flowsInProgress: FlowsInProgress;
-  /** Decides which openings yield. Undefined if none do. */
+  /** Decides which openings are deferred during a recovery. Undefined if none are. */
   readonly recoveryAdmission?: RecoveryAdmission;
   readonly pendingOpenings: PendingOpenings;
   readonly failures: FlowFailures;
--- a/src/cookie-edge/forwarding/overload-after-outage.test.ts
+++ b/src/cookie-edge/forwarding/overload-after-outage.test.ts
@@ -154,18 +154,18 @@
 }
 
 /**
- * Compares runs with and without `yielding-openings`: callers that start within a second after the return, and callers
- * that started up to a second before it.
+ * Compares runs with and without `yielding-openings`: callers that start within a second after the daemons return,
+ * and callers that started up to a second before it.
  */
 function simulateOnAndOff(
   t: ExecutionContext,
-): Record<'on' | 'off', { prompt: number; waited: number; turnedAway: number }> {
+): Record<'on' | 'off', { newCallerShare: number; waitingCallerShare: number; rejectedRequests: number }> {
   const simulate = (switchedOff: readonly Mechanism[]) => {
     const simulation = new ReturnSimulation(switchedOff).run();
     return {
-      prompt: simulation.servedShare(OUTAGE_MS, OUTAGE_MS + 1_000, TARGET_LATENCY_MS),
-      waited: simulation.servedShare(OUTAGE_MS - 1_000, OUTAGE_MS, DEADLINE_MS),
-      turnedAway: simulation.rejectedCount,
+      newCallerShare: simulation.servedShare(OUTAGE_MS, OUTAGE_MS + 1_000, TARGET_LATENCY_MS),
+      waitingCallerShare: simulation.servedShare(OUTAGE_MS - 1_000, OUTAGE_MS, DEADLINE_MS),
+      rejectedRequests: simulation.rejectedCount,
     };
   };
   const results = { on: simulate([]), off: simulate(['yielding-openings']) };
@@ -175,7 +175,7 @@
 
 test('after an outage new callers are answered in time, and no fewer of the waiting callers get an answer', (t) => {
   const { on, off } = simulateOnAndOff(t);
-  t.true(on.prompt >= 0.9, 'nine in ten of the callers just after the return are answered in time');
-  t.true(on.waited >= off.waited, 'no fewer of the waiting callers get an answer');
-  t.true(on.turnedAway <= off.turnedAway / 2, 'back ends reject at most half as many requests');
+  t.true(on.newCallerShare >= 0.9, 'nine in ten of the callers just after the return are answered in time');
+  t.true(on.waitingCallerShare >= off.waitingCallerShare, 'no fewer of the waiting callers get an answer');
+  t.true(on.rejectedRequests <= off.rejectedRequests / 2, 'back ends reject at most half as many requests');
 });
--- a/src/cookie-edge/forwarding/retransmission-rule.ts
+++ b/src/cookie-edge/forwarding/retransmission-rule.ts
@@ -1,5 +1,5 @@
 /**
- * Rule: where a retransmitted SYN of a cached flow goes.
+ * Rule: which back end receives a retransmitted SYN of a cached flow.
  *
  * Prevents a flow from being opened at two back ends, and a caller from spending all its attempts on a back end that
  * does not respond. Does no input or output.
@@ -13,7 +13,7 @@
 import type { Placement } from '../placement/index.js';
 import type { FlowPhase } from './flow-cache.js';
 
-/** Back end that receives the retransmitted SYN. */
+/** Which back end receives the retransmitted SYN. */
 type RetransmissionOutcome = 'first-back-end' | 'another-back-end';
 
 /** Returns true if another back end should be considered. A dead verdict counts as an ejection here. */
--- a/src/cookie-edge/forwarding/switched-off.test.ts
+++ b/src/cookie-edge/forwarding/switched-off.test.ts
@@ -1,4 +1,4 @@
-/** Behaviour of a forwarder with single mechanisms switched off, as in ablation runs. */
+/** Checks the behaviour of a forwarder with single mechanisms switched off, as in ablation runs. */
 import test from 'ava';
 import type { Mechanism } from '../../common/mechanisms.js';
 import { HOUSEKEEPING_TICK_MS } from './constants.js';
--- a/src/cookie-edge/forwarding/syn-rule.test.ts
+++ b/src/cookie-edge/forwarding/syn-rule.test.ts
@@ -19,7 +19,7 @@
 ];
 
 for (const [count, phase, mayHaveWaited, expected] of CASES) {
-  test(`SYN ${count} of a flow that is ${phase ?? 'unknown'}, ${mayHaveWaited ? 'after' : 'without'} a pause: ${expected}`, (t) => {
+  test(`a SYN with retransmission count ${count} of a flow that is ${phase ?? 'unknown'}, ${mayHaveWaited ? 'after' : 'without'} a pause: ${expected}`, (t) => {
     t.is(classifySyn(count, phase, mayHaveWaited), expected);
   });
 }
--- a/src/cookie-edge/forwarding/syn-rule.ts
+++ b/src/cookie-edge/forwarding/syn-rule.ts
@@ -1,5 +1,5 @@
 /**
- * Rule: whether a SYN is stale, a retransmission or the start of a new flow.
+ * Rule: whether a SYN is stale, is a retransmission or starts a new flow.
  *
  * Prevents a flow from being opened at two back ends: while a SYN waits in the socket during a pause of the process,
  * its caller may retransmit it and a peer may place the retransmission. Does no input or output.
--- a/src/cookie-edge/forwarding/syn-schedule.ts
+++ b/src/cookie-edge/forwarding/syn-schedule.ts
@@ -4,7 +4,7 @@
  * input or output.
  */
 
-/** Times in ms after the first SYN: of both retransmissions and of the end of the attempt. Set by the platform. */
+/** Times of both retransmissions and of the end of the attempt, in ms after the first SYN. Set by the platform. */
 const NEXT_SYN_AT_MS = [200, 600, 1_400] as const;
 
 /** Number of SYNs that a caller sends after the first one. */
--- a/src/cookie-edge/routing/backend-settlement.ts
+++ b/src/cookie-edge/routing/backend-settlement.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks whether this daemon's list of back ends is considered complete, by the rule in `settlement-rule.ts`. Owns the
  * inputs of the rule: the time of the first list, the time of the last message from a settled peer, and the services in
- * the roster. Relies on gossip and on the roster reader to report the latter two.
+ * the roster. Relies on gossip to report messages from settled peers, and on the roster reader to report the services.
  */
 import type { Clock } from '../../common/clock.js';
 import type { EventLog } from '../../observability/event.js';
@@ -66,7 +66,7 @@
     this.evaluate();
   }
 
-  /** Calls `listener` whenever openings that are on hold may have become servable or refusable. */
+  /** Calls `listener` whenever it may have become possible to serve or refuse held openings. */
   subscribe(listener: () => void): void {
     this.listeners.push(listener);
   }
@@ -76,7 +76,7 @@
     this.options.clock.schedule(SETTLING_MS, () => this.evaluate());
   }
 
-  /** Settles the list once it counts as complete for the first time, then notifies the listeners. */
+  /** Settles the list the first time that it counts as complete. Notifies the listeners in every case. */
   private evaluate(): void {
     if (!this.hasSettled) this.settleIfDue();
     for (const listener of this.listeners) listener();
--- a/src/cookie-edge/routing/earliest-creation.test.ts
+++ b/src/cookie-edge/routing/earliest-creation.test.ts
@@ -1,4 +1,4 @@
-/** The registry keeps a back end's lowest creation revision, whatever the origin and order of the records. */
+/** Checks that the registry keeps a back end's lowest creation revision, whatever the origin and order of records. */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
 import type { EventDefinition } from '../../observability/event.js';
--- a/src/cookie-edge/routing/freshness.test.ts
+++ b/src/cookie-edge/routing/freshness.test.ts
@@ -1,4 +1,4 @@
-/** Durations derived from the freshness bound. */
+/** Checks the durations derived from the freshness bound. */
 import test from 'ava';
 import { DEFAULT_FRESHNESS_BOUND_MS, freshnessTimings, type FreshnessTimings } from './freshness.js';
 
--- a/src/cookie-edge/routing/freshness.ts
+++ b/src/cookie-edge/routing/freshness.ts
@@ -1,7 +1,7 @@
 /**
  * Rule: derives all durations for reading the source from the freshness bound, the time within which a change must
  * be in force on every daemon. Keeps the state within the bound, and saves calls where the bound is looser, because
- * watches then wait longer. Performs no I/O.
+ * watches then wait longer. Does no input or output.
  *
  * Without confirmations the durations elapse in this order: `readerAgeMs` (the maximum age at a reader),
  * `pullAfterMs` (the daemon pulls from peers), `readAfterMs` plus a random part of `readSpreadMs` (the daemon reads
@@ -43,7 +43,7 @@
 /** Longer than the bound; see `FreshnessTimings.readerFreshMs`. */
 const READER_FRESH_SHARE = 1.333;
 
-/** Number of bounds without a confirmation after which a reader counts as gone. */
+/** Multiple of the bound after which a reader without a new confirmation counts as gone. */
 const READER_MISSED_BOUNDS = 2;
 
 /** Durations in ms. */
@@ -59,7 +59,7 @@
   readonly confirmAfterMs: number;
   /** Shortest wait of a watch that follows a confirmation. */
   readonly watchMinWaitMs: number;
-  /** A watch ends before the age of the reader's own state exceeds this. */
+  /** A watch waits at most until the reader's own state is this old, but never less than `watchMinWaitMs`. */
   readonly readerAgeMs: number;
   /** A daemon sends pull requests to peers after this long without a confirmation. */
   readonly pullAfterMs: number;
--- a/src/cookie-edge/routing/incarnation-rule.ts
+++ b/src/cookie-edge/routing/incarnation-rule.ts
@@ -1,7 +1,7 @@
 /**
  * Rule: detects whether a record belongs to another incarnation, that is, to a process that was restarted under the
  * same back end id. Prevents the new process, which has no connections or state, from being treated as the old one.
- * Performs no I/O.
+ * Does no input or output.
  *
  * Each incarnation counts as a separate back end: the registry discards the old one and adds the new one, so flows,
  * health, verdicts, slow start and draining start over (docs/DECISION-RULES.md describes each). The rule compares start
--- a/src/cookie-edge/routing/index.ts
+++ b/src/cookie-edge/routing/index.ts
@@ -3,10 +3,15 @@
  * freshness of the data. Owns this daemon's routing state; relies on a deployment's `RoutingSource` and on gossip
  * (`spreading`) for updates.
  *
- * ```ts const knowledge = new RoutingKnowledge({ clock, events, retentionMs: 60_000 }); const timings =
- * freshnessTimings(3_000); const availability = new SourceAvailability(clock, random, events); const problems = new
- * ProblemLog(events); const history = new SourceHistoryLog(events); const following = { clock, source, knowledge,
- * availability, timings, problems, history }; void new SourceFollower('routes', following).run(signal); ```
+ * ```ts
+ * const knowledge = new RoutingKnowledge({ clock, events, retentionMs: 60_000 });
+ * const timings = freshnessTimings(3_000);
+ * const availability = new SourceAvailability(clock, random, events);
+ * const problems = new ProblemLog(events);
+ * const history = new SourceHistoryLog(events);
+ * const options = { clock, source, knowledge, availability, timings, problems, history };
+ * void new SourceFollower('routes', options).run(signal);
+ * ```
  */
 export type * from './types.js';
 export { BackendSettlement } from './backend-settlement.js';
--- a/src/cookie-edge/routing/known-backend.ts
+++ b/src/cookie-edge/routing/known-backend.ts
@@ -26,7 +26,7 @@
   departedAtMs: number | undefined;
   /** Monotonic ms at which its slow start ends. */
   coldUntilMs: number;
-  /** For a departed back end: its record in the backup from which the source was restored. */
+  /** Set for a departed back end that the source lists again after a restore from an older backup. */
   restored?: RestoredRecord;
 }
 
--- a/src/cookie-edge/routing/lapsed-records.test.ts
+++ b/src/cookie-edge/routing/lapsed-records.test.ts
@@ -1,4 +1,4 @@
-/** Which missing records may only have expired. */
+/** Checks which missing records may only have expired. */
 import test from 'ava';
 import { LAPSE_AFTER_OUTAGE_MS } from './constants.js';
 import { countsAsLapsed, recordsMayLapse } from './lapsed-records.js';
--- a/src/cookie-edge/routing/lapsed-records.ts
+++ b/src/cookie-edge/routing/lapsed-records.ts
@@ -1,7 +1,7 @@
 /**
  * Rule: decides whether a record that disappeared from the source may only have lapsed (expired without renewal), so
  * that its back end may still run. Prevents a service from losing back ends only because they could not renew their
- * records during an outage. Performs no I/O; times are ms.
+ * records during an outage. Does no input or output; times are ms.
  *
  * A daemon that has not detected an outage treats the record as removed. Placement decides for how long, and after
  * which signs of life, a back end with a lapsed record still gets new flows.
--- a/src/cookie-edge/routing/problem-log.ts
+++ b/src/cookie-edge/routing/problem-log.ts
@@ -1,17 +1,18 @@
 /**
- * Logs and counts faults in records of the source, each once per revision of the record. Owns the set of logged faults;
- * relies on the source to report them.
+ * Logs and counts problems with records of the source, each once per revision of the record. Owns the set of logged
+ * problems; relies on the source to report them.
  */
 import type { EventLog } from '../../observability/event.js';
 import { ROUTING_EVENTS } from './events.js';
 import type { RecordProblem, RoutingTopic } from './types.js';
 
 /**
- * Maximum size of the set that keeps a fault from being logged again. The set is cleared when full, to bound memory.
+ * Maximum number of logged problems that are stored to keep them from being logged again. Bounds memory: the set is
+ * cleared when it is full.
  */
 const MAX_LOGGED_PROBLEMS = 1_000;
 
-/** Logs each fault in the records of one daemon's source once. */
+/** Logs each problem with the records of one daemon's source once. */
 export class ProblemLog {
   private readonly logged = new Set<string>();
   private problemCount = 0;
--- a/src/cookie-edge/routing/restored-source.test.ts
+++ b/src/cookie-edge/routing/restored-source.test.ts
@@ -1,6 +1,6 @@
 /**
- * State of a daemon after the source was restored from a backup older than the daemon's state: what it keeps, what it
- * takes from the backup, and what it takes only after `RESTORED_HOLD_MS`.
+ * Checks how a daemon reconciles its state with a source that was restored from an older backup: what it keeps, what
+ * it adopts from the backup at once, and what it adopts only after `RESTORED_HOLD_MS`.
  */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
--- a/src/cookie-edge/routing/route-table-change.ts
+++ b/src/cookie-edge/routing/route-table-change.ts
@@ -1,6 +1,6 @@
 /**
- * Computes, applies and merges changes of the route table, so that gossip carries only the routes that differ. Performs
- * no I/O.
+ * Computes, applies and merges changes of the route table, so that gossip carries only the routes that differ. Does
+ * no input or output.
  */
 import { combine32, hashString } from '../../common/hash.js';
 import type { Route, RouteTable, RouteTableChange } from './types.js';
--- a/src/cookie-edge/routing/settlement-rule.test.ts
+++ b/src/cookie-edge/routing/settlement-rule.test.ts
@@ -1,4 +1,4 @@
-/** Each state of the list of back ends, and the condition that settles it. */
+/** Checks each state of the list of back ends, and the condition that settles it. */
 import test from 'ava';
 import { SETTLED_PEER_MS, SETTLING_MS } from './constants.js';
 import {
@@ -22,7 +22,7 @@
   BackendListState,
   SettlementReason | undefined,
 ])[] = [
-  ['without a list', { sinceFirstListMs: undefined, sinceSettledPeerMs: 5 }, 'unknown', 'peer'],
+  ['before its first list', { sinceFirstListMs: undefined, sinceSettledPeerMs: 5 }, 'unknown', 'peer'],
   ['just after the first list', {}, 'settling', undefined],
   ['that received a message from a settled peer', { sinceSettledPeerMs: 60_000 }, 'settled', 'peer'],
   ['with all of the roster listed', { isRosterListed: true }, 'settled', 'roster'],
--- a/src/cookie-edge/routing/settlement-rule.ts
+++ b/src/cookie-edge/routing/settlement-rule.ts
@@ -1,16 +1,16 @@
 /**
- * Rule: decides whether the list of back ends is considered complete, so that a missing back end has left. Performs
- * no I/O; times are ms.
+ * Rule: decides whether the list of back ends is considered complete, so that a missing back end counts as having left.
+ * Does no input or output; times are ms.
  *
  * Prevents refusing callers while their back ends run. Records lapse during an outage of the source. After it, the
  * source returns a list that is formally complete but almost empty, until the back ends have written their records
  * again.
  *
- * Order of conditions: without a list, nothing is known. While records may lapse, the daemon trusts no list from the
- * source, but it trusts a recent message from a settled peer, since the source may be failing only for this daemon.
- * A settled peer is one that considers its own list complete. Otherwise a daemon that has just started considers its
- * list complete once a settled peer has sent a message, once all back ends of the roster are listed, or at the
- * latest after `SETTLING_MS`. If there is no peer and no roster, only the time remains.
+ * Order of conditions: before the first list, the state is `unknown`. While records may lapse, the daemon trusts no
+ * list from the source, but it trusts a recent message from a settled peer, since the source may be failing only for
+ * this daemon. A settled peer is one that considers its own list complete. Otherwise a daemon that has just started
+ * considers its list complete once a settled peer has sent a message, once all back ends of the roster are listed, or
+ * at the latest after `SETTLING_MS`. Without a peer and a roster, only the time settles it.
  */
 import { SETTLED_PEER_MS, SETTLING_MS } from './constants.js';
 
--- a/src/cookie-edge/routing/source-epoch.ts
+++ b/src/cookie-edge/routing/source-epoch.ts
@@ -1,13 +1,13 @@
 /**
  * Rule: orders responses of the source from before and after a restore from an older backup. Prevents responses
- * after a restore from being discarded as outdated: the source's revisions go back and are assigned again. Performs
- * no I/O.
+ * after a restore from being discarded as outdated: the source then continues from a lower revision and assigns the
+ * same revisions again. Does no input or output.
  *
  * A revision is comparable only within its epoch. The epoch is the number of restores, which the source includes in
- * each response. A later epoch wins over any revision of an earlier one. Only a complete update starts an epoch,
- * because changes do not show what the restore removed. Route tables are the exception. The operator's version
- * orders them across epochs, because a backup may contain a table older than the one in force, and a table in force
- * is never rolled back.
+ * each response. Every position in a later epoch is newer than any position in an earlier one. Only a complete update
+ * starts an epoch, because changes do not show what the restore removed. Route tables are the exception. The operator's
+ * version orders them across epochs, because a backup may contain a table older than the one in force, and a table in
+ * force is never rolled back.
  */
 import type { RouteTable } from './types.js';
 
--- a/src/cookie-edge/routing/source-follower.test.ts
+++ b/src/cookie-edge/routing/source-follower.test.ts
@@ -17,7 +17,7 @@
 
 const TIMINGS = freshnessTimings(3_000);
 
-/** Starts a follower of back ends on a virtual clock, with a source that responds by `script`. */
+/** Starts a follower of back ends on a virtual clock, with a source that responds as `respond` returns. */
 function startFollower(respond: (call: SourceCall, clock: VirtualClock) => Promise<SourceResponse>) {
   const clock = new VirtualClock();
   const source = new ScriptedSource((call) => respond(call, clock));
--- a/src/cookie-edge/routing/source-follower.ts
+++ b/src/cookie-edge/routing/source-follower.ts
@@ -150,8 +150,8 @@
       await this.backOff(response.error, signal);
       return true;
     }
-    // The source assigns revisions again after a restore, so a response of another epoch may omit changes, or confirm
-    // a state that the source does not have.
+    // The source assigns the same revisions again after a restore, so a response of another epoch may omit changes, or
+    // confirm a state that the source does not have.
     if (compareEpochs(response.value, { epoch }) !== 'same')
       return this.handleOtherEpoch(response.value, signal);
     this.consecutiveGaps = 0;
--- a/src/cookie-edge/routing/source-retry.test.ts
+++ b/src/cookie-edge/routing/source-retry.test.ts
@@ -1,4 +1,4 @@
-/** Backoff after a failed call, and the start of an outage. */
+/** Checks the backoff after a failed call, and when an outage begins. */
 import test from 'ava';
 import { OUTAGE_AFTER_MS, RETRY_MAX_MS, RETRY_MIN_MS } from './constants.js';
 import { isOutage, retryDelayMs } from './source-retry.js';
--- a/src/cookie-edge/routing/source-retry.ts
+++ b/src/cookie-edge/routing/source-retry.ts
@@ -1,7 +1,7 @@
 /**
  * Rule: computes the exponential backoff after a failed call to the source, and decides when the source counts as lost.
  * Prevents a fleet from overloading a slow or unreachable source, and a single failed call from counting as an outage.
- * Performs no I/O; times are ms.
+ * Does no input or output; times are ms.
  *
  * The delay doubles with each consecutive failure up to `RETRY_MAX_MS`. A larger minimum overrides that bound, because
  * it grows with the number of daemons that may read the source at the same time. The caller adds the jitter.
--- a/src/cookie-edge/routing/types.ts
+++ b/src/cookie-edge/routing/types.ts
@@ -124,12 +124,12 @@
   readonly revision: number;
 }
 
-/** A fault in a record of the source. */
+/** A problem with a record of the source. */
 export interface RecordProblem {
   /** Name of the record, and the revision of its last change. */
   readonly name: string;
   readonly revision: number;
-  /** Description of the fault and of how the record is treated. */
+  /** Description of the problem and of how the record is treated. */
   readonly problem: string;
 }
 
@@ -154,7 +154,7 @@
   readonly cordonRemovals?: readonly CordonRemoval[];
   /** Departed back ends, for daemons that never received them; only in updates from other daemons. */
   readonly departed?: readonly DepartedBackend[];
-  /** Faults in records that the update omits or corrects; only in updates from the source. */
+  /** Problems with records that the update omits or corrects; only in updates from the source. */
   readonly problems?: readonly RecordProblem[];
 }
 
--- a/src/cookie-edge/routing/watch-wait.test.ts
+++ b/src/cookie-edge/routing/watch-wait.test.ts
@@ -1,4 +1,4 @@
-/** Wait of a watch by the state of its topic. */
+/** Checks the wait of a watch by the state of its topic. */
 import test from 'ava';
 import { FIRST_WATCH_WAIT_MS } from './constants.js';
 import { freshnessTimings } from './freshness.js';
--- a/src/cookie-edge/routing/watch-wait.ts
+++ b/src/cookie-edge/routing/watch-wait.ts
@@ -1,11 +1,12 @@
 /**
  * Rule: computes the wait of a watch, that is, how long the source may hold back its response. Prevents needless calls,
- * and a state that is older than the freshness bound. Performs no I/O; times are ms.
+ * and a state that is older than the freshness bound. Does no input or output; times are ms.
  *
  * Order of conditions: a topic without any confirmation is watched with almost no wait, because the first confirmation
- * shows other daemons that this one reads. A topic that rarely changes comes next, because responses about other topics
- * keep confirming it. Any other watch waits until the topic's age reaches `readerAgeMs`. A response with changes may
- * have taken long, so it only confirms that nothing newer existed at the time of the request.
+ * shows other daemons that this one reads the source. A topic that rarely changes comes next: it gets a long wait,
+ * because responses about other topics keep confirming it. Any other watch waits at most until the topic's age reaches
+ * `readerAgeMs`. The source may have held back a response with changes for long, so the response only confirms that
+ * nothing newer existed at the time of the request.
  */
 import { FIRST_WATCH_WAIT_MS } from './constants.js';
 import type { FreshnessTimings } from './freshness.js';
--- a/src/cookie-edge/routing/zone-cordons.ts
+++ b/src/cookie-edge/routing/zone-cordons.ts
@@ -1,6 +1,6 @@
 /**
- * The zones that an operator has cordoned: their back ends get no new flows, and open flows continue. Owns the
- * newest record and removal of each zone. Both come from the source and from peers, in any order: the higher
+ * Keeps track of the zones that an operator has cordoned: their back ends get no new flows, and open flows continue.
+ * Owns the newest record and removal of each zone. Both come from the source and from peers, in any order: the higher
  * revision wins, and a removal wins over a record of the same revision.
  */
 import type { EventLog } from '../../observability/event.js';
@@ -12,7 +12,10 @@
 interface ZoneState {
   readonly recordRevision: number;
   readonly removedRevision: number;
-  /** Monotonic ms at which a cordon ends that is missing from the source since a restore. */
+  /**
+   * Monotonic ms at which the cordon ends unless it is recorded again. Set when the cordon is missing from the source
+   * after a restore.
+   */
   readonly heldUntilMs?: number;
 }
 
@@ -79,7 +82,7 @@
 
   /**
    * Keeps every cordon that is missing from the first list of an epoch for `RESTORED_HOLD_MS`: the backup may be older
-   * than the cordon, and the cordon is expected to be written again.
+   * than the cordon, and the operator is expected to write the cordon again.
    */
   holdUnlisted(listed: ReadonlySet<string>, nowMs: number): void {
     for (const [zone, state] of this.states) {
