--- a/src/cookie-edge/forwarding/cookie-forwarder.test.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.test.ts
@@ -70,9 +70,9 @@
     record.id === opened.backend ? { ...record, draining: true, revision: 20 } : record,
   );
   harness.applyRecords(withDrainingBackend, {}, 20);
-  const again = harness.open(1);
-  t.truthy(again?.backend);
-  t.not(again?.backend, opened.backend);
+  const reopened = harness.open(1);
+  t.truthy(reopened?.backend);
+  t.not(reopened?.backend, opened.backend);
 });
 
 test('a retransmitted SYN that waited during a pause of the process is dropped', (t) => {
@@ -117,13 +117,13 @@
   t.deepEqual(harness.forwarder.statistics.refusals, { 'no-route': 1 });
 });
 
-const INELIGIBLE: readonly (readonly [string, Parameters<typeof backendAt>[2], boolean])[] = [
+const INELIGIBLE_BACKENDS: readonly (readonly [string, Parameters<typeof backendAt>[2], boolean])[] = [
   ['draining', { draining: true }, false],
   ['departed', {}, true],
   ['of another service', { service: 'beta' }, false],
 ];
 
-for (const [name, change, departs] of INELIGIBLE) {
+for (const [name, change, departs] of INELIGIBLE_BACKENDS) {
   test(`a back end that is ${name} gets no new flow, and its open flows continue`, (t) => {
     const harness = new ForwarderHarness().applyRecords([backendAt('a', 1), backendAt('b', 2)]);
     let port = 1;
@@ -166,9 +166,9 @@
   harness.clock.advance(HOUSEKEEPING_TICK_MS);
   t.true(harness.events().includes(COOKIE_FLOW_EVENTS.backendEjected.number));
   for (let port = 600; port < 620; port += 1) t.not(harness.establish(port).backend, 'a');
-  const again = harness.open(first!, 1);
-  t.not(again?.backend, 'a', 'the retransmission goes to another back end');
-  t.deepEqual(harness.open(first!, 2), again);
+  const moved = harness.open(first!, 1);
+  t.not(moved?.backend, 'a', 'the retransmission goes to another back end');
+  t.deepEqual(harness.open(first!, 2), moved);
 });
 
 test('no back end is ejected when all are silent, because the cause is this daemon or its links', (t) => {
--- a/src/cookie-edge/forwarding/cookie-registry.ts
+++ b/src/cookie-edge/forwarding/cookie-registry.ts
@@ -1,7 +1,7 @@
 /**
  * Maps connection cookies to back ends. A cookie is a hash of the back end's id, so all daemons compute the same cookie
- * without coordination. If two ids collide, the back end that was recorded later uses a second hash; packets with
- * either cookie are accepted. `CookieForwarder` adds and removes the back ends.
+ * without coordination. If two ids collide, the back end whose record was created later uses a second hash; packets
+ * with either cookie are accepted. `CookieForwarder` adds and removes the back ends.
  */
 import { hashString } from '../../common/hash.js';
 import type { KnownBackend } from '../routing/index.js';
@@ -32,7 +32,7 @@
     if (!holder) this.byPrimaryCookie.set(first, backend);
     else {
       this.collisionCount += 1;
-      this.byPrimaryCookie.set(first, earlierRecorded(holder, backend));
+      this.byPrimaryCookie.set(first, earlierCreated(holder, backend));
     }
     if (!this.bySecondaryCookie.has(second)) this.bySecondaryCookie.set(second, backend);
   }
@@ -61,8 +61,11 @@
   return [hashToCookie(id), hashToCookie(SECOND_HASH_PREFIX + id)];
 }
 
-/** Returns the back end that keeps the cookie: the one recorded first, or the lower id if the revisions are equal. */
-function earlierRecorded(left: KnownBackend, right: KnownBackend): KnownBackend {
+/**
+ * Returns the back end that keeps the cookie: the one whose record was created first, or the one with the lower id if
+ * the revisions are equal.
+ */
+function earlierCreated(left: KnownBackend, right: KnownBackend): KnownBackend {
   const difference = left.record.createdRevision - right.record.createdRevision;
   if (difference !== 0) return difference < 0 ? left : right;
   return left.id < right.id ? left : right;
--- a/src/cookie-edge/forwarding/flow-failures.ts
+++ b/src/cookie-edge/forwarding/flow-failures.ts
@@ -1,19 +1,19 @@
 /**
- * Reports failures of flows: unanswered openings and retransmitted data. `LocalBackendStates` decides on the ejection;
- * `DeadBackends` sends the probes that a failure triggers.
+ * Counts failures of flows against their back ends: unanswered openings and retransmitted data. `LocalBackendStates`
+ * decides on the ejection; `DeadBackends` sends the probes that a failure triggers.
  */
 import type { MechanismCheck } from '../../common/mechanisms.js';
 import type { LocalBackendStates, DeadBackends } from '../backend-health/index.js';
 import type { Flow } from './flow-cache.js';
 
-/** Dependencies of failure reporting. */
+/** Dependencies of `FlowFailures`. */
 interface FlowFailuresOptions {
   readonly states: LocalBackendStates;
   readonly deadBackends: DeadBackends;
   readonly isOn: MechanismCheck;
 }
 
-/** Counts failures of flows against their back ends. */
+/** Counts each failure at most once. Times are monotonic ms. */
 export class FlowFailures {
   constructor(private readonly options: FlowFailuresOptions) {}
 
@@ -21,7 +21,7 @@
    * Counts a failure that began at `sinceMs` against the flow's back end. Each opening and each piece of data counts
    * once, so that a single caller that retransmits often cannot eject a back end.
    */
-  report(flow: Flow, sinceMs: number, nowMs: number): void {
+  recordFailure(flow: Flow, sinceMs: number, nowMs: number): void {
     const { states, deadBackends, isOn } = this.options;
     if (flow.isFailureCounted) return;
     flow.isFailureCounted = true;
--- a/src/cookie-edge/forwarding/flow-tracker.ts
+++ b/src/cookie-edge/forwarding/flow-tracker.ts
@@ -71,7 +71,7 @@
       packet.sequence === flow.highestDataSequence &&
       nowMs - flow.dataFirstSeenAtMs >= MIN_RETRANSMISSION_INTERVAL_MS
     ) {
-      this.options.failures.report(flow, flow.dataFirstSeenAtMs, nowMs);
+      this.options.failures.recordFailure(flow, flow.dataFirstSeenAtMs, nowMs);
     }
   }
 
--- a/src/cookie-edge/forwarding/held-openings.ts
+++ b/src/cookie-edge/forwarding/held-openings.ts
@@ -129,7 +129,7 @@
     const heldBefore = this.openingsByFlowId.size;
     this.removeExpired(nowMs);
     this.redeliverHeld();
-    this.logReleased(heldBefore - this.openingsByFlowId.size);
+    this.logDecided(heldBefore - this.openingsByFlowId.size);
     this.scheduleReevaluation();
   }
 
@@ -167,7 +167,7 @@
     }
   }
 
-  private logReleased(decided: number): void {
+  private logDecided(decided: number): void {
     if (decided === 0) return;
     this.options.events.emit(COOKIE_FLOW_EVENTS.openingsReleased, {
       decided,
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -47,7 +47,7 @@
     const { clock, states, supersededBackends, answerTracker, outliers, expiry } = this.options;
     const nowMs = clock.now();
     this.checkPause(nowMs);
-    this.reportUnanswered(nowMs);
+    this.recordUnanswered(nowMs);
     states.evaluateFailing(nowMs);
     supersededBackends.reviewAll();
     answerTracker.reportOverdueRequests(nowMs);
@@ -68,11 +68,11 @@
     answerTracker.stopTrackingAll();
   }
 
-  private reportUnanswered(nowMs: number): void {
+  private recordUnanswered(nowMs: number): void {
     const { pendingOpenings, failures } = this.options;
     for (const flow of pendingOpenings.takeUnanswered(nowMs)) {
       pendingOpenings.settle(flow);
-      failures.report(flow, flow.openedAtMs, nowMs);
+      failures.recordFailure(flow, flow.openedAtMs, nowMs);
     }
   }
 }
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -112,7 +112,7 @@
     flow.lastPacketAtMs = nowMs;
     if (flow.phase === 'opening') {
       pendingOpenings.settle(flow);
-      failures.report(flow, flow.openedAtMs, nowMs);
+      failures.recordFailure(flow, flow.openedAtMs, nowMs);
     }
     if (mayLeaveFirstBackend(flow.phase, flow.backendState.liveness(nowMs))) {
       const alternative = newFlowRule.chooseForRetransmission(packet, nowMs);
--- a/src/cookie-edge/routing/knowledge.test.ts
+++ b/src/cookie-edge/routing/knowledge.test.ts
@@ -217,14 +217,14 @@
 });
 
 test('the same updates, reordered or repeated, lead to the same back ends', (t) => {
-  const record = fc.record({ id: fc.constantFrom('a', 'b', 'c'), revision: fc.nat(20) });
-  const step = fc.oneof(
-    record.map(({ id, revision }) => recordsUpdate(20, backendAt(id, revision))),
-    record.map(({ id, revision }) => removalUpdate(20, id, revision)),
+  const recordArbitrary = fc.record({ id: fc.constantFrom('a', 'b', 'c'), revision: fc.nat(20) });
+  const updateArbitrary = fc.oneof(
+    recordArbitrary.map(({ id, revision }) => recordsUpdate(20, backendAt(id, revision))),
+    recordArbitrary.map(({ id, revision }) => removalUpdate(20, id, revision)),
   );
   fc.assert(
-    fc.property(fc.array(step, { maxLength: 8 }), fc.nat(), (steps, seed) => {
-      const outcomes = [steps, [...steps].reverse(), rotate(steps, seed), [...steps, ...steps]].map(
+    fc.property(fc.array(updateArbitrary, { maxLength: 8 }), fc.nat(), (updates, seed) => {
+      const outcomes = [updates, [...updates].reverse(), rotate(updates, seed), [...updates, ...updates]].map(
         (order) => {
           const { knowledge } = createKnowledge();
           const allBackends = ['a', 'b', 'c'].map((id) => backendAt(id, 0));
--- a/src/cookie-edge/routing/route-table-change.test.ts
+++ b/src/cookie-edge/routing/route-table-change.test.ts
@@ -4,7 +4,7 @@
 import { tableAt } from './routing-test-support.js';
 import type { Route, RouteTable } from './types.js';
 
-const route = fc
+const routeArbitrary = fc
   .record({
     name: fc.constantFrom('a', 'b', 'c', 'd'),
     port: fc.integer({ min: 1, max: 3 }),
@@ -14,9 +14,9 @@
   .map(({ name, port, service, weight }): Route => {
     return { name, address: 0xc6120001, port, targets: [{ service, weight }] };
   });
-const routes = fc.uniqueArray(route, { selector: ({ name }) => name, maxLength: 4 });
-const history = fc
-  .array(routes, { minLength: 2, maxLength: 6 })
+const routesArbitrary = fc.uniqueArray(routeArbitrary, { selector: ({ name }) => name, maxLength: 4 });
+const tableSequenceArbitrary = fc
+  .array(routesArbitrary, { minLength: 2, maxLength: 6 })
   .map((versions) => versions.map((content, index) => tableAt(10 * (index + 1), { routes: content })));
 
 function withSortedRoutes(table: RouteTable | undefined): RouteTable | undefined {
@@ -26,14 +26,14 @@
 
 test('merged changes turn each table of the sequence into the last one', (t) => {
   fc.assert(
-    fc.property(history, (tables) => {
+    fc.property(tableSequenceArbitrary, (tables) => {
       const last = tables.at(-1)!;
-      const joined = tables
+      const mergedChange = tables
         .slice(1)
         .map((table, index) => diffTables(tables[index]!, table))
         .reduce(mergeTableChanges);
       for (const table of tables)
-        t.deepEqual(withSortedRoutes(applyTableChange(table, joined)), withSortedRoutes(last));
+        t.deepEqual(withSortedRoutes(applyTableChange(table, mergedChange)), withSortedRoutes(last));
     }),
     { seed: 20_261_202, numRuns: 300 },
   );
--- a/src/cookie-edge/routing/route-table-change.ts
+++ b/src/cookie-edge/routing/route-table-change.ts
@@ -7,7 +7,7 @@
 
 /** Computes the change from one table to a later one. */
 export function diffTables(fromTable: RouteTable, toTable: RouteTable): RouteTableChange {
-  const previousRoutes = byName(fromTable.routes);
+  const previousRoutes = indexByName(fromTable.routes);
   const routes = toTable.routes.filter((route) => !isSameRoute(previousRoutes.get(route.name), route));
   const currentNames = new Set(toTable.routes.map(({ name }) => name));
   const removedRoutes = fromTable.routes
@@ -34,7 +34,7 @@
 export function applyTableChange(table: RouteTable, change: RouteTableChange): RouteTable | undefined {
   if (table.revision === change.revision) return table;
   if (!change.fromRevisions.includes(table.revision)) return undefined;
-  const routes = byName(table.routes);
+  const routes = indexByName(table.routes);
   for (const name of change.removedRoutes) routes.delete(name);
   for (const route of change.routes) routes.set(route.name, route);
   const { version, revision, idleTimeoutMs, services, digest } = change;
@@ -51,7 +51,7 @@
 
 /** Merges two consecutive changes into one; `isConsecutiveChange(first, second)` must be true. */
 export function mergeTableChanges(first: RouteTableChange, second: RouteTableChange): RouteTableChange {
-  const routes = byName(first.routes);
+  const routes = indexByName(first.routes);
   const removedNames = new Set(first.removedRoutes);
   for (const name of second.removedRoutes) {
     routes.delete(name);
@@ -76,7 +76,7 @@
   return digestedTexts.reduce((digest, part) => combine32(digest, hashString(part)), addressDigest);
 }
 
-function byName(routes: readonly Route[]): Map<string, Route> {
+function indexByName(routes: readonly Route[]): Map<string, Route> {
   return new Map(routes.map((route) => [route.name, route]));
 }
 
