--- a/src/cookie-edge/forwarding/held-openings.ts
+++ b/src/cookie-edge/forwarding/held-openings.ts
@@ -157,13 +157,13 @@
     const waiting = [...this.openingsByFlowId].filter(
       ([, { reason }]) => hasBackendListChanged || reason === 'yields',
     );
-    const yieldingRoutes = new Set<Route>();
+    const routesStillDeferred = new Set<Route>();
     for (const [flowId, opening] of waiting.sort(([, left], [, right]) => compareByUrgency(left, right))) {
       const nowMs = this.options.clock.now();
-      if (yieldingRoutes.has(opening.route) || nowMs >= opening.expiresAtMs) continue;
+      if (routesStillDeferred.has(opening.route) || nowMs >= opening.expiresAtMs) continue;
       this.openingsByFlowId.delete(flowId);
       opening.redeliver(nowMs - opening.arrivedAtMs);
-      if (this.openingsByFlowId.get(flowId)?.reason === 'yields') yieldingRoutes.add(opening.route);
+      if (this.openingsByFlowId.get(flowId)?.reason === 'yields') routesStillDeferred.add(opening.route);
     }
   }
 
--- a/src/cookie-edge/forwarding/overload-after-outage.test.ts
+++ b/src/cookie-edge/forwarding/overload-after-outage.test.ts
@@ -1,8 +1,8 @@
 /**
- * Simulates the return of all daemons after an outage of two seconds. Callers that have waited return together with the
- * usual load, and both share ten back ends of two slots each. Guards against an overload in which all callers are
- * served late. Callers retransmit, make up to three attempts and give up at their deadline. A back end rejects requests
- * that exceed its slots and its queue.
+ * Simulates the return of all daemons after an outage of two seconds. Callers that have waited come back at the same
+ * time as the usual callers, and together they load ten back ends with two slots each. Guards against an overload in
+ * which all callers are served late. Callers retransmit, make up to three attempts and give up at their deadline. A
+ * back end rejects requests that exceed its slots and its queue.
  */
 import test, { type ExecutionContext } from 'ava';
 import { VirtualClock } from '../../common/clock.js';
--- a/src/cookie-edge/routing/restored-source.test.ts
+++ b/src/cookie-edge/routing/restored-source.test.ts
@@ -1,6 +1,6 @@
 /**
  * Checks how a daemon reconciles its state with a source that was restored from an older backup: what it keeps, what
- * it adopts from the backup at once, and what it adopts only after `RESTORED_HOLD_MS`.
+ * it applies from the backup at once, and what it applies only after `RESTORED_HOLD_MS`.
  */
 import test from 'ava';
 import { VirtualClock } from '../../common/clock.js';
--- a/src/cookie-edge/routing/source-follower.test.ts
+++ b/src/cookie-edge/routing/source-follower.test.ts
@@ -39,10 +39,10 @@
 const FIRST_LIST = updateAt(5, { complete: true, backends: [backendAt('a', 5)] });
 
 test('an empty response to a watch confirms the topic until the end of the wait', async (t) => {
-  const { clock, knowledge, stop } = startFollower((call, virtual) =>
+  const { clock, knowledge, stop } = startFollower((call, virtualClock) =>
     call.kind === 'read'
-      ? resolveAfter(virtual, 4, FIRST_LIST)
-      : resolveAfter(virtual, call.waitMs + 4, updateAt(6)),
+      ? resolveAfter(virtualClock, 4, FIRST_LIST)
+      : resolveAfter(virtualClock, call.waitMs + 4, updateAt(6)),
   );
   await clock.advanceAsync(TIMINGS.watchWaitMs + 30, 1);
   t.true(knowledge.ageOf('backends') < 40, String(knowledge.ageOf('backends')));
@@ -54,13 +54,13 @@
 test('a watch waits until the topic reaches `readerAgeMs`, as a response with changes confirms only its request time', async (t) => {
   const CHANGE_AFTER_MS = [1_000, 500, 100];
   let revision = 6;
-  const { clock, source, knowledge, stop } = startFollower((call, virtual) => {
-    if (call.kind === 'read') return resolveAfter(virtual, 4, FIRST_LIST);
-    if (call.waitMs === FIRST_WATCH_WAIT_MS) return resolveAfter(virtual, 4, updateAt(6));
+  const { clock, source, knowledge, stop } = startFollower((call, virtualClock) => {
+    if (call.kind === 'read') return resolveAfter(virtualClock, 4, FIRST_LIST);
+    if (call.waitMs === FIRST_WATCH_WAIT_MS) return resolveAfter(virtualClock, 4, updateAt(6));
     const changeMs = CHANGE_AFTER_MS.shift();
     if (changeMs === undefined) return PENDING;
     revision += 1;
-    return resolveAfter(virtual, changeMs, updateAt(revision, { backends: [backendAt('b', revision)] }));
+    return resolveAfter(virtualClock, changeMs, updateAt(revision, { backends: [backendAt('b', revision)] }));
   });
   await clock.advanceAsync(2_500, 1);
   t.is(knowledge.backends.get('b')?.record.revision, 9);
@@ -80,11 +80,11 @@
   for (const changeIntervalMs of [30, 200, 700, 1_300, 1_349, 1_500, 2_600]) {
     let sourceRevision = 6;
     let changedAtMs = 0;
-    const { clock, knowledge, source, stop } = startFollower(async (call, virtual) => {
-      if (call.kind === 'read') return resolveAfter(virtual, 4, FIRST_LIST);
-      const endMs = virtual.now() + call.waitMs;
-      while (virtual.now() < endMs && sourceRevision <= call.revision)
-        await resolveAfter(virtual, 5, undefined);
+    const { clock, knowledge, source, stop } = startFollower(async (call, virtualClock) => {
+      if (call.kind === 'read') return resolveAfter(virtualClock, 4, FIRST_LIST);
+      const endMs = virtualClock.now() + call.waitMs;
+      while (virtualClock.now() < endMs && sourceRevision <= call.revision)
+        await resolveAfter(virtualClock, 5, undefined);
       const hasChange = sourceRevision > call.revision;
       return updateAt(sourceRevision, hasChange ? { backends: [backendAt('b', sourceRevision)] } : {});
     });
@@ -105,10 +105,10 @@
 
 test('the first read may be outdated and confirms nothing; a read after a gap must be current', async (t) => {
   let watches = 0;
-  const { clock, source, knowledge, stop } = startFollower((call, virtual) => {
-    if (call.kind === 'read') return resolveAfter(virtual, 4, FIRST_LIST);
+  const { clock, source, knowledge, stop } = startFollower((call, virtualClock) => {
+    if (call.kind === 'read') return resolveAfter(virtualClock, 4, FIRST_LIST);
     watches += 1;
-    return watches === 1 ? resolveAfter<SourceResponse>(virtual, 4, 'routing.history-gone') : PENDING;
+    return watches === 1 ? resolveAfter<SourceResponse>(virtualClock, 4, 'routing.history-gone') : PENDING;
   });
   await clock.advanceAsync(6, 1);
   t.truthy(knowledge.backends.get('a'));
@@ -122,11 +122,11 @@
 
 test('a read after a gap in the history detects a back end that departed in between', async (t) => {
   let reads = 0;
-  const { clock, knowledge, stop } = startFollower((call, virtual) => {
+  const { clock, knowledge, stop } = startFollower((call, virtualClock) => {
     if (call.kind === 'watch')
-      return reads === 1 ? resolveAfter<SourceResponse>(virtual, 50, 'routing.history-gone') : PENDING;
+      return reads === 1 ? resolveAfter<SourceResponse>(virtualClock, 50, 'routing.history-gone') : PENDING;
     reads += 1;
-    return resolveAfter(virtual, 4, reads === 1 ? FIRST_LIST : updateAt(9, { complete: true }));
+    return resolveAfter(virtualClock, 4, reads === 1 ? FIRST_LIST : updateAt(9, { complete: true }));
   });
   await clock.advanceAsync(100, 1);
   t.is(reads, 2);
@@ -143,10 +143,10 @@
 
 for (const kind of FAILURES) {
   test(`the known state stays after ${kind}, and calls are retried with backoff`, async (t) => {
-    const { clock, source, knowledge, availability, stop } = startFollower((call, virtual) =>
+    const { clock, source, knowledge, availability, stop } = startFollower((call, virtualClock) =>
       call.kind === 'read'
-        ? resolveAfter<SourceResponse>(virtual, 4, FIRST_LIST)
-        : resolveAfter<SourceResponse>(virtual, 4, kind),
+        ? resolveAfter<SourceResponse>(virtualClock, 4, FIRST_LIST)
+        : resolveAfter<SourceResponse>(virtualClock, 4, kind),
     );
     await clock.advanceAsync(10_000, 5);
     t.truthy(knowledge.backends.get('a'));
@@ -162,10 +162,10 @@
 
 test('records that disappear just after an outage count as lapsed', async (t) => {
   let isSourceDown = true;
-  const { clock, knowledge, stop } = startFollower((call, virtual) => {
-    if (call.kind === 'read') return resolveAfter<SourceResponse>(virtual, 4, FIRST_LIST);
-    if (isSourceDown) return resolveAfter<SourceResponse>(virtual, 4, 'routing.unavailable');
-    return resolveAfter(virtual, 4, updateAt(9, { removals: [{ id: 'a', revision: 5 }] }));
+  const { clock, knowledge, stop } = startFollower((call, virtualClock) => {
+    if (call.kind === 'read') return resolveAfter<SourceResponse>(virtualClock, 4, FIRST_LIST);
+    if (isSourceDown) return resolveAfter<SourceResponse>(virtualClock, 4, 'routing.unavailable');
+    return resolveAfter(virtualClock, 4, updateAt(9, { removals: [{ id: 'a', revision: 5 }] }));
   });
   await clock.advanceAsync(3_000, 5);
   isSourceDown = false;
@@ -176,10 +176,10 @@
 });
 
 test('a stopped follower makes no further call', async (t) => {
-  const { clock, source, stop } = startFollower((call, virtual) =>
+  const { clock, source, stop } = startFollower((call, virtualClock) =>
     call.kind === 'read'
-      ? resolveAfter<SourceResponse>(virtual, 4, FIRST_LIST)
-      : resolveAfter<SourceResponse>(virtual, 4, 'routing.unavailable'),
+      ? resolveAfter<SourceResponse>(virtualClock, 4, FIRST_LIST)
+      : resolveAfter<SourceResponse>(virtualClock, 4, 'routing.unavailable'),
   );
   await clock.advanceAsync(100, 1);
   stop();
@@ -190,11 +190,11 @@
 
 test('an exception in the source does not stop the follower', async (t) => {
   let reads = 0;
-  const { clock, knowledge, stop } = startFollower((call, virtual) => {
+  const { clock, knowledge, stop } = startFollower((call, virtualClock) => {
     if (call.kind === 'watch') return PENDING;
     reads += 1;
     if (reads === 1) throw new TypeError('unforeseen');
-    return resolveAfter(virtual, 4, FIRST_LIST);
+    return resolveAfter(virtualClock, 4, FIRST_LIST);
   });
   await clock.advanceAsync(500, 5);
   t.truthy(knowledge.backends.get('a'));
@@ -208,11 +208,12 @@
     problem: 'address is not an address with a port; left out',
   };
   let revision = 5;
-  const { clock, problems, knowledge, stop } = startFollower((call, virtual) => {
+  const { clock, problems, knowledge, stop } = startFollower((call, virtualClock) => {
     revision += 1;
     const problem = { ...malformedRecord, revision: revision < 12 ? 5 : 12 };
-    if (call.kind === 'read') return resolveAfter(virtual, 4, { ...FIRST_LIST, problems: [malformedRecord] });
-    return resolveAfter(virtual, 100, updateAt(revision, { problems: [problem] }));
+    if (call.kind === 'read')
+      return resolveAfter(virtualClock, 4, { ...FIRST_LIST, problems: [malformedRecord] });
+    return resolveAfter(virtualClock, 100, updateAt(revision, { problems: [problem] }));
   });
   await clock.advanceAsync(400, 1);
   t.is(problems.count, 1);
@@ -230,11 +231,12 @@
     backends: [backendAt('a', 28, { draining: true })],
   });
   let reads = 0;
-  const { clock, knowledge, stop } = startFollower((call, virtual) => {
-    if (call.kind === 'read') return resolveAfter(virtual, 4, (reads += 1) === 1 ? FIRST_LIST : RESTORED);
+  const { clock, knowledge, stop } = startFollower((call, virtualClock) => {
+    if (call.kind === 'read')
+      return resolveAfter(virtualClock, 4, (reads += 1) === 1 ? FIRST_LIST : RESTORED);
     if (knowledge.epochOf('backends') === 1)
-      return resolveAfter(virtual, call.waitMs, updateAt(30, { epoch: 1 }));
-    return resolveAfter(virtual, 4, updateAt(30, { epoch: 1 }));
+      return resolveAfter(virtualClock, call.waitMs, updateAt(30, { epoch: 1 }));
+    return resolveAfter(virtualClock, 4, updateAt(30, { epoch: 1 }));
   });
   await clock.advanceAsync(100, 1);
   t.is(reads, 2);
@@ -244,8 +246,8 @@
 });
 
 test('calls back off while the source has lost its history after each read', async (t) => {
-  const { clock, source, history, stop } = startFollower((call, virtual) =>
-    resolveAfter<SourceResponse>(virtual, 4, call.kind === 'read' ? FIRST_LIST : 'routing.history-gone'),
+  const { clock, source, history, stop } = startFollower((call, virtualClock) =>
+    resolveAfter<SourceResponse>(virtualClock, 4, call.kind === 'read' ? FIRST_LIST : 'routing.history-gone'),
   );
   await clock.advanceAsync(10_000, 10);
   // Once the backoff has grown, at least half of the longest delay passes between two rounds of a read and a watch.
--- a/src/cookie-edge/routing/watch-wait.ts
+++ b/src/cookie-edge/routing/watch-wait.ts
@@ -5,8 +5,8 @@
  * Order of conditions: a topic without any confirmation is watched with almost no wait, because the first confirmation
  * shows other daemons that this one reads the source. A topic that rarely changes comes next: it gets a long wait,
  * because responses about other topics keep confirming it. Any other watch waits at most until the topic's age reaches
- * `readerAgeMs`. The source may have held back a response with changes for long, so the response only confirms that
- * nothing newer existed at the time of the request.
+ * `readerAgeMs`, but never less than `watchMinWaitMs`. The source may have held back a response with changes for long,
+ * so the response only confirms that nothing newer existed at the time of the request.
  */
 import { FIRST_WATCH_WAIT_MS } from './constants.js';
 import type { FreshnessTimings } from './freshness.js';
