--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -47,7 +47,7 @@
     const { clock, states, supersededBackends, answerTracker, outliers, expiry } = this.options;
     const nowMs = clock.now();
     this.checkPause(nowMs);
-    this.reportUnanswered(nowMs);
+    this.recordUnanswered(nowMs);
     states.evaluateFailing(nowMs);
     supersededBackends.reviewAll();
     answerTracker.reportOverdueRequests(nowMs);
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Detects a pause of the process, and then discards pending openings and requests: their answers may be in packets
-   * not read yet, so answered ones look unanswered.
+   * After a pause of the process, logs it and discards the pending openings and requests. Their answers may be in
+   * packets that are not read yet, so answered ones would count as unanswered.
    */
   private checkPause(nowMs: number): void {
     const { pauses, events, pendingOpenings, answerTracker } = this.options;
@@ -68,11 +68,11 @@
     answerTracker.stopTrackingAll();
   }
 
-  private reportUnanswered(nowMs: number): void {
+  private recordUnanswered(nowMs: number): void {
     const { pendingOpenings, failures } = this.options;
     for (const flow of pendingOpenings.takeUnanswered(nowMs)) {
       pendingOpenings.settle(flow);
-      failures.report(flow, flow.openedAtMs, nowMs);
+      failures.recordFailure(flow, flow.openedAtMs, nowMs);
     }
   }
 }
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -27,7 +27,7 @@
   readonly cache: FlowCache;
   readonly heldOpenings: HeldOpenings;
   readonly flowsInProgress: FlowsInProgress;
-  /** Decides which openings yield. Undefined if none do. */
+  /** Decides which openings are deferred during a recovery. Undefined if none are. */
   readonly recoveryAdmission?: RecoveryAdmission;
   readonly pendingOpenings: PendingOpenings;
   readonly failures: FlowFailures;
@@ -112,13 +112,13 @@
     flow.lastPacketAtMs = nowMs;
     if (flow.phase === 'opening') {
       pendingOpenings.settle(flow);
-      failures.report(flow, flow.openedAtMs, nowMs);
+      failures.recordFailure(flow, flow.openedAtMs, nowMs);
     }
     if (mayLeaveFirstBackend(flow.phase, flow.backendState.liveness(nowMs))) {
       const alternative = newFlowRule.chooseForRetransmission(packet, nowMs);
       if (alternative) newFlowRule.recordPlacement(alternative, nowMs);
-      const target = decideRetransmission(flow.backendState, alternative);
-      if (alternative && target === 'another-back-end')
+      const outcome = decideRetransmission(flow.backendState, alternative);
+      if (alternative && outcome === 'another-back-end')
         this.moveToAlternative(packet, flow, alternative, nowMs);
     }
     sender.forwardTo(flow.backendState.backend);
--- a/src/cookie-edge/forwarding/overload-after-outage.test.ts
+++ b/src/cookie-edge/forwarding/overload-after-outage.test.ts
@@ -1,8 +1,8 @@
 /**
- * Simulates the return of all daemons after an outage of two seconds. Callers that have waited return together with the
- * usual load, and both share ten back ends of two slots each. Guards against an overload in which all callers are
- * served late. Callers retransmit, make up to three attempts and give up at their deadline. A back end rejects requests
- * that exceed its slots and its queue.
+ * Simulates the return of all daemons after an outage of two seconds. Callers that have waited come back at the same
+ * time as the usual callers, and together they load ten back ends with two slots each. Guards against an overload in
+ * which all callers are served late. Callers retransmit, make up to three attempts and give up at their deadline. A
+ * back end rejects requests that exceed its slots and its queue.
  */
 import test, { type ExecutionContext } from 'ava';
 import { VirtualClock } from '../../common/clock.js';
@@ -49,8 +49,8 @@
   constructor(private readonly switchedOff: readonly Mechanism[]) {}
 
   run(): this {
-    const calls = ((OUTAGE_MS + RUN_AFTER_RETURN_MS) * CALLS_PER_SECOND) / 1_000;
-    for (let index = 0; index < calls; index += 1) {
+    const callCount = ((OUTAGE_MS + RUN_AFTER_RETURN_MS) * CALLS_PER_SECOND) / 1_000;
+    for (let index = 0; index < callCount; index += 1) {
       const caller: Caller = { startMs: this.random() * (OUTAGE_MS + RUN_AFTER_RETURN_MS), attemptCount: 0 };
       this.callers.push(caller);
       this.clock.schedule(caller.startMs, () => this.startAttempt(caller));
@@ -116,11 +116,16 @@
     daemon.open(attempt.port, retransmissionCount);
   }
 
-  private sendRequest(attempt: Attempt, daemon: ForwarderHarness, backend: number, cookie: number): void {
+  private sendRequest(
+    attempt: Attempt,
+    daemon: ForwarderHarness,
+    backendIndex: number,
+    cookie: number,
+  ): void {
     attempt.isOver = true;
     const { caller, port } = attempt;
     daemon.sendMidFlow(port, cookie, { sequence: 2, payloadBytes: 100 });
-    const slots = this.slotFreeAtMs[backend] as number[];
+    const slots = this.slotFreeAtMs[backendIndex] as number[];
     const nowMs = this.clock.now();
     const slot = slots.indexOf(Math.min(...slots));
     const waitMs = Math.max(0, (slots[slot] as number) - nowMs);
@@ -149,28 +154,28 @@
 }
 
 /**
- * Compares runs with and without `yielding-openings`: callers that start within a second after the return, and callers
- * that started up to a second before it.
+ * Compares runs with and without `yielding-openings`: callers that start within a second after the daemons return,
+ * and callers that started up to a second before it.
  */
 function simulateOnAndOff(
   t: ExecutionContext,
-): Record<'on' | 'off', { prompt: number; waited: number; turnedAway: number }> {
+): Record<'on' | 'off', { newCallerShare: number; waitingCallerShare: number; rejectedRequests: number }> {
   const simulate = (switchedOff: readonly Mechanism[]) => {
     const simulation = new ReturnSimulation(switchedOff).run();
     return {
-      prompt: simulation.servedShare(OUTAGE_MS, OUTAGE_MS + 1_000, TARGET_LATENCY_MS),
-      waited: simulation.servedShare(OUTAGE_MS - 1_000, OUTAGE_MS, DEADLINE_MS),
-      turnedAway: simulation.rejectedCount,
+      newCallerShare: simulation.servedShare(OUTAGE_MS, OUTAGE_MS + 1_000, TARGET_LATENCY_MS),
+      waitingCallerShare: simulation.servedShare(OUTAGE_MS - 1_000, OUTAGE_MS, DEADLINE_MS),
+      rejectedRequests: simulation.rejectedCount,
     };
   };
-  const both = { on: simulate([]), off: simulate(['yielding-openings']) };
-  t.log(JSON.stringify(both));
-  return both;
+  const results = { on: simulate([]), off: simulate(['yielding-openings']) };
+  t.log(JSON.stringify(results));
+  return results;
 }
 
 test('after an outage new callers are answered in time, and no fewer of the waiting callers get an answer', (t) => {
   const { on, off } = simulateOnAndOff(t);
-  t.true(on.prompt >= 0.9, 'nine in ten of the callers just after the return are answered in time');
-  t.true(on.waited >= off.waited, 'no fewer of the waiting callers get an answer');
-  t.true(on.turnedAway <= off.turnedAway / 2, 'back ends reject at most half as many requests');
+  t.true(on.newCallerShare >= 0.9, 'nine in ten of the callers just after the return are answered in time');
+  t.true(on.waitingCallerShare >= off.waitingCallerShare, 'no fewer of the waiting callers get an answer');
+  t.true(on.rejectedRequests <= off.rejectedRequests / 2, 'back ends reject at most half as many requests');
 });
--- a/src/cookie-edge/routing/route-table-change.ts
+++ b/src/cookie-edge/routing/route-table-change.ts
@@ -1,16 +1,18 @@
 /**
- * Computes, applies and merges changes of the route table, so that gossip carries only the routes that differ. Performs
- * no I/O.
+ * Computes, applies and merges changes of the route table, so that gossip carries only the routes that differ. Does
+ * no input or output.
  */
 import { combine32, hashString } from '../../common/hash.js';
 import type { Route, RouteTable, RouteTableChange } from './types.js';
 
 /** Computes the change from one table to a later one. */
 export function diffTables(fromTable: RouteTable, toTable: RouteTable): RouteTableChange {
-  const previousRoutes = byName(fromTable.routes);
+  const previousRoutes = indexByName(fromTable.routes);
   const routes = toTable.routes.filter((route) => !isSameRoute(previousRoutes.get(route.name), route));
-  const present = new Set(toTable.routes.map(({ name }) => name));
-  const removedRoutes = fromTable.routes.filter(({ name }) => !present.has(name)).map(({ name }) => name);
+  const currentNames = new Set(toTable.routes.map(({ name }) => name));
+  const removedRoutes = fromTable.routes
+    .filter(({ name }) => !currentNames.has(name))
+    .map(({ name }) => name);
   const { version, revision, idleTimeoutMs, services } = toTable;
   return {
     fromRevisions: [fromTable.revision],
@@ -32,14 +34,14 @@
 export function applyTableChange(table: RouteTable, change: RouteTableChange): RouteTable | undefined {
   if (table.revision === change.revision) return table;
   if (!change.fromRevisions.includes(table.revision)) return undefined;
-  const routes = byName(table.routes);
+  const routes = indexByName(table.routes);
   for (const name of change.removedRoutes) routes.delete(name);
   for (const route of change.routes) routes.set(route.name, route);
   const { version, revision, idleTimeoutMs, services, digest } = change;
-  const changed = [...routes.values()];
-  if (digestOfRoutes(changed) !== digest) return undefined;
+  const changedRoutes = [...routes.values()];
+  if (digestOfRoutes(changedRoutes) !== digest) return undefined;
   const epoch = table.epoch === undefined ? {} : { epoch: table.epoch };
-  return { version, ...epoch, revision, idleTimeoutMs, services, routes: changed };
+  return { version, ...epoch, revision, idleTimeoutMs, services, routes: changedRoutes };
 }
 
 /** Returns true when `second` starts from the table that `first` produces. */
@@ -49,18 +51,18 @@
 
 /** Merges two consecutive changes into one; `isConsecutiveChange(first, second)` must be true. */
 export function mergeTableChanges(first: RouteTableChange, second: RouteTableChange): RouteTableChange {
-  const routes = byName(first.routes);
-  const removed = new Set(first.removedRoutes);
+  const routes = indexByName(first.routes);
+  const removedNames = new Set(first.removedRoutes);
   for (const name of second.removedRoutes) {
     routes.delete(name);
-    removed.add(name);
+    removedNames.add(name);
   }
   for (const route of second.routes) {
     routes.set(route.name, route);
-    removed.delete(route.name);
+    removedNames.delete(route.name);
   }
   const fromRevisions = [...new Set([...first.fromRevisions, ...second.fromRevisions])];
-  return { ...second, fromRevisions, routes: [...routes.values()], removedRoutes: [...removed] };
+  return { ...second, fromRevisions, routes: [...routes.values()], removedRoutes: [...removedNames] };
 }
 
 /** Computes a 32-bit digest of routes that does not depend on their order. */
@@ -69,12 +71,12 @@
 }
 
 function digestOfRoute({ name, address, port, targets, allowedRegions = [] }: Route): number {
-  const start = combine32(hashString(name), combine32(address, port));
-  const parts = [...targets.map(({ service, weight }) => `${service} ${weight}`), ...allowedRegions];
-  return parts.reduce((digest, part) => combine32(digest, hashString(part)), start);
+  const addressDigest = combine32(hashString(name), combine32(address, port));
+  const digestedTexts = [...targets.map(({ service, weight }) => `${service} ${weight}`), ...allowedRegions];
+  return digestedTexts.reduce((digest, part) => combine32(digest, hashString(part)), addressDigest);
 }
 
-function byName(routes: readonly Route[]): Map<string, Route> {
+function indexByName(routes: readonly Route[]): Map<string, Route> {
   return new Map(routes.map((route) => [route.name, route]));
 }
 
