--- a/contract/surfaces/operator-metrics.ts
+++ b/contract/surfaces/operator-metrics.ts
@@ -61,7 +61,7 @@
     forwarder: {
       statistics,
       flowCount: 1,
-      heldOpenings: 1,
+      heldOpeningCount: 1,
       probes: 1,
       ejections: 1,
       outliers,
--- a/src/cookie-edge/backend-health/dead-backends.ts
+++ b/src/cookie-edge/backend-health/dead-backends.ts
@@ -50,7 +50,7 @@
   }
 
   /** Probes sent since start. */
-  get probes(): number {
+  get probesSent(): number {
     return this.prober.probesSent;
   }
 
@@ -73,7 +73,7 @@
 
   /** Discards what probes found about a back end. */
   removeBackend(backend: KnownBackend): void {
-    this.lastAnswerAtMs.delete(this.options.states.of(backend));
+    this.lastAnswerAtMs.delete(this.options.states.stateOf(backend));
   }
 
   /**
--- a/src/cookie-edge/backend-health/local-backend-states.ts
+++ b/src/cookie-edge/backend-health/local-backend-states.ts
@@ -40,7 +40,7 @@
   }
 
   /** The state of a back end; created on the first call. */
-  of(backend: KnownBackend): LocalBackendState {
+  stateOf(backend: KnownBackend): LocalBackendState {
     let state = this.states.get(backend);
     if (!state) {
       state = new LocalBackendState(backend);
--- a/src/cookie-edge/backend-health/pending-openings.ts
+++ b/src/cookie-edge/backend-health/pending-openings.ts
@@ -31,7 +31,7 @@
   }
 
   /** Records that an opening is no longer pending, because it was answered or counts as failed. */
-  settle(flow: Flow): void {
+  stopAwaiting(flow: Flow): void {
     if (!flow.isAwaitingAnswer) return;
     flow.isAwaitingAnswer = false;
     flow.backendState.pendingOpenings -= 1;
@@ -41,7 +41,7 @@
    * Removes the openings that were placed `OPENING_ANSWER_TIMEOUT_MS` ago or earlier, and returns those without an
    * answer.
    */
-  takeUnanswered(nowMs: number): Flow[] {
+  removeUnanswered(nowMs: number): Flow[] {
     const cutoffMs = nowMs - OPENING_ANSWER_TIMEOUT_MS;
     const firstNewerIndex = this.queue.findIndex(({ openedAtMs }) => openedAtMs > cutoffMs);
     const expired = firstNewerIndex < 0 ? this.queue : this.queue.slice(0, firstNewerIndex);
@@ -51,7 +51,7 @@
 
   /** Settles all openings. Needed after a pause of this process, which cannot know which were answered meanwhile. */
   clear(): void {
-    this.queue.forEach((flow) => this.settle(flow));
+    this.queue.forEach((flow) => this.stopAwaiting(flow));
     this.queue = [];
   }
 }
--- a/src/cookie-edge/backend-health/superseded-backends.ts
+++ b/src/cookie-edge/backend-health/superseded-backends.ts
@@ -54,7 +54,7 @@
     const uptimeMs = clock.now() - this.startedAtMs;
     const hasCreationHistory = uptimeMs >= CREATION_HISTORY_UPTIME_MS && hasReceivedDeparted();
     for (const backend of backendsAtAddress) {
-      const state = states.of(backend);
+      const state = states.stateOf(backend);
       const { lastSignOfLifeMs } = state;
       this.applyDecision(
         state,
--- a/src/cookie-edge/daemon/metrics.ts
+++ b/src/cookie-edge/daemon/metrics.ts
@@ -82,7 +82,7 @@
     'Back ends of the roster that are not listed yet',
     ({ knowledge }) => knowledge.backends.awaitedCount,
   ],
-  ['gauge', 'openings_held', 'Openings that wait', (components) => components.forwarder.heldOpenings],
+  ['gauge', 'openings_held', 'Openings that wait', (components) => components.forwarder.heldOpeningCount],
   [
     'counter',
     'openings_held_total',
--- a/src/cookie-edge/daemon/status.ts
+++ b/src/cookie-edge/daemon/status.ts
@@ -41,7 +41,7 @@
     backends: countBackends(components),
     backendKnowledge: settlement.state,
     awaitedBackends: knowledge.backends.awaited().map(({ id }) => id),
-    heldOpenings: forwarder.heldOpenings,
+    heldOpenings: forwarder.heldOpeningCount,
     openFlows: forwarder.flowCount,
     outstandingRequests: forwarder.answers.outstandingCount,
     avoidedBackends: forwarder.outliers.avoidedAt(components.clock.now()),
--- a/src/cookie-edge/forwarding/cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/cookie-forwarder.ts
@@ -71,11 +71,11 @@
 
   /** Number of probes sent since start to back ends that may be dead. */
   get probes(): number {
-    return this.options.deadBackends.probes;
+    return this.options.deadBackends.probesSent;
   }
 
   /** Number of openings held now. */
-  get heldOpenings(): number {
+  get heldOpeningCount(): number {
     return this.options.heldOpenings.size;
   }
 
@@ -90,7 +90,7 @@
     if (!isOn('shared-ejections')) return false;
     const backend = knowledge.backends.get(backendId);
     if (!backend) return false;
-    const state = states.of(backend);
+    const state = states.stateOf(backend);
     const isNew = state.applyEjectionReport(atMs);
     if (isNew) deadBackends.probeIfNeeded(state);
     return isNew;
@@ -147,7 +147,7 @@
 
   private removeBackend(backend: KnownBackend): void {
     const { deadBackends, supersededBackends, cookies, states, coldAdmission, cache } = this.options;
-    cache.removeFlowsAt(states.of(backend));
+    cache.removeFlowsAt(states.stateOf(backend));
     this.unroutedBackends.delete(backend);
     deadBackends.removeBackend(backend);
     supersededBackends.removeBackend(backend);
--- a/src/cookie-edge/forwarding/create-cookie-forwarder.ts
+++ b/src/cookie-edge/forwarding/create-cookie-forwarder.ts
@@ -237,7 +237,7 @@
     knowledge,
     coldAdmission,
     regionOf: environment.regionOf,
-    stateOf: (backend) => states.of(backend),
+    stateOf: (backend) => states.stateOf(backend),
   });
   const newFlowRule = new NewFlowRule({
     knowledge,
--- a/src/cookie-edge/forwarding/filling-backend-list.test.ts
+++ b/src/cookie-edge/forwarding/filling-backend-list.test.ts
@@ -239,7 +239,7 @@
   const harness = new ForwarderHarness(clock, 1, [], { tracksSettlement: true }).applyRecords([]);
   harness.passToForwarder({ sourcePort: 1, syn: true }, 100);
   clock.advance(60);
-  t.is(harness.forwarder.heldOpenings, 0);
+  t.is(harness.forwarder.heldOpeningCount, 0);
   t.is(harness.forwarder.statistics.heldTooLong, 1);
 });
 
--- a/src/cookie-edge/forwarding/flow-tracker.ts
+++ b/src/cookie-edge/forwarding/flow-tracker.ts
@@ -34,8 +34,8 @@
    */
   trackPacket(packet: CookiePacket, flow: Flow, backend: KnownBackend, nowMs: number): void {
     const { cache, pendingOpenings, states } = this.options;
-    pendingOpenings.settle(flow);
-    if (flow.backendState.backend !== backend) cache.moveToBackend(flow, states.of(backend));
+    pendingOpenings.stopAwaiting(flow);
+    if (flow.backendState.backend !== backend) cache.moveToBackend(flow, states.stateOf(backend));
     flow.lastPacketAtMs = nowMs;
     if (flow.phase === 'opening') this.completeHandshake(packet, flow, nowMs);
     else if (packet.ack && isAfter(packet.acknowledgement, flow.acknowledgement)) {
--- a/src/cookie-edge/forwarding/housekeeping.ts
+++ b/src/cookie-edge/forwarding/housekeeping.ts
@@ -70,8 +70,8 @@
 
   private recordUnanswered(nowMs: number): void {
     const { pendingOpenings, failures } = this.options;
-    for (const flow of pendingOpenings.takeUnanswered(nowMs)) {
-      pendingOpenings.settle(flow);
+    for (const flow of pendingOpenings.removeUnanswered(nowMs)) {
+      pendingOpenings.stopAwaiting(flow);
       failures.recordFailure(flow, flow.openedAtMs, nowMs);
     }
   }
--- a/src/cookie-edge/forwarding/mid-flow-handler.ts
+++ b/src/cookie-edge/forwarding/mid-flow-handler.ts
@@ -36,7 +36,7 @@
     const { cookies, states, flowTracker, sender } = this.options;
     const cookieBackend = packet.cookie === 0 ? undefined : cookies.backendOf(packet.cookie);
     const backend = backendOfPacket(cookieBackend, flow?.backendState.backend);
-    const isDead = backend !== undefined && states.of(backend).isDead(nowMs);
+    const isDead = backend !== undefined && states.stateOf(backend).isDead(nowMs);
     const outcome = decideMidFlow(backend, isDead);
     if (!backend || outcome === 'drop') return this.dropUnknownCookie(packet);
     if (outcome === 'reset') return this.resetFlowAtDeadBackend(packet, flow, backend, nowMs);
@@ -58,7 +58,7 @@
       service: backend.record.service,
       departed: backend.departed,
     });
-    return cache.add(packet, states.of(backend), 'open', nowMs);
+    return cache.add(packet, states.stateOf(backend), 'open', nowMs);
   }
 
   /** Resets a flow at a dead back end immediately, so that its caller need not wait for a timeout. */
@@ -71,7 +71,7 @@
     const { cache, states, statistics, events, sender } = this.options;
     if (flow) cache.remove(flow);
     statistics.resets += 1;
-    const reason = states.of(backend).deadReason;
+    const reason = states.stateOf(backend).deadReason;
     events.emit(COOKIE_FLOW_EVENTS.flowReset, {
       flow: formatFlowId(packet),
       backend: backend.id,
--- a/src/cookie-edge/forwarding/opening-handler.ts
+++ b/src/cookie-edge/forwarding/opening-handler.ts
@@ -111,7 +111,7 @@
     const { newFlowRule, pendingOpenings, failures, sender } = this.options;
     flow.lastPacketAtMs = nowMs;
     if (flow.phase === 'opening') {
-      pendingOpenings.settle(flow);
+      pendingOpenings.stopAwaiting(flow);
       failures.recordFailure(flow, flow.openedAtMs, nowMs);
     }
     if (mayLeaveFirstBackend(flow.phase, flow.backendState.liveness(nowMs))) {
@@ -128,7 +128,7 @@
     const { openingLog, statistics, pendingOpenings, cache } = this.options;
     openingLog.logMove(packet, flow, placement);
     statistics.placedAnew += 1;
-    pendingOpenings.settle(flow);
+    pendingOpenings.stopAwaiting(flow);
     cache.moveToBackend(flow, placement.state);
     flow.openedAtMs = nowMs;
     flow.isFailureCounted = false;
--- a/src/cookie-edge/placement/new-flow-rule.test.ts
+++ b/src/cookie-edge/placement/new-flow-rule.test.ts
@@ -32,7 +32,7 @@
     eligibility: new BackendEligibility({
       knowledge,
       coldAdmission,
-      stateOf: (backend) => states.of(backend),
+      stateOf: (backend) => states.stateOf(backend),
       regionOf: () => undefined,
     }),
     placement: new OpeningPlacement({ zone: 'north', zoneMargin: 0, zoneLoadFactor: 1 }),
@@ -66,7 +66,7 @@
   const harness = new ForwarderHarness().applyRecords([backendAt('a', 1)]);
   const { rule, states } = createRule(harness);
   const placement = {
-    state: states.of(harness.knowledge.backends.get('a')!),
+    state: states.stateOf(harness.knowledge.backends.get('a')!),
     rule: 'least-flows',
     candidates: 1,
     passedOver: 0,
@@ -78,7 +78,7 @@
 test('a trial opening is not chosen again after it was recorded', (t) => {
   const harness = new ForwarderHarness().applyRecords([backendAt('a', 1), backendAt('b', 2)]);
   const { rule, states } = createRule(harness);
-  eject(states.of(harness.knowledge.backends.get('a')!));
+  eject(states.stateOf(harness.knowledge.backends.get('a')!));
   const trial = rule.chooseForRetransmission(FLOW, NOW_MS)!;
   t.is(trial.rule, 'trial');
   t.is(rule.chooseForRetransmission(FLOW, NOW_MS)?.rule, 'trial');
--- a/src/cookie-edge/routing/knowledge.ts
+++ b/src/cookie-edge/routing/knowledge.ts
@@ -91,11 +91,11 @@
 
   /** Returns true once every topic has been received and there is a route table. */
   isComplete(): boolean {
-    return this.routes() !== undefined && this.hasBeenRead();
+    return this.routes() !== undefined && this.hasAllTopics();
   }
 
   /** Returns true once every topic has been received, even without a route table. */
-  hasBeenRead(): boolean {
+  hasAllTopics(): boolean {
     return this.topics.every((topic) => this.confirmations[topic].revision > UNKNOWN_REVISION);
   }
 
--- a/src/cookie-edge/spreading/gossip-node.ts
+++ b/src/cookie-edge/spreading/gossip-node.ts
@@ -232,7 +232,7 @@
     if (isPullDue(unconfirmedMs, pullAfterMs, nowMs - this.lastPullMs)) this.pullFromPeers(nowMs);
     if (nowMs >= this.nextSeedPullMs) this.pullFromSeeds(nowMs);
     const daemons = this.peers.reachableDaemons(nowMs);
-    const completeness = { isComplete: knowledge.isComplete(), hasBeenRead: knowledge.hasBeenRead() };
+    const completeness = { isComplete: knowledge.isComplete(), hasBeenRead: knowledge.hasAllTopics() };
     const reason = this.role.decide({ nowMs, ageMs, daemons, ...completeness });
     if (!reason) return;
     this.options.setReading(this.role.isReading);
